--- a/src/ragwortkeel/budget/account.py
+++ b/src/ragwortkeel/budget/account.py
@@ -27,7 +27,7 @@
 """How fast a cap grows then, against the demand: an outage has to be caught up
 with, and its demand may be higher than that before it."""
 
-LEAST_SECONDS = 8.0
+MIN_GROWTH_PERIOD_SECONDS = 8.0
 """A cap grows by at least a typical request in so many seconds, the length of an
 ordinary outage, for customers whose demand is not known yet."""
 
@@ -35,35 +35,35 @@
 """Outages of the platform to bridge with what is held.  Longer, and more is
 stranded with processes that die in an outage; shorter, and callers are refused."""
 
-EQUAL_PART = 0.2
+EQUAL_FRACTION = 0.2
 """Of what is unspent, not shared by demand.  Customers stick to few processes, so
 shares by demand leave least in the platform, where an outage locks it away; what
 lies with the wrong process is lent."""
 
-HANDED_OUT = 0.6
+SLICES_FRACTION = 0.6
 """Of what is unspent, held in slices; the rest stays in the ledger.  A request mostly
 needs a renewal for room in the cap anyway, and that takes the tokens along; with all
 handed out to 21 processes no slice holds a request any more, and each has to be
 pieced together from others' slices, two writes a piece."""
 
-STARTING_SHARE = 0.25
+INITIAL_SLICE_FRACTION = 0.25
 """Of an equal share of what is unspent, held for a customer that has asked for
 nothing yet: its first requests may come in an outage."""
 
-STARTING_ROOM_SHARE = 0.01
+INITIAL_HEADROOM_FRACTION = 0.01
 """Of what is unspent, the least that all processes' caps together leave room for:
 the first callers of an outage are served, and no more is charged for nothing."""
 
-STARTING_GROWTH_SHARE = 0.005
+INITIAL_GROWTH_FRACTION = 0.005
 """Of what is unspent, the least by which a cap grows in `LEAST_SECONDS`.  Room
 from the start was charged for nothing at each death, for every customer; a caller
 who lacks room gets it by the next renewal."""
 
-TYPICAL_REQUESTS = 1.5
+MIN_SLICE_REQUESTS = 1.5
 """A slice holds this many requests of the process's mean size even for a customer
 without demand: its first requests may come in an outage."""
 
-REFILL_SHARE = 0.6
+REFILL_FRACTION = 0.6
 """A slice below this part of its target is filled up."""
 
 
@@ -93,15 +93,15 @@
         self.ledger = Ledger()
         self.waiting = 0
         self.read_at = float("-inf")
-        self._cut = False
+        self._open_charged = False
         self._customer = customer
         self._borrowed = 0
         self._recalled = 0
         self._meter = DemandMeter()
-        self._lot = _lot(f"{holder}/{customer}")
+        self._selection_hash = _hash_fraction(f"{holder}/{customer}")
 
     @property
-    def known(self) -> bool:
+    def ledger_known(self) -> bool:
         """Whether the customer's ledger has been seen."""
         return self.ledger.prepaid > 0 or self.slice.in_ledger
 
@@ -119,8 +119,8 @@
     def held_elsewhere(self) -> int:
         """Unspent tokens in the slices of all other processes, gone ones too."""
         own = self.slice.granted - self.slice.spent
-        out = self.ledger.held - self.ledger.total_spent
-        return max(0, out - own)
+        outstanding = self.ledger.held - self.ledger.total_spent
+        return max(0, outstanding - own)
 
     @property
     def available(self) -> int:
@@ -133,16 +133,16 @@
         cap = self.slice.cap + self.slice.grown
         return max(0, cap - self.slice.exposure(DIRECT))
 
-    def grow(self, silent: float) -> None:
+    def grow(self, elapsed_seconds: float) -> None:
         """Let the cap grow by the seconds since the last try to write."""
-        self.slice.grown = int(self.slice.growth * growing_seconds(silent))
+        self.slice.grown = int(self.slice.growth * growth_seconds(elapsed_seconds))
 
     def reserve(self, tokens: int) -> Hold | None:
         """Set tokens aside, of loans first: they can't be given back."""
         borrowed = min(tokens, self._borrowed)
         reservation = None
         if tokens > borrowed:
-            reservation = self.reserve_of_slice(tokens - borrowed)
+            reservation = self.reserve_from_slice(tokens - borrowed)
             if reservation is None:
                 return None
         self._borrowed -= borrowed
@@ -166,15 +166,15 @@
         spent = min(spent, hold.tokens)
         self._borrowed += max(0, hold.borrowed - spent)
         if hold.reservation is not None:
-            of_slice = max(0, spent - hold.borrowed)
-            self.slice.settle(hold.reservation, spent=of_slice)
+            spent_of_slice = max(0, spent - hold.borrowed)
+            self.slice.settle(hold.reservation, spent=spent_of_slice)
 
     def cut_open(self) -> None:
         """Charge the open requests at their most and set nothing aside any more.
 
         For a stop that cuts them: what they still take is within what is charged.
         """
-        self._cut = True
+        self._open_charged = True
         for reservation in list(self.slice.open_by_id.values()):
             self.slice.settle(reservation, spent=reservation.tokens)
 
@@ -185,15 +185,15 @@
     def lend(self, asker: SliceNeed, now: float) -> int:
         """Charge a loan to the slice and return its tokens; 0 for none."""
         tokens = min(self.spare(asker, now), self.cap_room, asker.lacking)
-        hold = self.reserve_of_slice(tokens)
+        hold = self.reserve_from_slice(tokens)
         if hold is None:
             return 0
         self.slice.settle(hold, spent=tokens)
         return tokens
 
-    def reserve_of_slice(self, tokens: int) -> Reservation | None:
+    def reserve_from_slice(self, tokens: int) -> Reservation | None:
         """Set tokens of the slice aside, or return None."""
-        if tokens <= 0 or self._cut:
+        if tokens <= 0 or self._open_charged:
             return None
         try:
             return self.slice.reserve(sidecar=DIRECT, tokens=tokens)
@@ -216,26 +216,28 @@
         """Add a loan that came in."""
         self._borrowed += tokens
 
-    def need(self, now: float, typical: int = 0) -> SliceNeed:
+    def need(self, now: float, mean_request_tokens: int = 0) -> SliceNeed:
         """Return what the sizing of slices looks at.
 
         `typical` is the mean size of a request of any customer.
         """
         unspent = max(0, self.ledger.prepaid - self.ledger.total_spent)
         holders = max(1, self.ledger.holders)
-        starting = int(unspent / holders * STARTING_SHARE)
+        starting = int(unspent / holders * INITIAL_SLICE_FRACTION)
         return SliceNeed(
             holding=max(0, self.slice.granted - self.slice.spent),
             demand=self._meter.rate(now=now),
-            largest_request=max(starting, int(typical * TYPICAL_REQUESTS)),
+            largest_request=max(
+                starting, int(mean_request_tokens * MIN_SLICE_REQUESTS)
+            ),
             waiting=max(0, self.waiting - self.held),
             lacking=max(0, self.waiting - self.available),
             ride_out_seconds=RIDE_OUT_SECONDS,
             spread=Spread.WIDE,
-            equal_part=EQUAL_PART,
-            handed_out=HANDED_OUT,
-            useful=int(typical * TYPICAL_REQUESTS),
-            lot=self._lot,
+            equal_fraction_override=EQUAL_FRACTION,
+            slices_fraction_override=SLICES_FRACTION,
+            min_useful_tokens=int(mean_request_tokens * MIN_SLICE_REQUESTS),
+            selection_hash=self._selection_hash,
         )
 
     def propose(
@@ -243,7 +245,7 @@
         ledger: Ledger,
         *,
         nonce: str,
-        typical: int,
+        mean_request_tokens: int,
         headroom_seconds: float,
         now: float,
     ) -> bool:
@@ -252,23 +254,26 @@
             self.slice.propose(nonce=nonce, cap=0)
             return True
         self.ledger = ledger
-        need = self.need(now, typical)
+        need = self.need(now, mean_request_tokens)
         holder = self.slice.router
-        take = to_take(ledger, router=holder, need=need)
+        wanted_tokens = to_take(ledger, router=holder, need=need)
         give_back = self._give_back(ledger, need)
         if self._recalled:
-            take = 0
-        least = self._least_growth(typical)
+            wanted_tokens = 0
+        min_growth = self._min_growth(mean_request_tokens)
         cap = self._cap(need, headroom_seconds)
-        if not self._due(need.holding, take, give_back, cap):
+        if not self._is_due(need.holding, wanted_tokens, give_back, cap):
             return False
         self.slice.propose(
             nonce=nonce,
             sidecars=(DIRECT,),
-            want=take,
+            want=wanted_tokens,
             give_back=give_back,
             cap=cap,
-            growth=int(GROWTH_FACTOR * need.demand / 60 + least / LEAST_SECONDS),
+            growth=int(
+                GROWTH_FACTOR * need.demand / 60
+                + min_growth / MIN_GROWTH_PERIOD_SECONDS
+            ),
             demand=need.demand,
         )
         return True
@@ -277,14 +282,14 @@
         """Take over a pending renewal that has taken effect in the ledger."""
         self.ledger = ledger
         grant = ledger.grants.get(self.slice.router)
-        if self.slice.owns(grant):
+        if self.slice.is_applied_in(grant):
             if self.slice.pending.give_back:
                 self._recalled = 0
             self.slice.accept(grant)
 
-    def _least_growth(self, typical: int) -> int:
+    def _min_growth(self, mean_request_tokens: int) -> int:
         unspent = max(0, self.ledger.prepaid - self.ledger.total_spent)
-        return max(int(unspent * STARTING_GROWTH_SHARE), typical)
+        return max(int(unspent * INITIAL_GROWTH_FRACTION), mean_request_tokens)
 
     def _give_back(self, ledger: Ledger, need: SliceNeed) -> int:
         """Return what to give back; nothing that a request here waits for."""
@@ -300,11 +305,13 @@
         """
         unspent = max(0, self.ledger.prepaid - self.ledger.total_spent)
         holders = max(1, self.ledger.holders)
-        starting = int(unspent * STARTING_ROOM_SHARE / holders)
+        starting = int(unspent * INITIAL_HEADROOM_FRACTION / holders)
         headroom = max(starting, int(need.demand / 60 * headroom_seconds))
         return self.slice.reserved + headroom + self.waiting
 
-    def _due(self, holding: int, take: int, give_back: int, cap: int) -> bool:
+    def _is_due(
+        self, holding: int, wanted_tokens: int, give_back: int, cap: int
+    ) -> bool:
         # Without a grant no peer may renew this slice, so an empty one is made too.
         if self.waiting or give_back or not self.slice.in_ledger:
             return True
@@ -314,15 +321,15 @@
             return True
         if self.slice.unsettled or self.slice.cap > 2 * cap:
             return True
-        return take > holding * (1 - REFILL_SHARE) / REFILL_SHARE
+        return wanted_tokens > holding * (1 - REFILL_FRACTION) / REFILL_FRACTION
 
 
-def _lot(name: str) -> float:
+def _hash_fraction(name: str) -> float:
     """Return a number from 0 to 1 that a name always has."""
     digest = blake2b(name.encode(), digest_size=4).digest()
     return int.from_bytes(digest) / 2**32
 
 
-def growing_seconds(seconds: float) -> float:
+def growth_seconds(seconds: float) -> float:
     """Return for how much of the time since a write a cap has been growing."""
     return max(0.0, seconds - GROWTH_DELAY_SECONDS)
--- a/src/ragwortkeel/budget/allowance.py
+++ b/src/ragwortkeel/budget/allowance.py
@@ -26,12 +26,12 @@
 from ragwortkeel.budget.clocks import Reading, Stamp
 from ragwortkeel.budget.predecessors import (
     Predecessor,
-    charged,
+    charge_predecessors,
+    find_predecessors,
     is_predecessor,
-    predecessors,
 )
 from ragwortkeel.budget.shards import Shard
-from ragwortkeel.budget.summary import seen_by
+from ragwortkeel.budget.summary import restore_own_grant
 from ragwortkeel.messages import HandedRenewals, RenewalsWritten, Start
 
 HEADROOM_SECONDS = 0.5
@@ -53,7 +53,7 @@
 RENEWAL_WEIGHT = 0.4
 """Of the newest renewal: a slow platform shows after two or three."""
 
-TYPICAL_WEIGHT = 0.05
+REQUEST_SIZE_WEIGHT = 0.05
 """Of the newest request in the mean size: some twenty requests count."""
 
 
@@ -84,8 +84,8 @@
         self._started = started
         self._account_by_customer: dict[str, Account] = {}
         self._nonces = count(1)
-        self._typical = 0.0
-        self._took = 0.0
+        self._mean_request_tokens = 0.0
+        self._mean_renewal_seconds = 0.0
 
     def account(self, customer: str) -> Account:
         """Return the customer's account."""
@@ -113,17 +113,21 @@
     def asked(self, customer: str, tokens: int, now: float) -> None:
         """Count the demand of a request, whether it is met or not."""
         self.account(customer).asked(tokens, now)
-        self._typical += (tokens - self._typical) * TYPICAL_WEIGHT
+        self._mean_request_tokens += (
+            tokens - self._mean_request_tokens
+        ) * REQUEST_SIZE_WEIGHT
 
-    def renewed_after(self, took: float) -> None:
+    def renewed_after(self, seconds: float) -> None:
         """Note the seconds that a renewal took, with all its tries."""
-        took = min(took, LONGEST_RENEWAL_SECONDS)
-        self._took += (took - self._took) * RENEWAL_WEIGHT
+        seconds = min(seconds, LONGEST_RENEWAL_SECONDS)
+        self._mean_renewal_seconds += (
+            seconds - self._mean_renewal_seconds
+        ) * RENEWAL_WEIGHT
 
     @property
     def headroom_seconds(self) -> float:
         """Demand that a cap leaves room for, in seconds."""
-        return max(HEADROOM_SECONDS, HEADROOM_RENEWALS * self._took)
+        return max(HEADROOM_SECONDS, HEADROOM_RENEWALS * self._mean_renewal_seconds)
 
     @property
     def holders(self) -> int:
@@ -131,22 +135,22 @@
         accounts = self._account_by_customer.values()
         return max((one.ledger.holders for one in accounts), default=0)
 
-    def grow(self, silent: float) -> None:
+    def grow(self, elapsed_seconds: float) -> None:
         """Let all caps grow by the seconds since the last try to write."""
         for account in self._account_by_customer.values():
-            account.grow(silent)
+            account.grow(elapsed_seconds)
 
     def renewed(self, shard: Shard, reading: Reading) -> Shard:
         """Return the shard with all renewals that are due and a new stamp."""
         ledgers = dict(shard.ledger_by_customer)
-        typical = int(self._typical)
+        mean_request_tokens = int(self._mean_request_tokens)
         for name, ledger in shard.ledger_by_customer.items():
             account = self.account(name)
             nonce = str(next(self._nonces))
             due = account.propose(
                 ledger,
                 nonce=nonce,
-                typical=typical,
+                mean_request_tokens=mean_request_tokens,
                 headroom_seconds=self.headroom_seconds,
                 now=reading.monotonic,
             )
@@ -164,19 +168,19 @@
 
         A process that has not charged its predecessors yet says by `start` how.
         """
-        typical = int(self._typical)
+        mean_request_tokens = int(self._mean_request_tokens)
         renewal_by_customer = {}
         wanted = []
         for name, account in self._account_by_customer.items():
             if account.in_demand(reading.monotonic):
                 wanted.append(name)
-            if not account.known:
+            if not account.ledger_known:
                 continue
             nonce = str(next(self._nonces))
             due = account.propose(
                 account.ledger,
                 nonce=nonce,
-                typical=typical,
+                mean_request_tokens=mean_request_tokens,
                 headroom_seconds=self.headroom_seconds,
                 now=reading.monotonic,
             )
@@ -197,7 +201,7 @@
             account = self.account(name)
             grant = answer.grant_by_customer.get(name)
             own = grant or account.ledger.grants.get(self.holder)
-            account.resolve(seen_by(summary, router=self.holder, grant=own))
+            account.resolve(restore_own_grant(summary, router=self.holder, grant=own))
 
     def note_read(self, customers: Iterable[str], at: float) -> None:
         """Note that the ledgers known of these customers are of a monotonic second."""
@@ -232,12 +236,12 @@
         return msgspec.structs.replace(
             shard,
             ledger_by_customer=ledgers,
-            stamp_by_holder=_without(shard.stamp_by_holder, self.holder),
+            stamp_by_holder=_without_holder(shard.stamp_by_holder, self.holder),
         )
 
     def merged(self, shard: Shard) -> Shard:
         """Return the shard without the grants of earlier starts of this process."""
-        return charged(shard, self.predecessors(shard))
+        return charge_predecessors(shard, self.predecessors(shard))
 
     def know_time(self, reading: Reading) -> None:
         """Take over what a later reading says of the time when this one started."""
@@ -252,12 +256,12 @@
         return any(
             stamp.earliest is not None and stamp.rebooted(self._started)
             for holder, stamp in shard.stamp_by_holder.items()
-            if is_predecessor(holder, of=self.holder)
+            if is_predecessor(holder, successor=self.holder)
         )
 
     def predecessors(self, shard: Shard) -> list[Predecessor]:
         """Return the earlier starts of this process that still hold grants."""
-        return predecessors(shard, holder=self.holder, started=self._started)
+        return find_predecessors(shard, holder=self.holder, started=self._started)
 
     def start(self, shard: Shard) -> Start:
         """Return what lets a peer charge the earlier starts of this process."""
@@ -269,5 +273,5 @@
         )
 
 
-def _without(stamps: dict[str, Stamp], holder: str) -> dict[str, Stamp]:
+def _without_holder(stamps: dict[str, Stamp], holder: str) -> dict[str, Stamp]:
     return {name: stamp for name, stamp in stamps.items() if name != holder}
--- a/src/ragwortkeel/budget/handing.py
+++ b/src/ragwortkeel/budget/handing.py
@@ -13,7 +13,7 @@
 from ragwortkeel.budget.clocks import Reading
 from ragwortkeel.budget.grant import Renewal
 from ragwortkeel.budget.ledger import Ledger
-from ragwortkeel.budget.predecessors import charged, predecessors
+from ragwortkeel.budget.predecessors import charge_predecessors, find_predecessors
 from ragwortkeel.budget.shards import Shard
 from ragwortkeel.exceptions import RenewalVoid
 from ragwortkeel.messages import HandedRenewals, Start
@@ -30,19 +30,19 @@
         A grant does not allow it.
     """
     holder = handed.holder
-    known = shard.stamp_by_holder.get(holder)
-    if known is None and handed.start is None:
+    last_stamp = shard.stamp_by_holder.get(holder)
+    if last_stamp is None and handed.start is None:
         raise RenewalVoid(holder=holder)
-    if known is not None and handed.stamp.boot <= known.boot:
+    if last_stamp is not None and handed.stamp.boot <= last_stamp.boot:
         raise RenewalVoid(holder=holder)
     if handed.start is not None:
-        shard = _started(shard, holder, handed.start)
+        shard = _with_predecessors_charged(shard, holder, handed.start)
     ledgers = dict(shard.ledger_by_customer)
     for customer, renewal in handed.renewal_by_customer.items():
         ledger = ledgers.get(customer)
         if ledger is None or renewal.router != holder:
             raise RenewalVoid(holder=holder)
-        ledgers[customer] = _renewed_once(ledger, renewal)
+        ledgers[customer] = _renew_once(ledger, renewal)
     return msgspec.structs.replace(
         shard,
         ledger_by_customer=ledgers,
@@ -50,18 +50,18 @@
     )
 
 
-def _started(shard: Shard, holder: str, start: Start) -> Shard:
+def _with_predecessors_charged(shard: Shard, holder: str, start: Start) -> Shard:
     """Return the shard with a process's earlier starts charged."""
     started = Reading(
         monotonic=0.0, boot=start.boot, wall=start.wall, latest=start.latest
     )
-    dead = predecessors(shard, holder=holder, started=started)
-    if any(one.holder not in start.predecessors for one in dead):
+    stopped = find_predecessors(shard, holder=holder, started=started)
+    if any(one.holder not in start.predecessors for one in stopped):
         raise RenewalVoid(holder=holder)
-    return charged(shard, dead)
+    return charge_predecessors(shard, stopped)
 
 
-def _renewed_once(ledger: Ledger, renewal: Renewal) -> Ledger:
+def _renew_once(ledger: Ledger, renewal: Renewal) -> Ledger:
     """Return the ledger with a renewal that it may hold already.
 
     Where it does, its sender did not hear so and may have spent more since than its
--- a/src/ragwortkeel/budget/ledger.py
+++ b/src/ragwortkeel/budget/ledger.py
@@ -24,7 +24,7 @@
     StaleOperation,
 )
 
-KEPT_OPERATIONS = 1024
+MAX_KEPT_OPERATIONS = 1024
 """Operation ids a ledger remembers: years of top-ups in about 60 KB."""
 
 MAX_NAMED_SIDECARS = 8000
@@ -113,7 +113,7 @@
         BudgetCommitted
             What is spent or committed does not allow it; see `recall`.
         """
-        if not self._known(operation_id) and self.prepaid - tokens < self.held:
+        if not self._is_applied(operation_id) and self.prepaid - tokens < self.held:
             lowerable = max(0, self.prepaid - self.held)
             raise BudgetCommitted(lowerable_tokens=lowerable, spent=self.total_spent)
         return self._change_prepaid(-tokens, operation_id)
@@ -129,7 +129,7 @@
             raise BudgetCommitted(lowerable_tokens=lowerable, spent=self.total_spent)
         if to >= self.prepaid:
             return msgspec.structs.replace(self, recall_to=None)
-        return self._with(recall_to=to)
+        return self._replace(recall_to=to)
 
     def retire(self) -> Self:
         """Grant nothing more; what is out may still be spent or come back."""
@@ -145,10 +145,12 @@
         else:
             grant = self._open_grant(renewal.router)
         ledger = self._with_grant(renewal.router, grant.renewed(renewal))
-        ledger = ledger._received(renewal)
-        ledger = ledger._added(renewal.router, min(renewal.want, ledger.rest))
-        named = sum(len(g.settled) for g in ledger.grants.values())
-        if named > MAX_NAMED_SIDECARS:
+        ledger = ledger._with_returned(renewal)
+        ledger = ledger._with_tokens_added(
+            renewal.router, min(renewal.want, ledger.rest)
+        )
+        named_sidecars = sum(len(entry.settled) for entry in ledger.grants.values())
+        if named_sidecars > MAX_NAMED_SIDECARS:
             raise LedgerFull(f"over {MAX_NAMED_SIDECARS} sidecars named")
         return ledger
 
@@ -160,7 +162,7 @@
         if renewal.router not in self.grants:
             return self
         grant = self._open_grant(renewal.router).renewed(renewal)
-        return self._without(renewal.router, grant.used)
+        return self._without_grant(renewal.router, grant.used)
 
     def seal(self, router: str) -> Self:
         """Take no more of this router; hold only what it can have spent.
@@ -173,14 +175,14 @@
         if grant is None or grant.sealed:
             return self
         grant = msgspec.structs.replace(grant, sealed=True)
-        return self._closed_if_known(router, grant)
+        return self._close_if_final(router, grant)
 
     def report(self, *, router: str, sidecar: str, tokens: int) -> Self:
         """Replace the bound of a sealed sidecar by its exact cumulative spend."""
         grant = self.grants.get(router)
         if grant is None or not grant.sealed:
             return self
-        return self._closed_if_known(router, grant.reported(sidecar, tokens))
+        return self._close_if_final(router, grant.reported(sidecar, tokens))
 
     def write_off(self, *, router: str, sidecar: str) -> Self:
         """Charge the bound for good: this sidecar is gone with its upstream.
@@ -194,7 +196,7 @@
             return self
         gone = tuple(sorted({*grant.gone, sidecar}))
         grant = msgspec.structs.replace(grant, gone=gone)
-        return self._closed_if_known(router, grant)
+        return self._close_if_final(router, grant)
 
     def _open_grant(self, router: str) -> Grant:
         grant = self.grants.get(router)
@@ -202,66 +204,73 @@
             raise RouterSealed(router=router)
         return grant
 
-    def _received(self, renewal: Renewal) -> Self:
+    def _with_returned(self, renewal: Renewal) -> Self:
         """Hand what a router gave back on; without a taker it joins the rest."""
-        taker = self.grants.get(renewal.give_to)
-        if taker is None or taker.sealed:
+        recipient = self.grants.get(renewal.give_to)
+        if recipient is None or recipient.sealed:
             return self
-        return self._added(renewal.give_to, min(renewal.give_back, self.rest))
+        return self._with_tokens_added(
+            renewal.give_to, min(renewal.give_back, self.rest)
+        )
 
-    def _added(self, router: str, tokens: int) -> Self:
+    def _with_tokens_added(self, router: str, tokens: int) -> Self:
         grant = self.grants[router]
         grant = msgspec.structs.replace(grant, granted=grant.granted + tokens)
         return self._with_grant(router, grant)
 
-    def _closed_if_known(self, router: str, grant: Grant) -> Self:
+    def _close_if_final(self, router: str, grant: Grant) -> Self:
         if set(grant.settled) <= set(grant.gone):
-            return self._without(router, grant.held)
+            return self._without_grant(router, grant.held)
         return self._with_grant(router, grant)
 
     def _with_grant(self, router: str, grant: Grant) -> Self:
-        return self._with(grants=self.grants | {router: grant})
+        return self._replace(grants=self.grants | {router: grant})
 
-    def _without(self, router: str, spent: int) -> Self:
-        grants = {k: v for k, v in self.grants.items() if k != router}
-        return self._with(grants=grants, spent=self.spent + spent)
+    def _without_grant(self, router: str, spent: int) -> Self:
+        grants = {name: grant for name, grant in self.grants.items() if name != router}
+        return self._replace(grants=grants, spent=self.spent + spent)
 
-    def _with(self, **changes) -> Self:
+    def _replace(self, **changes) -> Self:
         ledger = msgspec.structs.replace(self, **changes)
         if ledger.recall_to is None or ledger.held > ledger.recall_to:
             return ledger
         return msgspec.structs.replace(ledger, prepaid=ledger.recall_to, recall_to=None)
 
-    def _known(self, operation_id: str) -> bool:
-        return any(op.operation_id == operation_id for op in self.operations)
+    def _is_applied(self, operation_id: str) -> bool:
+        return any(
+            operation.operation_id == operation_id for operation in self.operations
+        )
 
     def _change_prepaid(self, tokens: int, operation_id: str) -> Self:
-        if self._known(operation_id):
+        if self._is_applied(operation_id):
             return self
         if self.retired:
             raise BudgetRetired("the profile is retired")
         # The id carries how many operations there were when it was made.  Ids
         # leave the list only together with all ids that are as old, so a late
         # retry of one that has left is refused instead of adding twice.
-        if _made_at(operation_id) < self.operation_floor:
+        if _operation_count_of(operation_id) < self.operation_floor:
             raise StaleOperation(f"{operation_id} is too old to tell")
         operation = Operation(operation_id=operation_id, tokens=tokens)
         kept = (*self.operations, operation)
-        left = kept[:-KEPT_OPERATIONS]
-        floor = max((_made_at(op.operation_id) + 1 for op in left), default=0)
+        removed = kept[:-MAX_KEPT_OPERATIONS]
+        floor = max(
+            (_operation_count_of(entry.operation_id) + 1 for entry in removed),
+            default=0,
+        )
         recall_to = self.recall_to
         if recall_to is not None:
             recall_to += tokens
-        return self._with(
+        return self._replace(
             prepaid=self.prepaid + tokens,
             recall_to=recall_to,
-            operations=kept[-KEPT_OPERATIONS:],
+            operations=kept[-MAX_KEPT_OPERATIONS:],
             operation_count=self.operation_count + 1,
             operation_floor=max(self.operation_floor, floor),
         )
 
 
-def _made_at(operation_id: str) -> int:
+def _operation_count_of(operation_id: str) -> int:
     count, _, nonce = operation_id.partition(".")
     if not nonce or not count.isdecimal():
         raise InvalidOperation(f"{operation_id!r} is no operation id")
--- a/src/ragwortkeel/budget/predecessors.py
+++ b/src/ragwortkeel/budget/predecessors.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ragwortkeel.budget.account import DIRECT, growing_seconds
+from ragwortkeel.budget.account import DIRECT, growth_seconds
 from ragwortkeel.budget.clocks import Reading, Stamp
 from ragwortkeel.budget.grant import Grant
 from ragwortkeel.budget.ledger import Ledger
@@ -36,12 +36,14 @@
     told: int
 
 
-def is_predecessor(holder: str, *, of: str) -> bool:
+def is_predecessor(holder: str, *, successor: str) -> bool:
     """Whether a holder is another start of the process `of`."""
-    return _node(holder) == _node(of) and holder != of
+    return _process_name(holder) == _process_name(successor) and holder != successor
 
 
-def predecessors(shard: Shard, *, holder: str, started: Reading) -> list[Predecessor]:
+def find_predecessors(
+    shard: Shard, *, holder: str, started: Reading
+) -> list[Predecessor]:
     """Return the other starts of a process that still hold something.
 
     Parameters
@@ -52,53 +54,59 @@
     holders = set(shard.stamp_by_holder)
     for ledger in shard.ledger_by_customer.values():
         holders |= ledger.grants.keys()
-    dead = sorted(one for one in holders if is_predecessor(one, of=holder))
+    starts = sorted(name for name in holders if is_predecessor(name, successor=holder))
     return [
         Predecessor(
-            holder=one,
-            age=_age(shard.stamp_by_holder.get(one), started),
-            granted=_sum_over(shard, one, lambda grant: grant.granted),
-            told=_sum_over(shard, one, lambda grant: grant.used),
+            holder=name,
+            age=_age_seconds(shard.stamp_by_holder.get(name), started),
+            granted=_sum_tokens(shard, name, lambda grant: grant.granted),
+            told=_sum_tokens(shard, name, lambda grant: grant.used),
         )
-        for one in dead
+        for name in starts
     ]
 
 
-def charged(shard: Shard, dead: Iterable[Predecessor]) -> Shard:
+def charge_predecessors(shard: Shard, stopped: Iterable[Predecessor]) -> Shard:
     """Return the shard without these, their bounds charged."""
-    for one in dead:
+    for predecessor in stopped:
         ledgers = {
-            customer: _charged(ledger, one.holder, age=one.age)
+            customer: _charge_grant(ledger, predecessor.holder, age=predecessor.age)
             for customer, ledger in shard.ledger_by_customer.items()
         }
-        stamps = {k: v for k, v in shard.stamp_by_holder.items() if k != one.holder}
+        stamps = {
+            name: stamp
+            for name, stamp in shard.stamp_by_holder.items()
+            if name != predecessor.holder
+        }
         shard = msgspec.structs.replace(
             shard, ledger_by_customer=ledgers, stamp_by_holder=stamps
         )
     return shard
 
 
-def _sum_over(shard: Shard, holder: str, tokens: Callable[[Grant], int]) -> int:
+def _sum_tokens(shard: Shard, holder: str, tokens: Callable[[Grant], int]) -> int:
     ledgers = shard.ledger_by_customer.values()
-    return sum(tokens(one.grants[holder]) for one in ledgers if holder in one.grants)
+    return sum(
+        tokens(ledger.grants[holder]) for ledger in ledgers if holder in ledger.grants
+    )
 
 
-def _age(stamp: Stamp | None, reading: Reading) -> float:
+def _age_seconds(stamp: Stamp | None, reading: Reading) -> float:
     return float("inf") if stamp is None else stamp.age(reading)
 
 
-def _charged(ledger: Ledger, holder: str, *, age: float) -> Ledger:
+def _charge_grant(ledger: Ledger, holder: str, *, age: float) -> Ledger:
     """Return the ledger with a dead process's grant closed and charged."""
     grant = ledger.grants.get(holder)
     if grant is None:
         return ledger
     cap = grant.granted
     if age < LONGEST_AGE_SECONDS:
-        cap = min(cap, grant.cap + ceil(grant.growth * growing_seconds(age)))
+        cap = min(cap, grant.cap + ceil(grant.growth * growth_seconds(age)))
     grants = ledger.grants | {holder: msgspec.structs.replace(grant, cap=cap)}
     ledger = msgspec.structs.replace(ledger, grants=grants)
     return ledger.seal(holder).write_off(router=holder, sidecar=DIRECT)
 
 
-def _node(holder: str) -> str:
+def _process_name(holder: str) -> str:
     return holder.partition("/")[0]
--- a/src/ragwortkeel/budget/receipt.py
+++ b/src/ragwortkeel/budget/receipt.py
@@ -66,20 +66,28 @@
             if not receipt.billable:
                 continue
             key = (receipt.profile, receipt.request_id)
-            charged[key] = min(charged.get(key, receipt), receipt, key=_price)
+            charged[key] = min(charged.get(key, receipt), receipt, key=_billing_order)
         return charged
 
     def charged(self, profile: str) -> int:
         """Return the tokens billed under a profile."""
-        return sum(r.tokens for (p, _), r in self.by_request.items() if p == profile)
+        return sum(
+            receipt.tokens
+            for (name, _), receipt in self.by_request.items()
+            if name == profile
+        )
 
     def absorbed(self, profile: str) -> int:
         """Return the tokens that ran under a profile and are billed to nobody."""
-        ran = sum(r.tokens for r in self._runs.values() if r.profile == profile)
-        return ran - self.charged(profile)
+        run_tokens = sum(
+            receipt.tokens
+            for receipt in self._runs.values()
+            if receipt.profile == profile
+        )
+        return run_tokens - self.charged(profile)
 
 
-def _price(receipt: RunReceipt) -> tuple[int, str]:
+def _billing_order(receipt: RunReceipt) -> tuple[int, str]:
     return receipt.tokens, receipt.nonce
 
 
--- a/src/ragwortkeel/budget/refresh.py
+++ b/src/ragwortkeel/budget/refresh.py
@@ -23,7 +23,7 @@
 
     def __init__(self, *, slice_: Slice) -> None:
         self.slice = slice_
-        self._newest_unknown: int | None = None
+        self._newest_unknown_version: int | None = None
 
     def read(self, ledger: Ledger, *, version: int) -> None:
         """Take in what the platform holds, before a write.
@@ -42,23 +42,28 @@
             if grant is not None and self.slice.in_ledger:
                 self.slice.receive(grant)
             return
-        if self.slice.owns(grant):
+        if self.slice.is_applied_in(grant):
             self.written(ledger)
-        elif self._newest_unknown is None or version > self._newest_unknown:
-            self._newest_unknown = None
+        elif (
+            self._newest_unknown_version is None
+            or version > self._newest_unknown_version
+        ):
+            self._newest_unknown_version = None
             self.slice.withdraw()
 
     def written(self, ledger: Ledger) -> None:
         """Note that the pending renewal is in this ledger."""
-        self._newest_unknown = None
+        self._newest_unknown_version = None
         self.slice.accept(ledger.grants[self.slice.router])
 
     def refused(self) -> None:
         """Note that the last write certainly did not happen."""
-        if self._newest_unknown is None:
+        if self._newest_unknown_version is None:
             self.slice.withdraw()
 
     def unknown(self, *, version: int) -> None:
         """Note that the last write, on condition of `version`, may have happened."""
-        newest = self._newest_unknown
-        self._newest_unknown = version if newest is None else max(newest, version)
+        newest_unknown = self._newest_unknown_version
+        self._newest_unknown_version = (
+            version if newest_unknown is None else max(newest_unknown, version)
+        )
--- a/src/ragwortkeel/budget/seal.py
+++ b/src/ragwortkeel/budget/seal.py
@@ -77,6 +77,6 @@
         running: dict[str, int] = {}
         for run in self._runs_by_nonce.values():
             if run.router == router:
-                sofar = running.get(run.profile, 0)
-                running[run.profile] = sofar + run.reservation
+                reserved = running.get(run.profile, 0)
+                running[run.profile] = reserved + run.reservation
         return SealReport(ran=dict(self._ran.get(router, {})), running=running)
--- a/src/ragwortkeel/budget/shards.py
+++ b/src/ragwortkeel/budget/shards.py
@@ -12,7 +12,7 @@
 
 from ragwortkeel.budget.clocks import Stamp
 from ragwortkeel.budget.ledger import Ledger
-from ragwortkeel.budget.summary import summarized
+from ragwortkeel.budget.summary import summarize
 from ragwortkeel.exceptions import LedgerUnreadable
 
 SHARDS_KIND = "customer-ledgers"
@@ -54,7 +54,7 @@
         if customers is None:
             customers = self.ledger_by_customer.keys()
         return {
-            name: summarized(self.ledger_by_customer[name])
+            name: summarize(self.ledger_by_customer[name])
             for name in customers
             if name in self.ledger_by_customer
         }
@@ -70,7 +70,7 @@
 _decoder = msgspec.json.Decoder(Shard)
 _packed_decoder = msgspec.json.Decoder(_Packed)
 
-PACKING_LEVEL = 1
+COMPRESSION_LEVEL = 1
 """Of zlib.  Names of holders and fields repeat for each grant: 504 grants take 69 KB
 as they are and 23 KB packed, in 0.2 ms.  A slow link of 5 Mbit/s carries that in 36 ms
 in place of 110, for each write and each refusal."""
@@ -78,7 +78,7 @@
 
 def encode_shard(shard: Shard) -> bytes:
     """Return the value to keep in the platform."""
-    packed = zlib.compress(_encoder.encode(shard), PACKING_LEVEL)
+    packed = zlib.compress(_encoder.encode(shard), COMPRESSION_LEVEL)
     return _encoder.encode(_Packed(packed=packed))
 
 
--- a/src/ragwortkeel/budget/sizing.py
+++ b/src/ragwortkeel/budget/sizing.py
@@ -13,13 +13,13 @@
 from ragwortkeel.budget.ledger import Ledger
 from ragwortkeel.configuration import Spread
 
-RIDE_OUT_MARGIN = {Spread.WIDE: 2.0, Spread.NARROW: 1.0}
+RIDE_OUT_FACTOR_BY_SPREAD = {Spread.WIDE: 2.0, Spread.NARROW: 1.0}
 """Demand of the next outage against demand now; a doubling is ordinary."""
 
-SHARE_HANDED_OUT = {Spread.WIDE: 1.0, Spread.NARROW: 0.5}
+SLICES_FRACTION_BY_SPREAD = {Spread.WIDE: 1.0, Spread.NARROW: 0.5}
 """Part of the unspent tokens out in slices; the rest waits for shifts."""
 
-EQUAL_PART = {Spread.WIDE: 1.0, Spread.NARROW: 0.3}
+EQUAL_FRACTION_BY_SPREAD = {Spread.WIDE: 1.0, Spread.NARROW: 0.3}
 """Part of the unspent tokens shared equally, not by demand.
 
 A minute's demand is noisy: with 0.8, 0.9 and 1.0 an outage of the platform met
@@ -27,13 +27,13 @@
 still get little, since no slice exceeds its own demand in an outage.
 """
 
-CAP_SKEW = {Spread.WIDE: 1.5, Spread.NARROW: 1.1}
+CAP_SKEW_BY_SPREAD = {Spread.WIDE: 1.5, Spread.NARROW: 1.1}
 """How uneven the spend through a router's sidecars may be before one is full."""
 
 MIN_CAP_REQUESTS = 4
 """A cap lets this many of the largest requests through one sidecar at least."""
 
-KEPT_SLICES_A_HOLDER = 0.5
+LEDGER_SLICES_PER_HOLDER = 0.5
 """Useful slices that stay in the ledger for each holder, where the next renewal finds
 them for whichever holder's caller needs them.  What is out in dozens of slices is only
 together as much as one request needs."""
@@ -41,7 +41,7 @@
 GIVE_BACK_FACTOR = 1.25
 """Give back only what is well above the target, so that slices don't swing."""
 
-ENOUGH_UNSPENT = 4
+UNSPENT_FACTOR = 4
 """A peer that shows so many times what lacks has it free most likely, as
 part of a slice is reserved by requests under way.  A guess, not measured."""
 
@@ -80,46 +80,53 @@
     lacking: int = 0
     ride_out_seconds: float
     spread: Spread
-    equal_part: float | None = None
-    handed_out: float | None = None
-    useful: int = 0
-    lot: float = 0.0
+    equal_fraction_override: float | None = None
+    slices_fraction_override: float | None = None
+    min_useful_tokens: int = 0
+    selection_hash: float = 0.0
 
     @property
-    def share_handed_out(self) -> float:
+    def slices_fraction(self) -> float:
         """Part of the unspent tokens that all slices together may hold."""
-        if self.handed_out is None:
-            return SHARE_HANDED_OUT[self.spread]
-        return self.handed_out
+        if self.slices_fraction_override is None:
+            return SLICES_FRACTION_BY_SPREAD[self.spread]
+        return self.slices_fraction_override
 
     @property
-    def shared_equally(self) -> float:
+    def equal_fraction(self) -> float:
         """Part of the unspent tokens that is not shared by demand."""
-        return EQUAL_PART[self.spread] if self.equal_part is None else self.equal_part
+        return (
+            EQUAL_FRACTION_BY_SPREAD[self.spread]
+            if self.equal_fraction_override is None
+            else self.equal_fraction_override
+        )
 
 
 def target_holding(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
     """Return the unspent tokens that the router should hold, reserved ones too."""
     unspent = max(0, ledger.prepaid - ledger.total_spent)
-    others = sum(g.demand for r, g in ledger.grants.items() if r != router)
+    others = sum(
+        grant.demand for name, grant in ledger.grants.items() if name != router
+    )
     count = ledger.holders + (router not in ledger.grants)
-    share = need.demand / max(1, need.demand + others)
-    equal = need.shared_equally
-    handed_out = unspent * need.share_handed_out
-    if need.handed_out is not None:
-        kept = count * KEPT_SLICES_A_HOLDER * need.useful
-        handed_out = max(0.0, min(handed_out, unspent - kept))
-    part = _equal_part(handed_out, count, need)
-    outage = need.demand / 60 * need.ride_out_seconds
+    demand_fraction = need.demand / max(1, need.demand + others)
+    equal_weight = need.equal_fraction
+    slice_tokens = unspent * need.slices_fraction
+    if need.slices_fraction_override is not None:
+        ledger_tokens = count * LEDGER_SLICES_PER_HOLDER * need.min_useful_tokens
+        slice_tokens = max(0.0, min(slice_tokens, unspent - ledger_tokens))
+    equal_slice = _equal_slice(slice_tokens, count, need)
+    outage_tokens = need.demand / 60 * need.ride_out_seconds
     target = min(
-        equal * part + (1 - equal) * share * handed_out,
-        outage * RIDE_OUT_MARGIN[need.spread],
+        equal_weight * equal_slice
+        + (1 - equal_weight) * demand_fraction * slice_tokens,
+        outage_tokens * RIDE_OUT_FACTOR_BY_SPREAD[need.spread],
     )
     # A request above the target still has to pass while tokens are left.
     floor = need.largest_request
-    if need.handed_out is not None:
-        floor = min(floor, int(part))
-        if target < need.useful:
+    if need.slices_fraction_override is not None:
+        floor = min(floor, int(equal_slice))
+        if target < need.min_useful_tokens:
             target = 0
     target = max(int(target), floor)
     if need.waiting:
@@ -127,17 +134,17 @@
     return target
 
 
-def _equal_part(handed_out: float, count: int, need: SliceNeed) -> float:
+def _equal_slice(slice_tokens: float, count: int, need: SliceNeed) -> float:
     """Return this router's part of tokens that are shared equally.
 
     Pattern of load: dozens of routers and budgets of a few requests' size.  Equal
     parts would be too small for any request, and each would have to be pieced
     together from many of them; so fewer hold a part, and lend it in an outage.
     """
-    if need.useful * count <= handed_out:
-        return handed_out / count
-    holders = max(1, int(handed_out / need.useful))
-    return handed_out / holders if need.lot < holders / count else 0.0
+    if need.min_useful_tokens * count <= slice_tokens:
+        return slice_tokens / count
+    holders = max(1, int(slice_tokens / need.min_useful_tokens))
+    return slice_tokens / holders if need.selection_hash < holders / count else 0.0
 
 
 def to_take(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
@@ -167,9 +174,9 @@
     In an outage nothing settles, so all caps together must let the whole slice
     be spent, also when one sidecar gets several times its share.
     """
-    fair = holding / max(1, sidecars)
+    fair_share = holding / max(1, sidecars)
     floor = MIN_CAP_REQUESTS * need.largest_request
-    return max(int(fair * CAP_SKEW[need.spread]), floor)
+    return max(int(fair_share * CAP_SKEW_BY_SPREAD[need.spread]), floor)
 
 
 def to_lend(*, free: int, own: SliceNeed, asker: SliceNeed) -> int:
@@ -182,15 +189,17 @@
     caller at once, or else to the one that lacks less.
     """
     if own.lacking:
-        serves = asker.lacking <= free
-        return min(free, asker.lacking) if serves or asker.lacking < own.lacking else 0
+        is_enough = asker.lacking <= free
+        return (
+            min(free, asker.lacking) if is_enough or asker.lacking < own.lacking else 0
+        )
     total = own.holding + asker.holding
-    share = asker.demand / max(1, own.demand + asker.demand)
-    even = int(total * share) - asker.holding
+    demand_fraction = asker.demand / max(1, own.demand + asker.demand)
+    even = int(total * demand_fraction) - asker.holding
     return max(0, min(free, max(even, asker.lacking)))
 
 
-def _may_give(grant: Grant) -> bool:
+def _can_give(grant: Grant) -> bool:
     return grant.holders == 1 and not grant.sealed and grant.granted > grant.used
 
 
@@ -206,15 +215,15 @@
     spare = {
         name: (grant.granted - grant.used) / (1 + grant.demand)
         for name, grant in ledger.grants.items()
-        if name != router and _may_give(grant)
+        if name != router and _can_give(grant)
     }
     givers = sorted(spare, key=spare.__getitem__, reverse=True)[:ASKED_AT_ONCE]
     if lacking is None:
         return givers
-    asked, unspent = [], 0
+    chosen, unspent = [], 0
     for name in givers:
-        asked.append(name)
+        chosen.append(name)
         unspent += ledger.grants[name].granted - ledger.grants[name].used
-        if unspent >= ENOUGH_UNSPENT * lacking:
+        if unspent >= UNSPENT_FACTOR * lacking:
             break
-    return asked
+    return chosen
--- a/src/ragwortkeel/budget/slice.py
+++ b/src/ragwortkeel/budget/slice.py
@@ -12,7 +12,7 @@
 from ragwortkeel.budget.grant import MAX_SIDECARS, Grant, Renewal
 from ragwortkeel.exceptions import BudgetExhausted, ExposureFull, SidecarNotNamed
 
-REFILL_SECONDS = 0.5
+RETRY_AFTER_SECONDS = 0.5
 """When to come back to a slice that a refill may help: a few refresh periods."""
 
 
@@ -63,7 +63,7 @@
         self._settled_by_sidecar: dict[str, int] = {}
         self._reserved_by_sidecar: dict[str, int] = {}
         self._dropped: set[str] = set()
-        self._last_id = 0
+        self._last_reservation_id = 0
 
     @property
     def spent(self) -> int:
@@ -93,14 +93,14 @@
         """Sidecars that may carry this slice."""
         return frozenset(self._settled_by_sidecar) - self._dropped
 
-    def taken(self, sidecar: str) -> int:
+    def committed(self, sidecar: str) -> int:
         """Return what was spent through this sidecar or is set aside for it."""
         spent = self._spent_by_sidecar.get(sidecar, 0)
         return spent + self._reserved_by_sidecar.get(sidecar, 0)
 
     def exposure(self, sidecar: str) -> int:
         """Return what a seal could not know of this sidecar from the ledger."""
-        return self.taken(sidecar) - self._settled_by_sidecar.get(sidecar, 0)
+        return self.committed(sidecar) - self._settled_by_sidecar.get(sidecar, 0)
 
     def reserve(self, *, sidecar: str, tokens: int) -> Reservation:
         """Set tokens aside, or raise what is in the way.
@@ -118,9 +118,9 @@
         # seal charges the cap for it, so the cap must hold at each moment.
         if self.exposure(sidecar) + tokens > self.cap + self.grown:
             raise self._refusal(ExposureFull)
-        self._last_id += 1
+        self._last_reservation_id += 1
         reservation = Reservation(
-            reservation_id=self._last_id,
+            reservation_id=self._last_reservation_id,
             profile=self.profile,
             router=self.router,
             sidecar=sidecar,
@@ -174,10 +174,10 @@
             self._cover_pending()
             return self.pending
         settled = dict(self._settled_by_sidecar) | self._spent_by_sidecar
-        settled |= dict.fromkeys(self._nameable(sidecars, settled), 0)
-        dropped = (s for s in sorted(self._dropped) if s in settled)
+        settled |= dict.fromkeys(self._unnamed_sidecars(sidecars, settled), 0)
+        dropped = (sidecar for sidecar in sorted(self._dropped) if sidecar in settled)
         self.giving_back = max(0, min(give_back, self.free))
-        cap = max([cap, *self._untold_after(settled)])
+        cap = max([cap, *self._exposures_after(settled)])
         # A lower cap binds before the ledger may count on it.
         self.cap = min(self.cap, cap)
         self.growth = min(self.growth, growth)
@@ -186,7 +186,11 @@
             router=self.router,
             nonce=nonce,
             settled=settled,
-            dropped=tuple(s for s in dropped if not self._reserved_by_sidecar.get(s)),
+            dropped=tuple(
+                sidecar
+                for sidecar in dropped
+                if not self._reserved_by_sidecar.get(sidecar)
+            ),
             want=want,
             give_back=self.giving_back,
             give_to=give_to,
@@ -197,7 +201,7 @@
         )
         return self.pending
 
-    def owns(self, grant: Grant | None) -> bool:
+    def is_applied_in(self, grant: Grant | None) -> bool:
         """Whether the pending renewal has taken effect in this grant."""
         if grant is None or self.pending is None:
             return False
@@ -240,28 +244,30 @@
     def _cover_pending(self) -> None:
         # The cap has grown since this renewal was made, and more may be exposed
         # than it says: a seal right after it would charge too little.
-        exposed = max(self._untold_after(self.pending.settled), default=0)
+        exposed = max(self._exposures_after(self.pending.settled), default=0)
         if exposed > self.pending.cap:
             self.pending = msgspec.structs.replace(self.pending, cap=exposed)
         self.cap = min(self.cap, self.pending.cap)
         self.grown = 0
 
-    def _untold_after(self, settled: dict[str, int]) -> list[int]:
+    def _exposures_after(self, settled: dict[str, int]) -> list[int]:
         """Return the exposure of each sidecar once the ledger knows these settlements.
 
         What a renewal tells is no part of it: a cap that covered that as well would
         stand until the next renewal, and a seal would charge it a second time.
         """
-        return [self.taken(sidecar) - tokens for sidecar, tokens in settled.items()]
+        return [self.committed(sidecar) - tokens for sidecar, tokens in settled.items()]
 
-    def _nameable(self, sidecars: tuple[str, ...], named: dict[str, int]) -> list[str]:
-        room = max(0, MAX_SIDECARS - len(named))
-        new = (s for s in dict.fromkeys(sidecars) if s not in named)
-        return [s for s in new if s not in self._dropped][:room]
+    def _unnamed_sidecars(
+        self, sidecars: tuple[str, ...], named: dict[str, int]
+    ) -> list[str]:
+        capacity = max(0, MAX_SIDECARS - len(named))
+        new = (sidecar for sidecar in dict.fromkeys(sidecars) if sidecar not in named)
+        return [sidecar for sidecar in new if sidecar not in self._dropped][:capacity]
 
     def _refusal(self, error):
         return error(
             profile=self.profile,
             tokens_left=max(0, self.free),
-            retry_after_seconds=REFILL_SECONDS,
+            retry_after_seconds=RETRY_AFTER_SECONDS,
         )
--- a/src/ragwortkeel/budget/summary.py
+++ b/src/ragwortkeel/budget/summary.py
@@ -15,7 +15,7 @@
 """What a summary calls all holders that it doesn't name."""
 
 
-def summarized(ledger: Ledger) -> Ledger:
+def summarize(ledger: Ledger) -> Ledger:
     """Return the ledger with its best givers named and all other grants as one."""
     named = set(best_givers(ledger, router=""))
     rest = [grant for name, grant in ledger.grants.items() if name not in named]
@@ -30,7 +30,7 @@
     return msgspec.structs.replace(ledger, grants=grants, operations=())
 
 
-def seen_by(summary: Ledger, *, router: str, grant: Grant | None) -> Ledger:
+def restore_own_grant(summary: Ledger, *, router: str, grant: Grant | None) -> Ledger:
     """Return the summary as one holder sees it, its own grant apart.
 
     Parameters
--- a/src/ragwortkeel/budget/tries.py
+++ b/src/ragwortkeel/budget/tries.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Try:
+class _Attempt:
     reading: Reading
     handed: bool
 
@@ -34,15 +34,15 @@
     """
 
     def __init__(self) -> None:
-        self._done: Reading | None = None
-        self._open_by_boot: dict[float, _Try] = {}
+        self._last_success: Reading | None = None
+        self._open_by_boot: dict[float, _Attempt] = {}
 
     @property
     def latest(self) -> Reading | None:
         """The clocks at the latest try that may stand in the ledgers."""
-        readings = [one.reading for one in self._open_by_boot.values()]
-        if self._done is not None:
-            readings.append(self._done)
+        readings = [attempt.reading for attempt in self._open_by_boot.values()]
+        if self._last_success is not None:
+            readings.append(self._last_success)
         return max(readings, key=lambda reading: reading.boot, default=None)
 
     @property
@@ -53,16 +53,16 @@
     @property
     def any_handed(self) -> bool:
         """Whether a peer may still write what it was handed."""
-        return any(one.handed for one in self._open_by_boot.values())
+        return any(attempt.handed for attempt in self._open_by_boot.values())
 
     def handed(self, boot: float) -> Reading | None:
         """Return the clocks at a hand-over whose outcome is open, or None."""
-        one = self._open_by_boot.get(boot)
-        return one.reading if one is not None and one.handed else None
+        attempt = self._open_by_boot.get(boot)
+        return attempt.reading if attempt is not None and attempt.handed else None
 
     def begin(self, reading: Reading, *, handed: bool) -> None:
         """Note a try: a write of this process, or renewals handed to a peer."""
-        self._open_by_boot[reading.boot] = _Try(reading=reading, handed=handed)
+        self._open_by_boot[reading.boot] = _Attempt(reading=reading, handed=handed)
 
     def failed(self, boot: float) -> None:
         """Note that a try certainly changed nothing and never will."""
@@ -71,16 +71,20 @@
     def own_failed(self) -> None:
         """Note that no write of this process can be done any more."""
         self._open_by_boot = {
-            made: one for made, one in self._open_by_boot.items() if one.handed
+            boot: attempt
+            for boot, attempt in self._open_by_boot.items()
+            if attempt.handed
         }
 
     def done(self, boot: float) -> None:
         """Note that a try took effect: none made before it can any more."""
-        one = self._open_by_boot.get(boot)
-        if one is not None and (self._done is None or self._done.boot < boot):
-            self._done = one.reading
+        attempt = self._open_by_boot.get(boot)
+        if attempt is not None and (
+            self._last_success is None or self._last_success.boot < boot
+        ):
+            self._last_success = attempt.reading
         self._open_by_boot = {
-            made: open_try
-            for made, open_try in self._open_by_boot.items()
-            if made > boot
+            started_at: open_attempt
+            for started_at, open_attempt in self._open_by_boot.items()
+            if started_at > boot
         }
--- a/src/ragwortkeel/budget/turns.py
+++ b/src/ragwortkeel/budget/turns.py
@@ -23,11 +23,11 @@
 """Between renewals.  A cap holds the demand of two, and is charged for nothing
 where a process dies."""
 
-STEP_SECONDS = 0.15
+RANK_DELAY_SECONDS = 0.15
 """How much later the next process in the order writes: several times what a write
 takes with the calls for renewals before it, 45 ms."""
 
-QUICK_SECONDS = 0.04
+LATENCY_CLASS_SECONDS = 0.04
 """Writes that take less count as equally quick: 5 to 20 ms, straight or through a
 peer.  Each step of the order is as much slower."""
 
@@ -37,16 +37,16 @@
 UNREACHABLE_STEP = 9
 """Of a process that does not reach the platform, behind all that do."""
 
-SLOW_STEP = 4
+SLOW_LATENCY_CLASS = 4
 """From here on a write is slower than an instance or its link makes it: 0.16 s."""
 
-SLOW_WRITERS = 2
+MIN_SLOW_WRITERS = 2
 """So many processes that write so slowly show that the platform is slow."""
 
-SHORTEST_PAUSE_SECONDS = 0.02
+MIN_BACKOFF_SECONDS = 0.02
 """After a write that was refused as another came first; a write takes about 10 ms."""
 
-LONGEST_PAUSE_SECONDS = 0.6
+MAX_BACKOFF_SECONDS = 0.6
 """The pause doubles up to here: dozens of processes that start at once and must each
 write once share the object with few collisions then."""
 
@@ -72,29 +72,29 @@
         Names often sort by availability zone, and one zone's processes would then be
         the first of all.
         """
-        return self.step, _key(self.name)
+        return self.step, _name_hash(self.name)
 
 
 def step_of(write_seconds: float, *, reachable: bool) -> int:
     """Return how slow a process is that needs so long for a write; 0 is quick."""
     if not reachable:
         return UNREACHABLE_STEP
-    return min(UNREACHABLE_STEP - 1, int(write_seconds / QUICK_SECONDS))
+    return min(UNREACHABLE_STEP - 1, int(write_seconds / LATENCY_CLASS_SECONDS))
 
 
 def place_in_order(writer: Writer, others: Iterable[Writer]) -> int:
     """Return how many of the others come before this process."""
-    own, *ranked = _ranked_alike_in_slow_hours([writer, *others])
+    own, *ranked = _equalize_slow_writers([writer, *others])
     return sum(1 for other in ranked if other.rank < own.rank)
 
 
 def first_in_order(writers: Iterable[Writer]) -> Writer | None:
     """Return the process that writes for these, or None where there are none."""
-    ranked = _ranked_alike_in_slow_hours(writers)
+    ranked = _equalize_slow_writers(writers)
     return min(ranked, key=lambda writer: writer.rank, default=None)
 
 
-def _ranked_alike_in_slow_hours(writers: Iterable[Writer]) -> list[Writer]:
+def _equalize_slow_writers(writers: Iterable[Writer]) -> list[Writer]:
     """Return the writers as equally quick, where the platform is what is slow.
 
     Pattern of load: the platform takes a quarter of a second.  Only who writes has
@@ -102,13 +102,15 @@
     has to find its way to the platform and to read the ledgers first.
     """
     writers = list(writers)
-    slow = [one.step for one in writers if SLOW_STEP <= one.step < UNREACHABLE_STEP]
-    if len(slow) < SLOW_WRITERS:
+    slow = [
+        one.step for one in writers if SLOW_LATENCY_CLASS <= one.step < UNREACHABLE_STEP
+    ]
+    if len(slow) < MIN_SLOW_WRITERS:
         return writers
     return [replace(one, step=max(one.step, *slow)) for one in writers]
 
 
-def patience(place: int, *, step_seconds: float = STEP_SECONDS) -> float:
+def patience(place: int, *, step_seconds: float = RANK_DELAY_SECONDS) -> float:
     """Return the seconds since its last renewal after which a process writes."""
     return TICK_SECONDS + place * step_seconds
 
@@ -154,10 +156,10 @@
 
 def pause_after_refusals(refusals: int, random: Random) -> float:
     """Return how long to wait after so many refused writes in a row."""
-    longest = min(LONGEST_PAUSE_SECONDS, SHORTEST_PAUSE_SECONDS * 2**refusals)
+    longest = min(MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS * 2**refusals)
     return longest * random.random()
 
 
 @lru_cache(maxsize=4096)
-def _key(name: str) -> bytes:
+def _name_hash(name: str) -> bytes:
     return blake2b(name.encode(), digest_size=8).digest()
--- a/tests/budget/test_ledger.py
+++ b/tests/budget/test_ledger.py
@@ -4,7 +4,7 @@
 
 from ragwortkeel.budget.grant import MAX_SIDECARS, Renewal
 from ragwortkeel.budget.ledger import (
-    KEPT_OPERATIONS,
+    MAX_KEPT_OPERATIONS,
     MAX_NAMED_SIDECARS,
     Ledger,
     decode_ledger,
@@ -44,13 +44,13 @@
         ledger = Ledger()
         first = ledger.operation_id("first")
         ledger = ledger.top_up(tokens=5, operation_id=first)
-        for i in range(KEPT_OPERATIONS):
+        for i in range(MAX_KEPT_OPERATIONS):
             fresh = ledger.operation_id(str(i))
             ledger = ledger.top_up(tokens=1, operation_id=fresh)
         with pytest.raises(StaleOperation):
             ledger.top_up(tokens=5, operation_id=first)
-        assert ledger.prepaid == 5 + KEPT_OPERATIONS
-        assert len(ledger.operations) == KEPT_OPERATIONS
+        assert ledger.prepaid == 5 + MAX_KEPT_OPERATIONS
+        assert len(ledger.operations) == MAX_KEPT_OPERATIONS
 
     @pytest.mark.parametrize("bad", ["", "x", "1", "1.", "-1.a", "a.1"])
     def test_foreign_operation_id_is_refused(self, bad):
@@ -152,7 +152,7 @@
             ledger = ledger.renew(renewal(router, settled=names))
         with pytest.raises(LedgerFull):
             ledger.renew(renewal("one-more", first=True))
-        for i in range(KEPT_OPERATIONS):
+        for i in range(MAX_KEPT_OPERATIONS):
             fresh = ledger.operation_id(f"{i:036d}")
             ledger = ledger.top_up(tokens=10**9, operation_id=fresh)
         value = encode_ledger(ledger)
--- a/tests/budget/test_machine.py
+++ b/tests/budget/test_machine.py
@@ -163,7 +163,7 @@
                 continue
             assert router.slice.spent + router.slice.reserved <= grant.granted
             for sidecar, settled in grant.settled.items():
-                taken = router.slice.taken(sidecar)
+                taken = router.slice.committed(sidecar)
                 assert taken <= settled + grant.cap
 
     @invariant()
--- a/tests/budget/test_summary.py
+++ b/tests/budget/test_summary.py
@@ -7,7 +7,7 @@
 from ragwortkeel.budget.grant import Grant
 from ragwortkeel.budget.ledger import Ledger
 from ragwortkeel.budget.sizing import SliceNeed, best_givers, target_holding
-from ragwortkeel.budget.summary import seen_by, summarized
+from ragwortkeel.budget.summary import restore_own_grant, summarize
 from ragwortkeel.configuration import Spread
 
 
@@ -38,7 +38,9 @@
 @given(ledger=ledgers, data=st.data())
 def test_each_holder_sizes_its_slice_as_by_the_whole_ledger(ledger, data):
     router = data.draw(st.sampled_from(sorted(ledger.grants)))
-    seen = seen_by(summarized(ledger), router=router, grant=ledger.grants[router])
+    seen = restore_own_grant(
+        summarize(ledger), router=router, grant=ledger.grants[router]
+    )
     need = SliceNeed(
         holding=0,
         demand=ledger.grants[router].demand,
@@ -56,7 +58,7 @@
 def test_the_best_givers_are_the_same():
     grants = {f"i-{n}/a": Grant(granted=100 * n) for n in range(1, 9)}
     ledger = Ledger(prepaid=9_000, grants=grants)
-    seen = seen_by(summarized(ledger), router="i-1/a", grant=grants["i-1/a"])
+    seen = restore_own_grant(summarize(ledger), router="i-1/a", grant=grants["i-1/a"])
     givers = best_givers(seen, router="i-1/a")
     assert givers == best_givers(ledger, router="i-1/a")
 
@@ -64,7 +66,7 @@
 def test_it_does_not_grow_with_the_holders():
     def size(count):
         grants = {f"i-{n}/abcdef": Grant(granted=100 + n) for n in range(count)}
-        return len(msgspec.msgpack.encode(summarized(Ledger(grants=grants))))
+        return len(msgspec.msgpack.encode(summarize(Ledger(grants=grants))))
 
     # Larger sums take up to four bytes more, each of six.
     assert size(680) <= size(10) + 24
--- a/tests/budget/test_turns.py
+++ b/tests/budget/test_turns.py
@@ -5,10 +5,10 @@
 import pytest
 
 from ragwortkeel.budget.turns import (
-    LONGEST_PAUSE_SECONDS,
-    QUICK_SECONDS,
+    LATENCY_CLASS_SECONDS,
+    MAX_BACKOFF_SECONDS,
+    RANK_DELAY_SECONDS,
     STAND_IN_WRITES_PER_SECOND,
-    STEP_SECONDS,
     TICK_SECONDS,
     UNREACHABLE_STEP,
     StandIn,
@@ -46,13 +46,17 @@
     first = first_in_order(WRITERS)
     left = [one for one in WRITERS if one != first]
     second = first_in_order(left)
-    assert patience(place_in_order(second, WRITERS)) == TICK_SECONDS + STEP_SECONDS
+    assert (
+        patience(place_in_order(second, WRITERS)) == TICK_SECONDS + RANK_DELAY_SECONDS
+    )
 
 
 def test_slow_processes_write_last():
     """Callers of all processes wait for a write over the slowest link of the fleet."""
     first = first_in_order(WRITERS)
-    slow = Writer(name=first.name, step=step_of(5 * QUICK_SECONDS, reachable=True))
+    slow = Writer(
+        name=first.name, step=step_of(5 * LATENCY_CLASS_SECONDS, reachable=True)
+    )
     others = [one for one in WRITERS if one != first]
     assert place_in_order(slow, others) == len(others)
     assert first_in_order([slow, *others]) != slow
@@ -69,8 +73,8 @@
 
 def test_pauses_after_refusals_spread_a_crowd():
     pauses = [pause_after_refusals(8, Random(seed)) for seed in range(50)]
-    assert max(pauses) <= LONGEST_PAUSE_SECONDS
-    assert max(pauses) - min(pauses) > LONGEST_PAUSE_SECONDS / 2
+    assert max(pauses) <= MAX_BACKOFF_SECONDS
+    assert max(pauses) - min(pauses) > MAX_BACKOFF_SECONDS / 2
 
 
 @pytest.mark.parametrize("processes", [5, 68, 1000])
