--- a/benchmarks/_budget_ours.py
+++ b/benchmarks/_budget_ours.py
@@ -21,9 +21,9 @@
     SliceNeed,
     best_givers,
     exposure_cap,
-    to_give_back,
-    to_lend,
-    to_take,
+    tokens_to_give_back,
+    tokens_to_lend,
+    tokens_to_take,
 )
 from ragwortkeel.budget.slice import Reservation, Slice
 from ragwortkeel.configuration import Spread
@@ -250,9 +250,9 @@
             self._new_incarnation(router)
             return
         if self.world.loses_answer():
-            share.refresh.unknown(version=self.version - 1)
+            share.refresh.record_unknown(version=self.version - 1)
             return
-        share.refresh.written(self.ledger)
+        share.refresh.record_written(self.ledger)
         self._serve_waiting(router)
         if give_to:
             self.world.after(PEER_SECONDS, self._lent, give_to)
@@ -274,8 +274,8 @@
     def _propose(self, router: Router, share: _Share, give_to: str, lend: int):
         need, name = self._need(router, share), share.slice.router
         if "adaptive_slice" in self.mechanisms:
-            want = to_take(self.ledger, router=name, need=need)
-            give_back = to_give_back(self.ledger, router=name, need=need)
+            want = tokens_to_take(self.ledger, router=name, need=need)
+            give_back = tokens_to_give_back(self.ledger, router=name, need=need)
         else:
             want, give_back = max(0, FIXED_SLICE - need.holding), 0
         if give_to:
@@ -335,7 +335,7 @@
 
     def _asked(self, giver: Router, asker: str, need: SliceNeed) -> None:
         own = self._need(giver, giver.state)
-        lend = to_lend(free=giver.state.slice.free, own=own, asker=need)
+        lend = tokens_to_lend(free=giver.state.slice.free, own=own, asker=need)
         if lend:
             self._refresh(giver, asker, lend)
 
--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -306,35 +306,35 @@
     _guard(
         "handed",
         "a message that was held up is void",
-        "budget/handing.py",
-        "if last_stamp is not None and handed.stamp.boot <= last_stamp.boot:",
+        "budget/delegation.py",
+        "if last_stamp is not None and delegated.stamp.boot <= last_stamp.boot:",
         "if False:",
     ),
     _guard(
         "handed",
         "who has no stamp comes in by a start only",
-        "budget/handing.py",
-        "if last_stamp is None and handed.start is None:",
+        "budget/delegation.py",
+        "if last_stamp is None and delegated.start is None:",
         "if False:",
     ),
     _guard(
         "handed",
         "a late start closes no living process",
-        "budget/handing.py",
+        "budget/delegation.py",
         "if any(one.holder not in start.predecessors for one in stopped):",
         "if False:",
     ),
     _guard(
         "handed",
         "under a new stamp the cap covers what is exposed",
-        "budget/handing.py",
+        "budget/delegation.py",
         "cap=max(grant.cap, renewal.cap)",
         "cap=grant.cap",
     ),
     _guard(
         "handed",
         "nobody renews in another's name",
-        "budget/handing.py",
+        "budget/delegation.py",
         "if ledger is None or renewal.router != holder:",
         "if ledger is None:",
     ),
@@ -348,8 +348,10 @@
     _guard(
         "handed",
         "a try whose answer is lost counts",
-        "budget/tries.py",
-        "self._open_by_boot[reading.boot] = _Attempt(reading=reading, handed=handed)",
+        "budget/write_attempts.py",
+        "self._open_by_boot[reading.boot] = _Attempt(\n"
+        "            reading=reading, delegated=delegated\n"
+        "        )",
         "self._last_success = self._last_success or reading",
     ),
     _guard(
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -21,14 +21,14 @@
     refresh.read(ledger, version=1)
     renewal = slice_.propose(nonce="n1", sidecars=("sidecar-1",), want=400, cap=300)
     ledger = ledger.renew(renewal)
-    refresh.written(ledger)
+    refresh.record_written(ledger)
 
     reservation = slice_.reserve(sidecar="sidecar-1", tokens=250)
     slice_.settle(reservation, spent=180)
 
     refresh.read(ledger, version=2)
     ledger = ledger.renew(slice_.propose(nonce="n2", give_back=slice_.free, cap=300))
-    refresh.written(ledger)
+    refresh.record_written(ledger)
     return ledger
 
 
--- a/src/ragwortkeel/budget/account.py
+++ b/src/ragwortkeel/budget/account.py
@@ -10,7 +10,12 @@
 
 from ragwortkeel.budget.demand import DemandMeter
 from ragwortkeel.budget.ledger import Ledger
-from ragwortkeel.budget.sizing import SliceNeed, to_give_back, to_lend, to_take
+from ragwortkeel.budget.sizing import (
+    SliceNeed,
+    tokens_to_give_back,
+    tokens_to_lend,
+    tokens_to_take,
+)
 from ragwortkeel.budget.slice import Reservation, Slice
 from ragwortkeel.configuration import Spread
 from ragwortkeel.exceptions import BudgetRefused
@@ -68,7 +73,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Hold:
+class AccountReservation:
     """Tokens set aside for one request: some of loans, the rest of the slice."""
 
     customer: str
@@ -82,7 +87,7 @@
 
     Attributes
     ----------
-    waiting : int
+    waiting_tokens : int
         Tokens of all requests that wait for room now, at their most.
     read_at : float
         Monotonic second of which `ledger` is known to be.
@@ -91,7 +96,7 @@
     def __init__(self, *, customer: str, holder: str) -> None:
         self.slice = Slice(profile=customer, router=holder)
         self.ledger = Ledger()
-        self.waiting = 0
+        self.waiting_tokens = 0
         self.read_at = float("-inf")
         self._open_charged = False
         self._customer = customer
@@ -125,10 +130,10 @@
     @property
     def available(self) -> int:
         """Tokens that a request may take now, loans and slice together."""
-        return self._borrowed + max(0, min(self.slice.free, self.cap_room))
+        return self._borrowed + max(0, min(self.slice.free, self.cap_headroom))
 
     @property
-    def cap_room(self) -> int:
+    def cap_headroom(self) -> int:
         """Untold spend that the cap still allows."""
         cap = self.slice.cap + self.slice.grown
         return max(0, cap - self.slice.exposure(DIRECT))
@@ -137,7 +142,7 @@
         """Let the cap grow by the seconds since the last try to write."""
         self.slice.grown = int(self.slice.growth * growth_seconds(elapsed_seconds))
 
-    def reserve(self, tokens: int) -> Hold | None:
+    def reserve(self, tokens: int) -> AccountReservation | None:
         """Set tokens aside, of loans first: they can't be given back."""
         borrowed = min(tokens, self._borrowed)
         reservation = None
@@ -146,7 +151,7 @@
             if reservation is None:
                 return None
         self._borrowed -= borrowed
-        return Hold(
+        return AccountReservation(
             customer=self._customer,
             tokens=tokens,
             borrowed=borrowed,
@@ -155,13 +160,13 @@
 
     def in_demand(self, now: float) -> bool:
         """Whether requests ask for the customer's tokens, or did so lately."""
-        return bool(self.waiting or self._meter.rate(now=now))
+        return bool(self.waiting_tokens or self._meter.rate(now=now))
 
-    def asked(self, tokens: int, now: float) -> None:
+    def record_demand(self, tokens: int, now: float) -> None:
         """Count the demand, whether it is met or not."""
         self._meter.add(tokens=tokens, now=now)
 
-    def settle(self, hold: Hold, *, spent: int) -> None:
+    def settle(self, hold: AccountReservation, *, spent: int) -> None:
         """Replace what was set aside by what the request took."""
         spent = min(spent, hold.tokens)
         self._borrowed += max(0, hold.borrowed - spent)
@@ -169,7 +174,7 @@
             spent_of_slice = max(0, spent - hold.borrowed)
             self.slice.settle(hold.reservation, spent=spent_of_slice)
 
-    def cut_open(self) -> None:
+    def charge_open(self) -> None:
         """Charge the open requests at their most and set nothing aside any more.
 
         For a stop that cuts them: what they still take is within what is charged.
@@ -178,13 +183,13 @@
         for reservation in list(self.slice.open_by_id.values()):
             self.slice.settle(reservation, spent=reservation.tokens)
 
-    def spare(self, asker: SliceNeed, now: float) -> int:
+    def lendable_tokens(self, asker: SliceNeed, now: float) -> int:
         """Return the tokens that an asker should rather have."""
-        return to_lend(free=max(0, self.free), own=self.need(now), asker=asker)
+        return tokens_to_lend(free=max(0, self.free), own=self.need(now), asker=asker)
 
     def lend(self, asker: SliceNeed, now: float) -> int:
         """Charge a loan to the slice and return its tokens; 0 for none."""
-        tokens = min(self.spare(asker, now), self.cap_room, asker.lacking)
+        tokens = min(self.lendable_tokens(asker, now), self.cap_headroom, asker.lacking)
         hold = self.reserve_from_slice(tokens)
         if hold is None:
             return 0
@@ -230,8 +235,8 @@
             largest_request=max(
                 starting, int(mean_request_tokens * MIN_SLICE_REQUESTS)
             ),
-            waiting=max(0, self.waiting - self.held),
-            lacking=max(0, self.waiting - self.available),
+            waiting=max(0, self.waiting_tokens - self.held),
+            lacking=max(0, self.waiting_tokens - self.available),
             ride_out_seconds=RIDE_OUT_SECONDS,
             spread=Spread.WIDE,
             equal_fraction_override=EQUAL_FRACTION,
@@ -256,7 +261,7 @@
         self.ledger = ledger
         need = self.need(now, mean_request_tokens)
         holder = self.slice.router
-        wanted_tokens = to_take(ledger, router=holder, need=need)
+        wanted_tokens = tokens_to_take(ledger, router=holder, need=need)
         give_back = self._give_back(ledger, need)
         if self._recalled:
             wanted_tokens = 0
@@ -293,9 +298,9 @@
 
     def _give_back(self, ledger: Ledger, need: SliceNeed) -> int:
         """Return what to give back; nothing that a request here waits for."""
-        give_back = to_give_back(ledger, router=self.slice.router, need=need)
+        give_back = tokens_to_give_back(ledger, router=self.slice.router, need=need)
         give_back = max(give_back, self._recalled)
-        return min(give_back, max(0, self.free - self.waiting))
+        return min(give_back, max(0, self.free - self.waiting_tokens))
 
     def _cap(self, need: SliceNeed, headroom_seconds: float) -> int:
         """Return the untold spend to allow from now on, all told being settled.
@@ -307,13 +312,13 @@
         holders = max(1, self.ledger.holders)
         starting = int(unspent * INITIAL_HEADROOM_FRACTION / holders)
         headroom = max(starting, int(need.demand / 60 * headroom_seconds))
-        return self.slice.reserved + headroom + self.waiting
+        return self.slice.reserved + headroom + self.waiting_tokens
 
     def _is_due(
         self, holding: int, wanted_tokens: int, give_back: int, cap: int
     ) -> bool:
         # Without a grant no peer may renew this slice, so an empty one is made too.
-        if self.waiting or give_back or not self.slice.in_ledger:
+        if self.waiting_tokens or give_back or not self.slice.in_ledger:
             return True
         # The stamp of this write makes all caps count from now on: one that had
         # grown would be charged as if it had not.
--- a/src/ragwortkeel/budget/allowance.py
+++ b/src/ragwortkeel/budget/allowance.py
@@ -26,7 +26,7 @@
 from ragwortkeel.budget.clocks import Reading, Stamp
 from ragwortkeel.budget.predecessors import (
     Predecessor,
-    charge_predecessors,
+    close_predecessors,
     find_predecessors,
     is_predecessor,
 )
@@ -72,7 +72,7 @@
     >>> reading = Reading(monotonic=0.0, boot=0.0, wall=0.0)
     >>> allowances = Allowances(holder="ingress-1/a", started=reading)
     >>> shard = Shard().provisioned({"surco": 1000}, revision=1)
-    >>> allowances.asked("surco", 100, 0.0)
+    >>> allowances.record_demand("surco", 100, 0.0)
     >>> renewed = allowances.renewed(shard, reading)
     >>> allowances.resolve(renewed)
     >>> allowances.account("surco").free > 100
@@ -110,14 +110,14 @@
             if account.slice.pending is not None:
                 account.slice.withdraw()
 
-    def asked(self, customer: str, tokens: int, now: float) -> None:
+    def record_demand(self, customer: str, tokens: int, now: float) -> None:
         """Count the demand of a request, whether it is met or not."""
-        self.account(customer).asked(tokens, now)
+        self.account(customer).record_demand(tokens, now)
         self._mean_request_tokens += (
             tokens - self._mean_request_tokens
         ) * REQUEST_SIZE_WEIGHT
 
-    def renewed_after(self, seconds: float) -> None:
+    def record_renewal_seconds(self, seconds: float) -> None:
         """Note the seconds that a renewal took, with all its tries."""
         seconds = min(seconds, LONGEST_RENEWAL_SECONDS)
         self._mean_renewal_seconds += (
@@ -161,7 +161,7 @@
             shard, ledger_by_customer=ledgers, stamp_by_holder=stamps
         )
 
-    def handed(
+    def delegate_renewals(
         self, reading: Reading, *, urgent: bool, start: Start | None = None
     ) -> HandedRenewals:
         """Return the renewals that are due, for a peer to write with its own.
@@ -195,7 +195,7 @@
             wanted=tuple(set(wanted) - renewal_by_customer.keys()),
         )
 
-    def written(self, answer: RenewalsWritten) -> None:
+    def receive_written(self, answer: RenewalsWritten) -> None:
         """Take over what a peer wrote for this process, and what it then saw."""
         for name, summary in answer.summary_by_customer.items():
             account = self.account(name)
@@ -203,7 +203,7 @@
             own = grant or account.ledger.grants.get(self.holder)
             account.resolve(restore_own_grant(summary, router=self.holder, grant=own))
 
-    def note_read(self, customers: Iterable[str], at: float) -> None:
+    def record_read(self, customers: Iterable[str], at: float) -> None:
         """Note that the ledgers known of these customers are of a monotonic second."""
         for name in customers:
             self.account(name).read_at = at
@@ -212,15 +212,15 @@
         """Whether a customer has no grant here yet, as after a start."""
         return any(not self.account(name).slice.in_ledger for name in customers)
 
-    def cut_open(self) -> None:
+    def charge_open(self) -> None:
         """Charge all open requests at their most: a stop cuts them."""
         for account in self._account_by_customer.values():
-            account.cut_open()
+            account.charge_open()
 
     def closed(self, shard: Shard) -> Shard:
         """Return the shard without this process's grants, its spend charged.
 
-        Call it only when no request is open, or after `cut_open`.
+        Call it only when no request is open, or after `charge_open`.
         """
         ledgers = dict(shard.ledger_by_customer)
         for name, account in self._account_by_customer.items():
@@ -239,17 +239,17 @@
             stamp_by_holder=_without_holder(shard.stamp_by_holder, self.holder),
         )
 
-    def merged(self, shard: Shard) -> Shard:
+    def charge_predecessors(self, shard: Shard) -> Shard:
         """Return the shard without the grants of earlier starts of this process."""
-        return charge_predecessors(shard, self.predecessors(shard))
+        return close_predecessors(shard, self.predecessors(shard))
 
-    def know_time(self, reading: Reading) -> None:
+    def bound_start_time(self, reading: Reading) -> None:
         """Take over what a later reading says of the time when this one started."""
         if reading.latest is not None:
             since = reading.boot - self._started.boot
             self._started = replace(self._started, latest=reading.latest - since)
 
-    def lacks_time(self, shard: Shard) -> bool:
+    def lacks_fleet_time(self, shard: Shard) -> bool:
         """Whether the fleet's time would tell more of how a predecessor died."""
         if self._started.latest is not None:
             return False
--- a/src/ragwortkeel/budget/clocks.py
+++ b/src/ragwortkeel/budget/clocks.py
@@ -72,7 +72,7 @@
         """The part that another start of this process can compare with."""
         return Stamp(boot=self.boot, wall=self.wall, earliest=self.earliest)
 
-    def surely_since(self, earlier: "Reading") -> float:
+    def min_seconds_since(self, earlier: "Reading") -> float:
         """Return a lower bound of the seconds since a reading of this process."""
         return min(self.monotonic - earlier.monotonic, self.boot - earlier.boot)
 
--- a/src/ragwortkeel/budget/handing.py
+++ b/src/ragwortkeel/budget/delegation.py
@@ -13,13 +13,13 @@
 from ragwortkeel.budget.clocks import Reading
 from ragwortkeel.budget.grant import Renewal
 from ragwortkeel.budget.ledger import Ledger
-from ragwortkeel.budget.predecessors import charge_predecessors, find_predecessors
+from ragwortkeel.budget.predecessors import close_predecessors, find_predecessors
 from ragwortkeel.budget.shards import Shard
 from ragwortkeel.exceptions import RenewalVoid
 from ragwortkeel.messages import HandedRenewals, Start
 
 
-def joined(shard: Shard, handed: HandedRenewals) -> Shard:
+def apply_delegated(shard: Shard, delegated: HandedRenewals) -> Shard:
     """Return the shard with what another process handed over.
 
     Raises
@@ -29,16 +29,16 @@
     LedgerError, RouterSealed
         A grant does not allow it.
     """
-    holder = handed.holder
+    holder = delegated.holder
     last_stamp = shard.stamp_by_holder.get(holder)
-    if last_stamp is None and handed.start is None:
+    if last_stamp is None and delegated.start is None:
         raise RenewalVoid(holder=holder)
-    if last_stamp is not None and handed.stamp.boot <= last_stamp.boot:
+    if last_stamp is not None and delegated.stamp.boot <= last_stamp.boot:
         raise RenewalVoid(holder=holder)
-    if handed.start is not None:
-        shard = _with_predecessors_charged(shard, holder, handed.start)
+    if delegated.start is not None:
+        shard = _with_predecessors_charged(shard, holder, delegated.start)
     ledgers = dict(shard.ledger_by_customer)
-    for customer, renewal in handed.renewal_by_customer.items():
+    for customer, renewal in delegated.renewal_by_customer.items():
         ledger = ledgers.get(customer)
         if ledger is None or renewal.router != holder:
             raise RenewalVoid(holder=holder)
@@ -46,7 +46,7 @@
     return msgspec.structs.replace(
         shard,
         ledger_by_customer=ledgers,
-        stamp_by_holder=shard.stamp_by_holder | {holder: handed.stamp},
+        stamp_by_holder=shard.stamp_by_holder | {holder: delegated.stamp},
     )
 
 
@@ -58,7 +58,7 @@
     stopped = find_predecessors(shard, holder=holder, started=started)
     if any(one.holder not in start.predecessors for one in stopped):
         raise RenewalVoid(holder=holder)
-    return charge_predecessors(shard, stopped)
+    return close_predecessors(shard, stopped)
 
 
 def _renew_once(ledger: Ledger, renewal: Renewal) -> Ledger:
--- a/src/ragwortkeel/budget/predecessors.py
+++ b/src/ragwortkeel/budget/predecessors.py
@@ -26,14 +26,14 @@
 class Predecessor:
     """An earlier start of a process.
 
-    `age` bounds the seconds from its last write to its death; `granted` are the
-    tokens it held in all ledgers, `told` those it had told as spent.
+    `age_seconds` bounds the seconds from its last write to its death; `granted` are the
+    tokens it held in all ledgers, `reported` those it had told as spent.
     """
 
     holder: str
-    age: float
+    age_seconds: float
     granted: int
-    told: int
+    reported: int
 
 
 def is_predecessor(holder: str, *, successor: str) -> bool:
@@ -58,19 +58,21 @@
     return [
         Predecessor(
             holder=name,
-            age=_age_seconds(shard.stamp_by_holder.get(name), started),
+            age_seconds=_age_seconds(shard.stamp_by_holder.get(name), started),
             granted=_sum_tokens(shard, name, lambda grant: grant.granted),
-            told=_sum_tokens(shard, name, lambda grant: grant.used),
+            reported=_sum_tokens(shard, name, lambda grant: grant.used),
         )
         for name in starts
     ]
 
 
-def charge_predecessors(shard: Shard, stopped: Iterable[Predecessor]) -> Shard:
+def close_predecessors(shard: Shard, stopped: Iterable[Predecessor]) -> Shard:
     """Return the shard without these, their bounds charged."""
     for predecessor in stopped:
         ledgers = {
-            customer: _charge_grant(ledger, predecessor.holder, age=predecessor.age)
+            customer: _charge_grant(
+                ledger, predecessor.holder, age=predecessor.age_seconds
+            )
             for customer, ledger in shard.ledger_by_customer.items()
         }
         stamps = {
--- a/src/ragwortkeel/budget/refresh.py
+++ b/src/ragwortkeel/budget/refresh.py
@@ -43,7 +43,7 @@
                 self.slice.receive(grant)
             return
         if self.slice.is_applied_in(grant):
-            self.written(ledger)
+            self.record_written(ledger)
         elif (
             self._newest_unknown_version is None
             or version > self._newest_unknown_version
@@ -51,17 +51,17 @@
             self._newest_unknown_version = None
             self.slice.withdraw()
 
-    def written(self, ledger: Ledger) -> None:
+    def record_written(self, ledger: Ledger) -> None:
         """Note that the pending renewal is in this ledger."""
         self._newest_unknown_version = None
         self.slice.accept(ledger.grants[self.slice.router])
 
-    def refused(self) -> None:
+    def record_refused(self) -> None:
         """Note that the last write certainly did not happen."""
         if self._newest_unknown_version is None:
             self.slice.withdraw()
 
-    def unknown(self, *, version: int) -> None:
+    def record_unknown(self, *, version: int) -> None:
         """Note that the last write, on condition of `version`, may have happened."""
         newest_unknown = self._newest_unknown_version
         self._newest_unknown_version = (
--- a/src/ragwortkeel/budget/shards.py
+++ b/src/ragwortkeel/budget/shards.py
@@ -17,7 +17,7 @@
 
 SHARDS_KIND = "customer-ledgers"
 
-USABLE_SHARE = 0.99
+USABLE_FRACTION = 0.99
 """Of what is prepaid; the rest covers tokens that an upstream makes between the
 last event a caller got and the close of a broken stream."""
 
@@ -40,7 +40,7 @@
         ledgers = dict(self.ledger_by_customer)
         for name, prepaid in prepaid_by_customer.items():
             ledger = ledgers.get(name, Ledger())
-            usable = int(prepaid * USABLE_SHARE)
+            usable = int(prepaid * USABLE_FRACTION)
             ledgers[name] = msgspec.structs.replace(ledger, prepaid=usable)
         return msgspec.structs.replace(
             self, revision=revision, ledger_by_customer=ledgers
--- a/src/ragwortkeel/budget/sizing.py
+++ b/src/ragwortkeel/budget/sizing.py
@@ -45,7 +45,7 @@
 """A peer that shows so many times what lacks has it free most likely, as
 part of a slice is reserved by requests under way.  A guess, not measured."""
 
-ASKED_AT_ONCE = 3
+MAX_GIVERS_ASKED = 3
 """Enough to find tokens at the end of a budget; each ask may cost a write."""
 
 
@@ -147,13 +147,13 @@
     return slice_tokens / holders if need.selection_hash < holders / count else 0.0
 
 
-def to_take(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
+def tokens_to_take(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
     """Return how many tokens to ask for now."""
     target = target_holding(ledger, router=router, need=need)
     return min(max(0, target - need.holding), ledger.rest)
 
 
-def to_give_back(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
+def tokens_to_give_back(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
     """Return how many tokens the router holds for nothing."""
     if ledger.retired:
         return need.holding
@@ -179,7 +179,7 @@
     return max(int(fair_share * CAP_SKEW_BY_SPREAD[need.spread]), floor)
 
 
-def to_lend(*, free: int, own: SliceNeed, asker: SliceNeed) -> int:
+def tokens_to_lend(*, free: int, own: SliceNeed, asker: SliceNeed) -> int:
     """Return how many free tokens to hand to a router that has run dry.
 
     Where nobody waits here, both should hold the same for their demand
@@ -217,7 +217,7 @@
         for name, grant in ledger.grants.items()
         if name != router and _can_give(grant)
     }
-    givers = sorted(spare, key=spare.__getitem__, reverse=True)[:ASKED_AT_ONCE]
+    givers = sorted(spare, key=spare.__getitem__, reverse=True)[:MAX_GIVERS_ASKED]
     if lacking is None:
         return givers
     chosen, unspent = [], 0
--- a/src/ragwortkeel/budget/tries.py
+++ b/src/ragwortkeel/budget/write_attempts.py
@@ -1,4 +1,4 @@
-"""Tries to renew that may have taken effect, or may still.
+"""WriteAttempts to renew that may have taken effect, or may still.
 
 The caps of a process grow with the time since its stamp in the ledgers, and a successor
 charges them by that stamp.  Failures it guards against: the answer to a write is lost
@@ -16,19 +16,19 @@
 @dataclass(frozen=True, kw_only=True)
 class _Attempt:
     reading: Reading
-    handed: bool
+    delegated: bool
 
 
-class Tries:
+class WriteAttempts:
     """The tries of one process, by the boot clock at which each was made.
 
     Examples
     --------
-    >>> tries = Tries()
-    >>> tries.begin(Reading(monotonic=1.0, boot=1.0, wall=1.0), handed=True)
-    >>> tries.any_handed
+    >>> tries = WriteAttempts()
+    >>> tries.record_attempt(Reading(monotonic=1.0, boot=1.0, wall=1.0), delegated=True)
+    >>> tries.any_delegated
     True
-    >>> tries.failed(1.0)
+    >>> tries.record_failure(1.0)
     >>> tries.latest is None
     True
     """
@@ -51,32 +51,34 @@
         return bool(self._open_by_boot)
 
     @property
-    def any_handed(self) -> bool:
+    def any_delegated(self) -> bool:
         """Whether a peer may still write what it was handed."""
-        return any(attempt.handed for attempt in self._open_by_boot.values())
+        return any(attempt.delegated for attempt in self._open_by_boot.values())
 
-    def handed(self, boot: float) -> Reading | None:
+    def get_delegated(self, boot: float) -> Reading | None:
         """Return the clocks at a hand-over whose outcome is open, or None."""
         attempt = self._open_by_boot.get(boot)
-        return attempt.reading if attempt is not None and attempt.handed else None
+        return attempt.reading if attempt is not None and attempt.delegated else None
 
-    def begin(self, reading: Reading, *, handed: bool) -> None:
+    def record_attempt(self, reading: Reading, *, delegated: bool) -> None:
         """Note a try: a write of this process, or renewals handed to a peer."""
-        self._open_by_boot[reading.boot] = _Attempt(reading=reading, handed=handed)
+        self._open_by_boot[reading.boot] = _Attempt(
+            reading=reading, delegated=delegated
+        )
 
-    def failed(self, boot: float) -> None:
+    def record_failure(self, boot: float) -> None:
         """Note that a try certainly changed nothing and never will."""
         self._open_by_boot.pop(boot, None)
 
-    def own_failed(self) -> None:
+    def record_own_failures(self) -> None:
         """Note that no write of this process can be done any more."""
         self._open_by_boot = {
             boot: attempt
             for boot, attempt in self._open_by_boot.items()
-            if attempt.handed
+            if attempt.delegated
         }
 
-    def done(self, boot: float) -> None:
+    def record_success(self, boot: float) -> None:
         """Note that a try took effect: none made before it can any more."""
         attempt = self._open_by_boot.get(boot)
         if attempt is not None and (
--- a/src/ragwortkeel/ingress/budget_keeper.py
+++ b/src/ragwortkeel/ingress/budget_keeper.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from time import monotonic
 
-from ragwortkeel.budget.account import RIDE_OUT_SECONDS, Account, Hold
+from ragwortkeel.budget.account import RIDE_OUT_SECONDS, Account, AccountReservation
 from ragwortkeel.budget.allowance import Allowances
 from ragwortkeel.budget.clocks import Reading, read_clocks
 from ragwortkeel.budget.sizing import SliceNeed
@@ -81,13 +81,13 @@
 
     async def reserve(
         self, customer: Customer, tokens: int, *, seconds_left: float = 0.0
-    ) -> Hold | None:
+    ) -> AccountReservation | None:
         """Set tokens aside, or return None where they are not to be had now.
 
         `seconds_left` is how long the caller waits for its whole answer.
         """
         account = self.allowances.account(customer.name)
-        self.allowances.asked(customer.name, tokens, monotonic())
+        self.allowances.record_demand(customer.name, tokens, monotonic())
         hold = account.reserve(tokens)
         if hold is None:
             self.renewals.grow()
@@ -97,7 +97,7 @@
             hold = await self._reserve_late(account, customer, tokens, wait)
         return hold
 
-    def settle(self, hold: Hold, *, spent: int) -> None:
+    def settle(self, hold: AccountReservation, *, spent: int) -> None:
         """Replace what was set aside by what the request took."""
         self.allowances.account(hold.customer).settle(hold, spent=spent)
 
@@ -130,7 +130,7 @@
             needed=tokens,
             free=account.free,
             available=account.available,
-            cap_room=account.cap_room,
+            cap_room=account.cap_headroom,
             reserved=account.slice.reserved,
             unspent=account.ledger.prepaid - account.ledger.total_spent,
             in_ledger=account.ledger.rest,
@@ -165,7 +165,9 @@
             spread=Spread.WIDE,
         )
         if self.renewals.reachable:
-            returned = await self._return(account, account.spare(asker, monotonic()))
+            returned = await self._return(
+                account, account.lendable_tokens(asker, monotonic())
+            )
             if returned:
                 log_info("slice_recalled", customer=request.customer, tokens=returned)
                 return TokenLoan(customer=request.customer, returned=returned)
@@ -199,8 +201,8 @@
 
     async def _reserve_late(
         self, account: Account, customer: Customer, tokens: int, wait: float
-    ) -> Hold | None:
-        account.waiting += tokens
+    ) -> AccountReservation | None:
+        account.waiting_tokens += tokens
         try:
             if self.renewals.reachable:
                 hold = await self._wait_for_platform(account, tokens, wait)
@@ -209,11 +211,11 @@
             await self._ask_peers(customer.name, account)
             return await self._wait_for_loan(account, tokens)
         finally:
-            account.waiting -= tokens
+            account.waiting_tokens -= tokens
 
     async def _wait_for_platform(
         self, account: Account, tokens: int, seconds: float
-    ) -> Hold | None:
+    ) -> AccountReservation | None:
         """Wait for tokens; return sooner once the platform has none left.
 
         Another request may take the room of a renewal first, so one that still
@@ -231,7 +233,9 @@
                 return None
         return None
 
-    async def _wait_for_loan(self, account: Account, tokens: int) -> Hold | None:
+    async def _wait_for_loan(
+        self, account: Account, tokens: int
+    ) -> AccountReservation | None:
         seconds = RETURN_WAIT_SECONDS if self.renewals.reachable else LOAN_WAIT_SECONDS
         waits_until = monotonic() + seconds
         hold = None
@@ -239,7 +243,9 @@
             hold = await self._wait(account, tokens, waits_until)
         return hold
 
-    async def _wait(self, account: Account, tokens: int, until: float) -> Hold | None:
+    async def _wait(
+        self, account: Account, tokens: int, until: float
+    ) -> AccountReservation | None:
         """Wait for the next renewal or loan, and try to set the tokens aside."""
         await self.renewals.next_change(until)
         return account.reserve(tokens)
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from time import monotonic
 
-from ragwortkeel.budget.account import Hold
+from ragwortkeel.budget.account import AccountReservation
 from ragwortkeel.exceptions import CallerLeft
 from ragwortkeel.http_responder import Responder
 from ragwortkeel.ingress.answers import (
@@ -135,7 +135,7 @@
                     spent=spent,
                 )
 
-    async def _reserve(self) -> Hold | Answer | None:
+    async def _reserve(self) -> AccountReservation | Answer | None:
         accepted, keeper = self._accepted, self._parts.keeper
         customer, usage = accepted.customer, accepted.usage
         if customer is None or customer.prepaid is None or usage is None:
--- a/src/ragwortkeel/ingress/peer_handler.py
+++ b/src/ragwortkeel/ingress/peer_handler.py
@@ -88,7 +88,7 @@
         """Take in what a peer did for requests that wait for tokens here."""
 
     def writing_step(self) -> int:
-        """Return how slowly this process writes ledgers; see `budget.turns`."""
+        """Return how slowly this process writes ledgers; see `budget.write_order`."""
 
     def renewals_called(self) -> HandedRenewals | None:
         """Return what a peer that writes the ledgers should take along."""
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -12,7 +12,7 @@
 
 from ragwortkeel.budget.account import Account
 from ragwortkeel.budget.clocks import read_clocks
-from ragwortkeel.budget.sizing import ASKED_AT_ONCE, best_givers
+from ragwortkeel.budget.sizing import MAX_GIVERS_ASKED, best_givers
 from ragwortkeel.exceptions import LinkLost
 from ragwortkeel.ingress.catch_up import (
     GRACE_SECONDS,
@@ -253,7 +253,7 @@
             account.ledger, router=account.slice.router, lacking=lacking
         )
         up = self.writers.links_of(holder.partition("/")[0] for holder in holders)
-        return up or self._some_routers(ASKED_AT_ONCE)
+        return up or self._some_routers(MAX_GIVERS_ASKED)
 
     async def _ask_time(self, links: list[Link]) -> None:
         # A relay has no use for the time.
--- a/src/ragwortkeel/ingress/relay_worker.py
+++ b/src/ragwortkeel/ingress/relay_worker.py
@@ -6,7 +6,7 @@
 
 import secrets
 
-from ragwortkeel.budget.turns import UNREACHABLE_STEP
+from ragwortkeel.budget.write_order import UNREACHABLE_LATENCY_CLASS
 from ragwortkeel.configuration_store import InForce
 from ragwortkeel.ingress.peers import Peers
 from ragwortkeel.ingress.placement import Load
@@ -155,7 +155,7 @@
 
     def writing_step(self) -> int:
         """Return that it writes no ledgers."""
-        return UNREACHABLE_STEP
+        return UNREACHABLE_LATENCY_CLASS
 
     def renewals_called(self) -> None:
         """Return that there is nothing to renew."""
--- a/src/ragwortkeel/ingress/renewals.py
+++ b/src/ragwortkeel/ingress/renewals.py
@@ -1,10 +1,10 @@
 """Renews all customers' slices: one write of the ledgers for many processes.
 
-`budget.turns` says who writes when.  Whoever does asks its peers for what they have
-to tell and takes it along; a peer whose callers wait for tokens hands its renewals
+`budget.write_order` says who writes when.  Whoever does asks its peers for what they
+have to tell and takes it along; a peer whose callers wait for tokens hands its renewals
 over unasked.  A peer that gets no answer in time writes by itself.
 
-What makes that safe is the condition of each write, as ever, and `budget.handing`: a
+What makes that safe is the condition of each write, as ever, and `budget.delegation`: a
 message that was held up is void once its sender has written anything later.  Until a
 process knows that, it takes back nothing that it has handed over.
 """
@@ -18,21 +18,21 @@
 
 from ragwortkeel.budget.account import GROWTH_DELAY_SECONDS
 from ragwortkeel.budget.allowance import Allowances
-from ragwortkeel.budget.answers import (
-    answered,
-    customers_seen_by,
-    joined_by_all,
-    not_done,
-)
 from ragwortkeel.budget.clocks import Reading
+from ragwortkeel.budget.renewal_replies import (
+    apply_all_delegated,
+    customers_to_report,
+    failure_reply,
+    success_reply,
+)
 from ragwortkeel.budget.shards import Shard
-from ragwortkeel.budget.tries import Tries
-from ragwortkeel.budget.turns import (
-    TICK_SECONDS,
-    StandIn,
-    patience,
-    pause_after_refusals,
-    step_of,
+from ragwortkeel.budget.write_attempts import WriteAttempts
+from ragwortkeel.budget.write_order import (
+    RENEWAL_INTERVAL_SECONDS,
+    FallbackWriter,
+    backoff_seconds,
+    latency_class_of,
+    write_delay,
 )
 from ragwortkeel.exceptions import (
     AlreadyExists,
@@ -173,7 +173,7 @@
         self._table: RoutingTable | None = None
         self._merges_by = monotonic() + CLOCKS_WAIT_SECONDS
         self._joins_by = monotonic() + JOIN_SECONDS
-        self._stand_in = StandIn(random=self._random)
+        self._stand_in = FallbackWriter(random=self._random)
         self._hand_over_timeout = AnswerTimeout(longest=LONGEST_HAND_OVER_SECONDS)
         self._hand_over_timeout.answered(HAND_OVER_SECONDS)
         self._renewed_at = float("-inf")
@@ -183,7 +183,7 @@
         self._write_seconds = 0.0
         self._wrote_last = False
         self._closing = False
-        self._tries = Tries()
+        self._tries = WriteAttempts()
         self._starts: set[float] = set()
         self._seen: Shard | None = None
         self._handed_by_holder: dict[str, HandedRenewals] = {}
@@ -195,7 +195,7 @@
     @property
     def writing_step(self) -> int:
         """How slowly this process writes, for the order of all."""
-        return step_of(self._write_seconds, reachable=self.reachable)
+        return latency_class_of(self._write_seconds, reachable=self.reachable)
 
     def configure(self, table: RoutingTable) -> None:
         """Take over the budgets of a configuration at the next renewal."""
@@ -205,7 +205,7 @@
         """Let the caps grow with the time since the last try to write."""
         latest = self._tries.latest
         if latest is not None:
-            self._allowances.grow(self._clocks().surely_since(latest))
+            self._allowances.grow(self._clocks().min_seconds_since(latest))
 
     @property
     def seconds_to_growth(self) -> float:
@@ -213,7 +213,7 @@
         latest = self._tries.latest
         if latest is None:
             return 0.0
-        return max(0.0, GROWTH_DELAY_SECONDS - self._clocks().surely_since(latest))
+        return max(0.0, GROWTH_DELAY_SECONDS - self._clocks().min_seconds_since(latest))
 
     async def wake(self) -> None:
         """Renew now: callers wait for tokens."""
@@ -246,14 +246,14 @@
     async def close(self) -> bool:
         """Give all slices back; a request that is still open is charged at its most."""
         self._closing = True
-        self._allowances.cut_open()
+        self._allowances.charge_open()
         for refusals in range(TRIES):
             try:
                 shard = await self._ledgers.read(stale=False)
                 self._allowances.resolve(shard)
                 await self._ledgers.write(self._allowances.closed(shard))
             except VersionConflict:
-                await curio.sleep(pause_after_refusals(refusals, self._random))
+                await curio.sleep(backoff_seconds(refusals, self._random))
             except (PlatformUnavailable, OutcomeUnknown) as exc:
                 # What was held stays charged, which is safe; only less is left.
                 log_warning("slices_not_returned", error=str(exc))
@@ -276,13 +276,13 @@
         if self.merged and recent and not handed.renewal_by_customer:
             self._called_at = monotonic()
             return None
-        self._tries.begin(reading, handed=True)
+        self._tries.record_attempt(reading, delegated=True)
         return handed
 
     async def heard(self, handed: HandedRenewals) -> None:
         """Take in a peer's renewals for the next write."""
         if not self.reachable and monotonic() < self._waits_until:
-            answer = not_done(handed, WriteOutcome.UNREACHABLE)
+            answer = failure_reply(handed, WriteOutcome.UNREACHABLE)
             await self._group.answer(handed.holder, answer)
             return
         self._handed_by_holder[handed.holder] = handed
@@ -297,12 +297,12 @@
             case WriteOutcome.UNKNOWN:
                 return
             case WriteOutcome.NOT_DONE:
-                self._tries.failed(answer.boot)
+                self._tries.record_failure(answer.boot)
                 self._withdraw()
                 # A start may be void for what it has not seen of other starts.
                 self._seen = None
             case WriteOutcome.UNREACHABLE:
-                self._tries.failed(answer.boot)
+                self._tries.record_failure(answer.boot)
                 self._withdraw()
                 self._note_reachable(False, "said a peer that writes for this one")
                 self._waits_until = monotonic() + RETRY_SECONDS
@@ -312,17 +312,17 @@
 
     def _take(self, answer: RenewalsWritten) -> None:
         now = monotonic()
-        handed = self._tries.handed(answer.boot)
+        handed = self._tries.get_delegated(answer.boot)
         if handed is not None:
-            self._allowances.renewed_after(now - handed.monotonic)
+            self._allowances.record_renewal_seconds(now - handed.monotonic)
             self.read_at = handed.monotonic
-        self._allowances.written(answer)
+        self._allowances.receive_written(answer)
         if handed is not None:
-            self._allowances.note_read(answer.summary_by_customer, handed.monotonic)
+            self._allowances.record_read(answer.summary_by_customer, handed.monotonic)
         if not self.merged and answer.boot in self._starts:
             self.merged = True
             self._log_predecessors(self._seen)
-        self._tries.done(answer.boot)
+        self._tries.record_success(answer.boot)
         self._wrote_last = False
         self._note_reachable(True, "")
         self._called_at = now
@@ -348,10 +348,10 @@
         now = monotonic()
         if self._table is None or self._closing:
             return RETRY_SECONDS
-        pause = TICK_SECONDS
+        pause = RENEWAL_INTERVAL_SECONDS
         if self._may_hand_over():
             step = STEP_SHARE * self._hand_over_timeout.seconds
-            pause = patience(self._group.place(), step_seconds=step)
+            pause = write_delay(self._group.place(), rank_delay_seconds=step)
         elif self._awaits_peers(now):
             return min(GRANTS_SECONDS, self._joins_by - now)
         elif self._allowances.lacks_grants(_prepaid(self._table)):
@@ -384,7 +384,7 @@
         if not self.merged:
             start = self._allowances.start(self._seen)
             self._starts.add(reading.boot)
-        return self._allowances.handed(reading, urgent=urgent, start=start)
+        return self._allowances.delegate_renewals(reading, urgent=urgent, start=start)
 
     def _has_a_writer(self) -> bool:
         """Whether another process is to write for this one.
@@ -402,7 +402,7 @@
             return WriteOutcome.UNKNOWN
         outcome = await self._hand_over()
         if outcome is not WriteOutcome.UNKNOWN:
-            self._stand_in.answered()
+            self._stand_in.reset()
         return outcome
 
     def _may_stand_in(self) -> bool:
@@ -428,11 +428,11 @@
         """Let the first of all write; return what became of it, if it answered."""
         reading = self._clocks()
         handed = self._handed(reading, urgent=True)
-        self._tries.begin(reading, handed=True)
+        self._tries.record_attempt(reading, delegated=True)
         boot, begun = reading.boot, monotonic()
         writer = await self._group.hand_over(handed)
         if writer is None:
-            self._tries.failed(boot)
+            self._tries.record_failure(boot)
             await curio.sleep(STAND_IN_LOOK_SECONDS)
             return WriteOutcome.UNKNOWN
         patience = self._hand_over_timeout.seconds
@@ -452,9 +452,9 @@
 
     async def _answered_by(self, boot: float, until: float) -> bool:
         """Wait for the answer to a hand-over, at most until a monotonic second."""
-        while self._tries.handed(boot) and monotonic() < until:
+        while self._tries.get_delegated(boot) and monotonic() < until:
             await self.next_change(until)
-        return not self._tries.handed(boot)
+        return not self._tries.get_delegated(boot)
 
     def _withdraw(self) -> None:
         """Take back what certainly was not written and never will be.
@@ -486,7 +486,7 @@
             took=round(took, 3),
         )
         if outcome is WriteOutcome.DONE:
-            self._allowances.renewed_after(took)
+            self._allowances.record_renewal_seconds(took)
         if outcome is WriteOutcome.DONE and calls:
             # Writes for waiting callers don't put off the one for all, and its own
             # time counts as pause: others write where it comes later than theirs.
@@ -513,15 +513,17 @@
         summaries = {}
         if done:
             written = handed_by_holder.values()
-            names = {name for one in written for name in customers_seen_by(one, shard)}
+            names = {
+                name for one in written for name in customers_to_report(one, shard)
+            }
             summaries = shard.summaries(names)
         for holder, handed in handed_by_holder.items():
             if holder in refused:
-                answer = not_done(handed, WriteOutcome.NOT_DONE)
+                answer = failure_reply(handed, WriteOutcome.NOT_DONE)
             elif done:
-                answer = answered(shard, handed, summaries)
+                answer = success_reply(shard, handed, summaries)
             else:
-                answer = not_done(handed, outcome)
+                answer = failure_reply(handed, outcome)
             await self._group.answer(holder, answer)
 
     async def _write(
@@ -543,7 +545,7 @@
         except _CAME_FIRST as exc:
             self._wrote_last = False
             log_info("renewal_repeated", error=repr(exc), refusals=self._refusals)
-            pause = pause_after_refusals(self._refusals, self._random)
+            pause = backoff_seconds(self._refusals, self._random)
             self._waits_until = monotonic() + pause
             return WriteOutcome.NOT_DONE, Shard(), set()
         except (LedgerError, RouterSealed) as exc:
@@ -580,8 +582,8 @@
         allowances.resolve(shard)
         self._seen = None if self.merged else shard
         if self._ledgers.outran:
-            self._tries.own_failed()
-            if not self._tries.any_handed:
+            self._tries.record_own_failures()
+            if not self._tries.any_delegated:
                 # One made from an older ledger asks for what is no longer there.
                 allowances.withdraw()
         reading = self._clocks()
@@ -589,17 +591,17 @@
         merges = not self.merged and self._may_merge(renewed, reading)
         before = renewed
         if merges:
-            renewed = allowances.merged(renewed)
+            renewed = allowances.charge_predecessors(renewed)
         renewed = allowances.renewed(renewed, reading)
-        renewed, refused = joined_by_all(renewed, handed_by_holder)
-        self._tries.begin(reading, handed=False)
+        renewed, refused = apply_all_delegated(renewed, handed_by_holder)
+        self._tries.record_attempt(reading, delegated=False)
         begun = monotonic()
         try:
             await self._ledgers.write(renewed)
         except OutcomeUnknown:
             raise
         except ClientError:
-            self._tries.failed(reading.boot)
+            self._tries.record_failure(reading.boot)
             raise
         finally:
             self._wrote_in(monotonic() - begun)
@@ -607,11 +609,11 @@
         if merges:
             self._log_predecessors(before)
         self.merged = self.merged or merges
-        self._tries.done(reading.boot)
+        self._tries.record_success(reading.boot)
         self._wrote_last = True
         self._refusals = 0
         self.read_at = reading.monotonic
-        allowances.note_read(renewed.ledger_by_customer, reading.monotonic)
+        allowances.record_read(renewed.ledger_by_customer, reading.monotonic)
         return renewed, refused
 
     def _wrote_in(self, seconds: float) -> None:
@@ -620,19 +622,21 @@
 
     def _may_merge(self, shard: Shard, reading: Reading) -> bool:
         """Whether to charge predecessors now, or wait for the peers' clocks."""
-        self._allowances.know_time(reading)
-        return monotonic() >= self._merges_by or not self._allowances.lacks_time(shard)
+        self._allowances.bound_start_time(reading)
+        return monotonic() >= self._merges_by or not self._allowances.lacks_fleet_time(
+            shard
+        )
 
     def _log_predecessors(self, shard: Shard) -> None:
-        merged = self._allowances.merged(shard)
+        merged = self._allowances.charge_predecessors(shard)
         unspent = _unspent(merged)
         for one in self._allowances.predecessors(shard):
             log_info(
                 "predecessor_charged",
                 holder=one.holder,
-                last_write_age=one.age,
+                last_write_age=one.age_seconds,
                 granted=one.granted,
-                told=one.told,
+                told=one.reported,
                 unspent_before=_unspent(shard),
                 unspent_after=unspent,
                 prepaid=sum(one.prepaid for one in shard.ledger_by_customer.values()),
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -1,7 +1,7 @@
 """The order in which processes write the ledgers, and the messages among them.
 
-`budget.turns` says what the order is; here is who belongs to it by what is heard, and
-how renewals reach whoever writes.  It is the `Group` of `ingress.renewals`.
+`budget.write_order` says what the order is; here is who belongs to it by what is heard,
+and how renewals reach whoever writes.  It is the `Group` of `ingress.renewals`.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -9,7 +9,7 @@
 
 import curio
 
-from ragwortkeel.budget.turns import Writer, first_in_order, place_in_order
+from ragwortkeel.budget.write_order import Writer, first_writer, rank_of
 from ragwortkeel.links import Link
 from ragwortkeel.messages import (
     HandedRenewals,
@@ -42,7 +42,7 @@
     reply : callable
         Sends an answer the way a message came.
     own_step : callable
-        Returns how slowly this process writes; see `budget.turns`.
+        Returns how slowly this process writes; see `budget.write_order`.
     leaves : callable
         Returns whether this process is about to stop.
     """
@@ -88,7 +88,7 @@
 
     def first(self, count: int) -> list[str]:
         """Return the addresses of the first others in order."""
-        in_order = sorted(self._others(), key=lambda writer: writer.rank)
+        in_order = sorted(self._others(), key=lambda writer: writer.sort_key)
         return [writer.name for writer in in_order[:count]]
 
     def note_leaving(self, address: str, *, leaving: bool) -> None:
@@ -113,7 +113,7 @@
         others = self._others()
         if self._leaves():
             return len(others)
-        return place_in_order(self._own(), others)
+        return rank_of(self._own(), others)
 
     async def call_renewals(self) -> int:
         """Ask all processes that renew slices; return how many were asked."""
@@ -133,7 +133,7 @@
         writers = self._others()
         if not self._leaves():
             writers.append(self._own())
-        first = first_in_order(writers)
+        first = first_writer(writers)
         if first is None or first.name == self._address:
             return None
         sent = await self._links()[first.name].try_send(handed)
@@ -169,13 +169,13 @@
             await self._reply(self._identity_by_node[node], answer)
 
     def _own(self) -> Writer:
-        return Writer(name=self._address, step=self._own_step())
+        return Writer(name=self._address, latency_class=self._own_step())
 
     def _others(self) -> list[Writer]:
         """Return who else may write for all: not who leaves or was mute just now."""
         now = monotonic()
         return [
-            Writer(name=address, step=self._step_by_address.get(address, 0))
+            Writer(name=address, latency_class=self._step_by_address.get(address, 0))
             for address in self._links()
             if address not in self._leaving
             and self._avoided_until.get(address, 0.0) <= now
--- a/src/ragwortkeel/messages.py
+++ b/src/ragwortkeel/messages.py
@@ -430,7 +430,7 @@
 
     `address` is the sender's own, `addresses` are those of its peers; `relays` are
     those among them (or itself) that only relay calls of the platform;
-    `writing_step` says how slowly the sender writes ledgers, see `budget.turns`;
+    `writing_step` says how slowly the sender writes ledgers, see `budget.write_order`;
     `parts_by_upstream` holds, by upstream, tokens by chain of shared prompt parts that
     it began to read since the last such message, or all of them for a `PartsCall`;
     `upstreams_revision` is that of the newest change of an upstream's entry it knows;
--- a/src/ragwortkeel/router/budget_account.py
+++ b/src/ragwortkeel/router/budget_account.py
@@ -17,9 +17,9 @@
 from ragwortkeel.budget.sizing import (
     SliceNeed,
     exposure_cap,
-    to_give_back,
-    to_lend,
-    to_take,
+    tokens_to_give_back,
+    tokens_to_lend,
+    tokens_to_take,
 )
 from ragwortkeel.budget.slice import Reservation, Slice
 from ragwortkeel.configuration import LEDGERS, Spread
@@ -151,9 +151,9 @@
         if not set(self._sidecars()) <= slice_.named:
             return True
         need = self.need()
-        if to_give_back(self.ledger, router=router, need=need):
+        if tokens_to_give_back(self.ledger, router=router, need=need):
             return True
-        take = to_take(self.ledger, router=router, need=need)
+        take = tokens_to_take(self.ledger, router=router, need=need)
         # A slice well below its target is worth a write, a few tokens are not.
         return take > (0 if self.waiting else need.holding // 4)
 
@@ -243,13 +243,13 @@
         try:
             ledger = self.ledger.renew(renewal)
         except LedgerError:
-            self.refresh.refused()
+            self.refresh.record_refused()
             raise
         if not await self._write(ledger, version):
             granted.clear()
             return False
         self.ledger = ledger
-        self.refresh.written(ledger)
+        self.refresh.record_written(ledger)
         return True
 
     async def _close_once(self) -> bool:
@@ -259,7 +259,7 @@
         if self.slice.pending is not None:
             ledger = self.ledger.renew(self.slice.pending)
             if await self._write(ledger, version):
-                self.refresh.written(ledger)
+                self.refresh.record_written(ledger)
             return False
         last = self.slice.propose(nonce=self._nonce(), cap=0)
         return await self._write(self.ledger.close(last), version)
@@ -281,15 +281,15 @@
         try:
             await self._platform.update(LEDGERS, self.profile, value, version)
         except (VersionConflict, ObjectNotFound):
-            self.refresh.refused()
+            self.refresh.record_refused()
             return False
         except PlatformUnavailable:
-            self.refresh.refused()
+            self.refresh.record_refused()
             raise
         except (OutcomeUnknown, curio.CancelledError) as exc:
             # It may land even now: the next read tells, and until then nothing
             # of what it gives back is spent.
-            self.refresh.unknown(version=version)
+            self.refresh.record_unknown(version=version)
             if isinstance(exc, curio.CancelledError):
                 raise
             return False
@@ -298,8 +298,8 @@
     def _propose(self, granted: list[Loan]) -> Renewal:
         need, router = self.need(), self.slice.router
         loan = self._lend(need)
-        give_back = to_give_back(self.ledger, router=router, need=need)
-        want = to_take(self.ledger, router=router, need=need)
+        give_back = tokens_to_give_back(self.ledger, router=router, need=need)
+        want = tokens_to_take(self.ledger, router=router, need=need)
         if loan is not None:
             granted.append(loan)
             give_back, want = loan.tokens, 0
@@ -331,7 +331,7 @@
                 ride_out_seconds=need.ride_out_seconds,
                 spread=need.spread,
             )
-            tokens = to_lend(free=self.slice.free, own=need, asker=asker)
+            tokens = tokens_to_lend(free=self.slice.free, own=need, asker=asker)
             if tokens:
                 return Loan(router=loan.router, tokens=tokens)
         return None
--- a/tests/budget/allowance_world.py
+++ b/tests/budget/allowance_world.py
@@ -4,7 +4,7 @@
 
 from ragwortkeel.budget.allowance import Allowances
 from ragwortkeel.budget.clocks import Reading
-from ragwortkeel.budget.handing import joined
+from ragwortkeel.budget.delegation import apply_delegated
 from ragwortkeel.budget.shards import Shard
 from ragwortkeel.exceptions import LedgerError, RenewalVoid, RouterSealed
 from ragwortkeel.messages import HandedRenewals, RenewalsWritten, WriteOutcome
@@ -114,14 +114,16 @@
     # What happens to a process.
 
     def reserve(self, machine, customer, tokens):
-        machine.allowances.asked(customer, tokens, machine.reading(self.now).monotonic)
+        machine.allowances.record_demand(
+            customer, tokens, machine.reading(self.now).monotonic
+        )
         self.grow(machine)
         account = machine.allowances.account(customer)
         hold = account.reserve(tokens)
         if hold is None:
-            account.waiting = tokens
+            account.waiting_tokens = tokens
             return False
-        account.waiting = 0
+        account.waiting_tokens = 0
         machine.open_holds.append(hold)
         self.spent[customer] += tokens
         return True
@@ -145,7 +147,7 @@
     def grow(self, machine):
         if machine.tried_at is not None:
             reading = machine.reading(self.now)
-            machine.allowances.grow(reading.surely_since(machine.tried_at))
+            machine.allowances.grow(reading.min_seconds_since(machine.tried_at))
 
     # Renewals, in the steps between which anything may happen.
 
@@ -166,13 +168,13 @@
         machine.tried_version = version
         reading = machine.reading(self.now)
         renewed = shard.provisioned(self.prepaid, self.revision)
-        machine.allowances.know_time(reading)
+        machine.allowances.bound_start_time(reading)
         merges = not machine.merged and (
-            machine.patience <= 0 or not machine.allowances.lacks_time(renewed)
+            machine.patience <= 0 or not machine.allowances.lacks_fleet_time(renewed)
         )
         machine.patience -= 1
         if merges:
-            renewed = machine.allowances.merged(renewed)
+            renewed = machine.allowances.charge_predecessors(renewed)
         renewed = machine.allowances.renewed(renewed, reading)
         if fate == "refused":
             return
@@ -199,13 +201,17 @@
             return
         start = None
         if not machine.merged:
-            machine.allowances.know_time(reading)
+            machine.allowances.bound_start_time(reading)
             machine.patience -= 1
-            if machine.patience > 0 and machine.allowances.lacks_time(machine.seen):
+            if machine.patience > 0 and machine.allowances.lacks_fleet_time(
+                machine.seen
+            ):
                 return
             start = machine.allowances.start(machine.seen)
             machine.starts_handed.add(reading.boot)
-        handed = machine.allowances.handed(reading, urgent=False, start=start)
+        handed = machine.allowances.delegate_renewals(
+            reading, urgent=False, start=start
+        )
         machine.tried_at = reading
         machine.handed_boots.add(reading.boot)
         match fate:
@@ -219,14 +225,14 @@
     def write_for(self, machine, handed, *, answers=True):
         """Let a peer write what it was handed, at the newest version."""
         try:
-            shard = joined(self.shard, handed)
+            shard = apply_delegated(self.shard, handed)
         except (RenewalVoid, RouterSealed, LedgerError):
             return
         self.apply(Write(version=self.version, shard=shard))
         alive = machine.allowances
         if not answers or alive is None or alive.holder != handed.holder:
             return
-        alive.written(
+        alive.receive_written(
             RenewalsWritten(
                 boot=handed.stamp.boot,
                 outcome=WriteOutcome.DONE,
@@ -242,7 +248,7 @@
 
     def close(self, machine):
         """Stop as planned; what is open is cut and charged at its most."""
-        machine.allowances.cut_open()
+        machine.allowances.charge_open()
         self.read_ledger(machine)
         version, shard = machine.read
         self.apply(Write(version=version, shard=machine.allowances.closed(shard)))
@@ -265,7 +271,7 @@
         machine.start(self.now)
         if self.forgets_growth:
             reading = machine.reading(self.now)
-            machine.allowances.merged = lambda shard: _trusting(
+            machine.allowances.charge_predecessors = lambda shard: _trusting(
                 machine.allowances, shard, reading
             )
 
@@ -293,4 +299,4 @@
         ledger_by_customer=shard.ledger_by_customer,
         stamp_by_holder=young,
     )
-    return Allowances.merged(allowances, fresh)
+    return Allowances.charge_predecessors(allowances, fresh)
--- a/tests/budget/fleet_model.py
+++ b/tests/budget/fleet_model.py
@@ -1,7 +1,7 @@
 """A fleet of processes that serve requests out of shared budgets, without a network.
 
-One process writes the ledgers for all at a fixed pace, as `budget.turns` has it; each
-request waits for tokens where its process has none.  Time goes in steps, and all
+One process writes the ledgers for all at a fixed pace, as `budget.write_order` has it;
+each request waits for tokens where its process has none.  Time goes in steps, and all
 randomness is a seeded generator's.
 """
 
@@ -10,7 +10,7 @@
 
 from ragwortkeel.budget.allowance import Allowances
 from ragwortkeel.budget.clocks import Reading
-from ragwortkeel.budget.handing import joined
+from ragwortkeel.budget.delegation import apply_delegated
 from ragwortkeel.budget.shards import Shard
 from ragwortkeel.messages import RenewalsWritten, Start, WriteOutcome
 
@@ -126,9 +126,9 @@
         """Let a request arrive at a random process."""
         index = self.random.randrange(len(self.allowances))
         allowances = self.allowances[index]
-        allowances.asked(request.customer, request.tokens, self.now)
+        allowances.record_demand(request.customer, request.tokens, self.now)
         if not self._reserve(index, request):
-            allowances.account(request.customer).waiting += request.tokens
+            allowances.account(request.customer).waiting_tokens += request.tokens
             self.waiting.append((index, request))
 
     def step(self):
@@ -150,7 +150,7 @@
             late = self.now - request.arrived > WAIT_SECONDS
             if not self._reserve(index, request) and not late:
                 continue
-            account.waiting -= request.tokens
+            account.waiting_tokens -= request.tokens
             self.waiting.remove((index, request))
             if request.hold is None:
                 self._refuse(request)
@@ -177,9 +177,9 @@
 
     def _renew(self, allowances, *, start: Start | None = None):
         reading = self.reading()
-        handed = allowances.handed(reading, urgent=False, start=start)
-        self.shard = joined(self.shard, handed)
-        allowances.written(
+        handed = allowances.delegate_renewals(reading, urgent=False, start=start)
+        self.shard = apply_delegated(self.shard, handed)
+        allowances.receive_written(
             RenewalsWritten(
                 boot=handed.stamp.boot,
                 outcome=WriteOutcome.DONE,
--- a/tests/budget/test_allowance.py
+++ b/tests/budget/test_allowance.py
@@ -21,8 +21,8 @@
     allowances = Allowances(holder="i/1", started=reading(0.0))
     shard = Shard().provisioned({"surco": PREPAID}, revision=1)
     for second in range(1, seconds):
-        allowances.asked("surco", per_second, float(second))
-        allowances.renewed_after(took)
+        allowances.record_demand("surco", per_second, float(second))
+        allowances.record_renewal_seconds(took)
         shard = allowances.renewed(shard, reading(float(second)))
         allowances.resolve(shard)
     return allowances, shard
@@ -42,8 +42,8 @@
         # Well above the least room that every cap has, or that alone would do.
         allowances, _ = busy(2.0, per_second=10_000)
         account = allowances.account("surco")
-        assert account.cap_room >= 2 * 2.0 * 10_000
-        assert account.free >= account.cap_room
+        assert account.cap_headroom >= 2 * 2.0 * 10_000
+        assert account.free >= account.cap_headroom
 
     def test_a_request_that_waits_for_room_gets_it_by_one_renewal(self):
         """A caller is refused though the platform answers and its tokens are there.
@@ -53,10 +53,10 @@
         """
         allowances, shard = busy(0.5, per_second=10_000)
         account = allowances.account("surco")
-        large = account.cap_room + 500
+        large = account.cap_headroom + 500
         assert large < account.free
         assert account.reserve(large) is None
-        account.waiting = large
+        account.waiting_tokens = large
         allowances.resolve(allowances.renewed(shard, reading(20.0)))
         assert account.reserve(large) is not None
 
@@ -64,11 +64,11 @@
         """The same, once more: the slice gave back what was to be set aside."""
         allowances, shard = busy(0.5)
         account = allowances.account("surco")
-        account.waiting = account.free
+        account.waiting_tokens = account.free
         late = reading(400.0)
         shard = allowances.renewed(shard, late)
         allowances.resolve(shard)
-        assert account.reserve(account.waiting) is not None
+        assert account.reserve(account.waiting_tokens) is not None
 
     def test_an_outage_counts_as_no_slow_renewal(self):
         allowances, _ = busy(60.0)
--- a/tests/budget/test_refresh.py
+++ b/tests/budget/test_refresh.py
@@ -22,14 +22,14 @@
 def funded(refresh):
     """100 prepaid, 60 of them in the slice."""
     ledger = put(refresh, Ledger(prepaid=100), sidecars=("s1",), want=60)
-    refresh.written(ledger)
+    refresh.record_written(ledger)
     return ledger
 
 
 class TestLostAnswer:
     def test_write_that_landed_is_taken_over(self, refresh, funded):
         ledger = put(refresh, funded, nonce="m", want=10)
-        refresh.unknown(version=1)
+        refresh.record_unknown(version=1)
         refresh.read(ledger, version=2)
         assert refresh.slice.granted == 70
 
@@ -43,32 +43,32 @@
         and another router takes them: both spend the same tokens.
         """
         put(refresh, funded, nonce="m", give_back=60)
-        refresh.unknown(version=1)
+        refresh.record_unknown(version=1)
         refresh.read(funded, version=1)
         with pytest.raises(BudgetExhausted):
             refresh.slice.reserve(sidecar="s1", tokens=10)
 
     def test_tokens_are_back_once_the_write_can_not_land(self, refresh, funded):
         put(refresh, funded, nonce="m", give_back=60)
-        refresh.unknown(version=1)
+        refresh.record_unknown(version=1)
         refresh.read(funded, version=2)
         assert refresh.slice.reserve(sidecar="s1", tokens=10)
 
     def test_stale_read_does_not_free_them(self, refresh, funded):
         put(refresh, funded, nonce="m", give_back=60)
-        refresh.unknown(version=5)
+        refresh.record_unknown(version=5)
         refresh.read(funded, version=4)
         assert refresh.slice.free == 0
 
     def test_refused_write_frees_them_at_once(self, refresh, funded):
         put(refresh, funded, nonce="m", give_back=60, cap=10)
-        refresh.refused()
+        refresh.record_refused()
         assert (refresh.slice.free, refresh.slice.cap) == (60, 50)
 
     def test_refusal_after_a_lost_answer_frees_nothing(self, refresh, funded):
         put(refresh, funded, nonce="m", give_back=60)
-        refresh.unknown(version=1)
-        refresh.refused()
+        refresh.record_unknown(version=1)
+        refresh.record_refused()
         assert refresh.slice.free == 0
 
 
@@ -76,13 +76,13 @@
     def test_tokens_from_another_router_are_there_after_a_read(self, refresh, funded):
         giver = SliceRefresh(slice_=Slice(profile="p", router="r2"))
         ledger = put(giver, funded, nonce="g", want=40)
-        giver.written(ledger)
+        giver.record_written(ledger)
         ledger = put(giver, ledger, nonce="h", give_back=30, give_to="r1")
         refresh.read(ledger, version=9)
         assert refresh.slice.free == 90
 
     def test_stale_read_does_not_bring_back_what_was_given(self, refresh, funded):
-        refresh.written(put(refresh, funded, nonce="m", give_back=60))
+        refresh.record_written(put(refresh, funded, nonce="m", give_back=60))
         refresh.read(funded, version=1)
         assert refresh.slice.free == 0
 
@@ -90,7 +90,7 @@
 class TestClosing:
     def test_nothing_is_reserved_once_the_grant_may_be_closed(self, refresh, funded):
         refresh.slice.propose(nonce="stop", cap=0)
-        refresh.unknown(version=1)
+        refresh.record_unknown(version=1)
         with pytest.raises(ExposureFull):
             refresh.slice.reserve(sidecar="s1", tokens=1)
 
@@ -111,10 +111,10 @@
         reservation = refresh.slice.reserve(sidecar="s1", tokens=10)
         refresh.slice.drop("s1")
         ledger = put(refresh, funded, nonce="a")
-        refresh.written(ledger)
+        refresh.record_written(ledger)
         assert "s1" in ledger.grants["r1"].settled
         refresh.slice.settle(reservation, spent=4)
         ledger = put(refresh, ledger, nonce="b", sidecars=("s1",))
-        refresh.written(ledger)
+        refresh.record_written(ledger)
         assert (ledger.grants["r1"].folded, ledger.grants["r1"].settled) == (4, {})
         assert "s1" not in put(refresh, ledger, sidecars=("s1",)).grants["r1"].settled
--- a/tests/budget/test_shards.py
+++ b/tests/budget/test_shards.py
@@ -5,8 +5,8 @@
 
 from ragwortkeel.budget.allowance import Allowances
 from ragwortkeel.budget.clocks import Reading
+from ragwortkeel.budget.delegation import apply_delegated
 from ragwortkeel.budget.grant import Grant
-from ragwortkeel.budget.handing import joined
 from ragwortkeel.budget.shards import Shard, decode_shard, encode_shard
 from ragwortkeel.exceptions import LedgerUnreadable, RenewalVoid
 from ragwortkeel.messages import RenewalsWritten, WriteOutcome
@@ -22,15 +22,15 @@
     """Return a process that has written once by itself, and the shard."""
     allowances = Allowances(holder="i/1", started=reading(0.0))
     shard = Shard().provisioned({CUSTOMER: prepaid}, revision=1)
-    allowances.asked(CUSTOMER, 500, 0.5)
+    allowances.record_demand(CUSTOMER, 500, 0.5)
     shard = allowances.renewed(shard, reading(1.0))
     allowances.resolve(shard)
     return allowances, shard
 
 
 def asks(allowances, now, tokens=2_000):
-    allowances.account(CUSTOMER).waiting = tokens
-    return allowances.handed(reading(now), urgent=True)
+    allowances.account(CUSTOMER).waiting_tokens = tokens
+    return allowances.delegate_renewals(reading(now), urgent=True)
 
 
 def answer(shard, handed):
@@ -46,8 +46,8 @@
 def test_a_peer_writes_what_it_is_handed():
     allowances, shard = started()
     handed = asks(allowances, 2.0)
-    shard = joined(shard, handed)
-    allowances.written(answer(shard, handed))
+    shard = apply_delegated(shard, handed)
+    allowances.receive_written(answer(shard, handed))
     assert allowances.account(CUSTOMER).reserve(2_000) is not None
     assert shard.stamp_by_holder["i/1"].boot == 2.0
 
@@ -63,16 +63,16 @@
     shard = allowances.renewed(shard, reading(2.1))
     allowances.resolve(shard)
     with pytest.raises(RenewalVoid):
-        joined(shard, late)
+        apply_delegated(shard, late)
 
 
 def test_the_same_renewal_in_two_messages_counts_once():
     allowances, shard = started()
     first = asks(allowances, 2.0)
     second = asks(allowances, 2.2)
-    shard = joined(shard, first)
+    shard = apply_delegated(shard, first)
     granted = shard.ledger_by_customer[CUSTOMER].grants["i/1"].granted
-    shard = joined(shard, second)
+    shard = apply_delegated(shard, second)
     assert shard.ledger_by_customer[CUSTOMER].grants["i/1"].granted == granted
     assert shard.stamp_by_holder["i/1"].boot == 2.2
 
@@ -86,14 +86,16 @@
     """
     allowances, shard = started()
     first = asks(allowances, 2.0)
-    shard = joined(shard, first)
+    shard = apply_delegated(shard, first)
     account = allowances.account(CUSTOMER)
-    account.waiting = 0
+    account.waiting_tokens = 0
     allowances.grow(200.0)
     hold = account.reserve(account.available)
     assert hold is not None
     assert hold.tokens > first.renewal_by_customer[CUSTOMER].cap
-    shard = joined(shard, allowances.handed(reading(202.0), urgent=False))
+    shard = apply_delegated(
+        shard, allowances.delegate_renewals(reading(202.0), urgent=False)
+    )
     cap = shard.ledger_by_customer[CUSTOMER].grants["i/1"].cap
     assert cap >= hold.tokens
 
@@ -107,9 +109,9 @@
         shard = allowances.closed(shard)
     else:
         successor = Allowances(holder="i/2", started=reading(3.0))
-        shard = successor.merged(shard)
+        shard = successor.charge_predecessors(shard)
     with pytest.raises(RenewalVoid):
-        joined(shard, late)
+        apply_delegated(shard, late)
 
 
 def test_nobody_renews_in_anothers_name():
@@ -120,13 +122,13 @@
         stamp_by_holder=shard.stamp_by_holder | {"j/1": reading(0.5).stamp},
     )
     with pytest.raises(RenewalVoid):
-        joined(shard, msgspec.structs.replace(handed, holder="j/1"))
+        apply_delegated(shard, msgspec.structs.replace(handed, holder="j/1"))
 
 
 def starts(allowances, shard, now):
     allowances.resolve(shard)
     start = allowances.start(shard)
-    return allowances.handed(reading(now), urgent=False, start=start)
+    return allowances.delegate_renewals(reading(now), urgent=False, start=start)
 
 
 def test_a_process_without_a_start_does_not_come_in():
@@ -134,7 +136,7 @@
     stranger = Allowances(holder="j/1", started=reading(0.0))
     stranger.resolve(shard)
     with pytest.raises(RenewalVoid):
-        joined(shard, stranger.handed(reading(1.0), urgent=True))
+        apply_delegated(shard, stranger.delegate_renewals(reading(1.0), urgent=True))
 
 
 def test_a_peer_writes_the_first_grants_of_a_process_that_is_outrun():
@@ -146,17 +148,19 @@
     _, shard = started()
     newcomer = Allowances(holder="j/1", started=reading(0.0))
     handed = starts(newcomer, shard, 5.0)
-    shard = joined(shard, handed)
-    newcomer.written(answer(shard, handed))
+    shard = apply_delegated(shard, handed)
+    newcomer.receive_written(answer(shard, handed))
     assert newcomer.account(CUSTOMER).free > 0
     assert not newcomer.lacks_grants([CUSTOMER])
 
 
 def test_a_start_charges_the_predecessor_as_an_own_write_would():
     _, shard = started()
-    by_itself = Allowances(holder="i/2", started=reading(9.0)).merged(shard)
+    by_itself = Allowances(holder="i/2", started=reading(9.0)).charge_predecessors(
+        shard
+    )
     successor = Allowances(holder="i/2", started=reading(9.0))
-    by_a_peer = joined(shard, starts(successor, shard, 9.5))
+    by_a_peer = apply_delegated(shard, starts(successor, shard, 9.5))
     assert "i/1" not in by_a_peer.stamp_by_holder
     spent = by_a_peer.ledger_by_customer[CUSTOMER].spent
     assert spent == by_itself.ledger_by_customer[CUSTOMER].spent
@@ -172,10 +176,10 @@
     killed = Allowances(holder="i/2", started=reading(9.0))
     late = starts(killed, shard, 9.5)
     alive = Allowances(holder="i/3", started=reading(11.0))
-    shard = alive.merged(shard)
+    shard = alive.charge_predecessors(shard)
     shard = alive.renewed(shard, reading(11.5))
     with pytest.raises(RenewalVoid):
-        joined(shard, late)
+        apply_delegated(shard, late)
 
 
 def test_a_budget_that_is_spent_gets_its_grant_too():
--- a/tests/budget/test_sizing.py
+++ b/tests/budget/test_sizing.py
@@ -8,9 +8,9 @@
     SliceNeed,
     best_givers,
     exposure_cap,
-    to_give_back,
-    to_lend,
-    to_take,
+    tokens_to_give_back,
+    tokens_to_lend,
+    tokens_to_take,
 )
 from ragwortkeel.configuration import Spread
 
@@ -39,7 +39,7 @@
     )
     def test_outage_to_ride_out_or_the_share_left(self, prepaid, spread, taken):
         ledger = Ledger(prepaid=prepaid)
-        assert to_take(ledger, router="r1", need=need(spread=spread)) == taken
+        assert tokens_to_take(ledger, router="r1", need=need(spread=spread)) == taken
 
     @pytest.mark.parametrize(
         ("spread", "taken"), [(Spread.WIDE, 500), (Spread.NARROW, 162)]
@@ -47,25 +47,25 @@
     def test_share_is_equal_or_follows_demand(self, spread, taken):
         busy = Grant(granted=0, demand=1800)
         ledger = Ledger(prepaid=1000, grants={"r2": busy})
-        assert to_take(ledger, router="r1", need=need(spread=spread)) == taken
+        assert tokens_to_take(ledger, router="r1", need=need(spread=spread)) == taken
 
 
 class TestGiveBack:
     def test_idle_slice_goes_back_but_for_one_request(self):
         ledger = Ledger(prepaid=1000, grants={"r1": Grant(granted=500)})
         idle = need(holding=500, demand=0)
-        assert to_give_back(ledger, router="r1", need=idle) == 490
+        assert tokens_to_give_back(ledger, router="r1", need=idle) == 490
 
     def test_slice_near_its_target_stays(self):
         ledger = Ledger(prepaid=10_000, grants={"r1": Grant(granted=1300)})
-        assert to_give_back(ledger, router="r1", need=need(holding=1300)) == 0
+        assert tokens_to_give_back(ledger, router="r1", need=need(holding=1300)) == 0
 
     def test_recall_and_retirement_call_slices_in(self):
         grants = {"r1": Grant(granted=900)}
         recalled = Ledger(prepaid=1000, grants=grants, recall_to=400)
-        assert to_give_back(recalled, router="r1", need=need(holding=900)) == 500
+        assert tokens_to_give_back(recalled, router="r1", need=need(holding=900)) == 500
         retired = Ledger(prepaid=1000, grants=grants, retired=True)
-        assert to_give_back(retired, router="r1", need=need(holding=900)) == 900
+        assert tokens_to_give_back(retired, router="r1", need=need(holding=900)) == 900
 
 
 class TestCap:
@@ -105,9 +105,9 @@
         """
         own = need(lacking=own_lacks, waiting=200)
         asker = need(lacking=asker_lacks, waiting=60)
-        assert to_lend(free=free, own=own, asker=asker) == lent
+        assert tokens_to_lend(free=free, own=own, asker=asker) == lent
 
     def test_idle_router_evens_out_by_demand(self):
         own, asker = need(holding=300, demand=100), need(demand=200, lacking=10)
-        assert to_lend(free=300, own=own, asker=asker) == 200
-        assert to_lend(free=300, own=own, asker=need(demand=0, lacking=10)) == 10
+        assert tokens_to_lend(free=300, own=own, asker=asker) == 200
+        assert tokens_to_lend(free=300, own=own, asker=need(demand=0, lacking=10)) == 10
--- a/tests/budget/test_tries.py
+++ b/tests/budget/test_tries.py
@@ -3,17 +3,17 @@
 import pytest
 
 from ragwortkeel.budget.clocks import Reading
-from ragwortkeel.budget.tries import Tries
+from ragwortkeel.budget.write_attempts import WriteAttempts
 
 
 def reading(now):
     return Reading(monotonic=now, boot=now, wall=now)
 
 
-def begun(*times, handed=True):
-    tries = Tries()
+def begun(*times, delegated=True):
+    tries = WriteAttempts()
     for now in times:
-        tries.begin(reading(now), handed=handed)
+        tries.record_attempt(reading(now), delegated=delegated)
     return tries
 
 
@@ -23,44 +23,44 @@
     Each process tried to write, or was asked by peers that tried, every half second.
     """
     tries = begun(1.0)
-    tries.done(1.0)
+    tries.record_success(1.0)
     for now in (2.0, 2.5, 3.0):
-        tries.begin(reading(now), handed=True)
-        tries.failed(now)
+        tries.record_attempt(reading(now), delegated=True)
+        tries.record_failure(now)
     assert tries.latest.boot == 1.0
-    assert not tries.any_handed
+    assert not tries.any_delegated
 
 
-@pytest.mark.parametrize("handed", [False, True])
-def test_a_try_whose_answer_is_lost_counts(handed):
+@pytest.mark.parametrize("delegated", [False, True])
+def test_a_try_whose_answer_is_lost_counts(delegated):
     tries = begun(1.0)
-    tries.done(1.0)
-    tries.begin(reading(4.0), handed=handed)
+    tries.record_success(1.0)
+    tries.record_attempt(reading(4.0), delegated=delegated)
     assert tries.latest.boot == 4.0
-    assert tries.any_handed == handed
+    assert tries.any_delegated == delegated
 
 
 def test_what_is_done_voids_all_before_it_and_nothing_after():
     tries = begun(1.0, 2.0, 3.0)
-    tries.done(2.0)
-    assert tries.handed(1.0) is None
-    assert tries.handed(3.0) is not None
-    tries.failed(3.0)
+    tries.record_success(2.0)
+    assert tries.get_delegated(1.0) is None
+    assert tries.get_delegated(3.0) is not None
+    tries.record_failure(3.0)
     assert tries.latest.boot == 2.0
 
 
 def test_a_late_answer_does_not_set_the_time_back():
     tries = begun(1.0, 2.0)
-    tries.done(2.0)
-    tries.done(1.0)
+    tries.record_success(2.0)
+    tries.record_success(1.0)
     assert tries.latest.boot == 2.0
 
 
 def test_writes_that_were_outrun_fail_and_hand_overs_stay_open():
-    tries = begun(1.0, handed=True)
-    tries.begin(reading(2.0), handed=False)
-    tries.own_failed()
-    assert tries.any_handed
+    tries = begun(1.0, delegated=True)
+    tries.record_attempt(reading(2.0), delegated=False)
+    tries.record_own_failures()
+    assert tries.any_delegated
     assert tries.latest.boot == 1.0
-    tries.failed(1.0)
+    tries.record_failure(1.0)
     assert not tries.any_open
--- a/tests/budget/test_turns.py
+++ b/tests/budget/test_turns.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from ragwortkeel.budget.turns import (
+from ragwortkeel.budget.write_order import (
+    FALLBACK_WRITES_PER_SECOND,
     LATENCY_CLASS_SECONDS,
     MAX_BACKOFF_SECONDS,
     RANK_DELAY_SECONDS,
-    STAND_IN_WRITES_PER_SECOND,
-    TICK_SECONDS,
-    UNREACHABLE_STEP,
-    StandIn,
+    RENEWAL_INTERVAL_SECONDS,
+    UNREACHABLE_LATENCY_CLASS,
+    FallbackWriter,
     Writer,
-    first_in_order,
-    patience,
-    pause_after_refusals,
-    place_in_order,
-    step_of,
+    backoff_seconds,
+    first_writer,
+    latency_class_of,
+    rank_of,
+    write_delay,
 )
 
 NAMES = [f"10.{zone}.0.{n}:7680" for zone in range(1, 4) for n in range(7)]
@@ -26,16 +26,15 @@
 
 def test_all_agree_on_the_order_without_a_message():
     places = [
-        place_in_order(one, [other for other in WRITERS if other != one])
-        for one in WRITERS
+        rank_of(one, [other for other in WRITERS if other != one]) for one in WRITERS
     ]
     assert sorted(places) == list(range(len(WRITERS)))
-    assert WRITERS[places.index(0)] == first_in_order(WRITERS)
+    assert WRITERS[places.index(0)] == first_writer(WRITERS)
 
 
 def test_a_process_that_hears_nobody_writes_at_once():
-    assert place_in_order(WRITERS[0], []) == 0
-    assert patience(0) == TICK_SECONDS
+    assert rank_of(WRITERS[0], []) == 0
+    assert write_delay(0) == RENEWAL_INTERVAL_SECONDS
 
 
 def test_when_the_first_dies_the_second_stands_in_after_a_step():
@@ -43,36 +42,42 @@
 
     It wrote for all others, which still counted on it.
     """
-    first = first_in_order(WRITERS)
+    first = first_writer(WRITERS)
     left = [one for one in WRITERS if one != first]
-    second = first_in_order(left)
+    second = first_writer(left)
     assert (
-        patience(place_in_order(second, WRITERS)) == TICK_SECONDS + RANK_DELAY_SECONDS
+        write_delay(rank_of(second, WRITERS))
+        == RENEWAL_INTERVAL_SECONDS + RANK_DELAY_SECONDS
     )
 
 
 def test_slow_processes_write_last():
     """Callers of all processes wait for a write over the slowest link of the fleet."""
-    first = first_in_order(WRITERS)
+    first = first_writer(WRITERS)
     slow = Writer(
-        name=first.name, step=step_of(5 * LATENCY_CLASS_SECONDS, reachable=True)
+        name=first.name,
+        latency_class=latency_class_of(5 * LATENCY_CLASS_SECONDS, reachable=True),
     )
     others = [one for one in WRITERS if one != first]
-    assert place_in_order(slow, others) == len(others)
-    assert first_in_order([slow, *others]) != slow
+    assert rank_of(slow, others) == len(others)
+    assert first_writer([slow, *others]) != slow
 
 
 def test_who_does_not_reach_the_platform_stands_behind_all_who_do():
-    slowest = step_of(60.0, reachable=True)
-    assert slowest < step_of(0.0, reachable=False) == UNREACHABLE_STEP
+    slowest = latency_class_of(60.0, reachable=True)
+    assert slowest < latency_class_of(0.0, reachable=False) == UNREACHABLE_LATENCY_CLASS
 
 
 def test_small_differences_in_speed_change_nothing():
-    assert step_of(0.004, reachable=True) == step_of(0.02, reachable=True) == 0
+    assert (
+        latency_class_of(0.004, reachable=True)
+        == latency_class_of(0.02, reachable=True)
+        == 0
+    )
 
 
 def test_pauses_after_refusals_spread_a_crowd():
-    pauses = [pause_after_refusals(8, Random(seed)) for seed in range(50)]
+    pauses = [backoff_seconds(8, Random(seed)) for seed in range(50)]
     assert max(pauses) <= MAX_BACKOFF_SECONDS
     assert max(pauses) - min(pauses) > MAX_BACKOFF_SECONDS / 2
 
@@ -85,19 +90,19 @@
     wrote for all for dead and wrote by itself, which kept the platform slow.
     """
     seconds = 20.0
-    fleet = [StandIn(random=Random(seed)) for seed in range(processes)]
+    fleet = [FallbackWriter(random=Random(seed)) for seed in range(processes)]
     writes = 0
     for step in range(int(seconds / 0.25)):
         now = step * 0.25
         writes += sum(one.may_write(processes=processes, now=now) for one in fleet)
-    assert 0 < writes / seconds <= 1.5 * STAND_IN_WRITES_PER_SECOND
+    assert 0 < writes / seconds <= 1.5 * FALLBACK_WRITES_PER_SECOND
 
 
 def test_who_is_answered_starts_to_wait_anew():
-    one = StandIn(random=Random(1))
-    longest = 2 * 68 / STAND_IN_WRITES_PER_SECOND
+    one = FallbackWriter(random=Random(1))
+    longest = 2 * 68 / FALLBACK_WRITES_PER_SECOND
     assert not one.may_write(processes=68, now=0.0)
-    one.answered()
+    one.reset()
     assert not one.may_write(processes=68, now=longest)
     assert one.may_write(processes=68, now=2 * longest)
 
@@ -107,29 +112,35 @@
 
     Only who writes learns that writes take long; the others look quick.
     """
-    step_by_name = dict.fromkeys(NAMES, 0)
+    latency_class_by_name = dict.fromkeys(NAMES, 0)
     wrote = []
     for _ in range(20):
-        order = [Writer(name=name, step=step) for name, step in step_by_name.items()]
-        first = first_in_order(order)
-        step_by_name[first.name] = step_of(0.24, reachable=True)
+        order = [
+            Writer(name=name, latency_class=latency_class)
+            for name, latency_class in latency_class_by_name.items()
+        ]
+        first = first_writer(order)
+        latency_class_by_name[first.name] = latency_class_of(0.24, reachable=True)
         wrote.append(first.name)
     assert len(set(wrote)) <= 3
 
 
 def test_a_slow_instance_is_followed_by_quick_ones():
     """Guards against an order that takes a slow writer for a slow platform."""
-    step_by_name = dict.fromkeys(NAMES, 0)
+    latency_class_by_name = dict.fromkeys(NAMES, 0)
     slow = set(NAMES[:14])
     for _ in range(30):
-        order = [Writer(name=name, step=step) for name, step in step_by_name.items()]
-        first = first_in_order(order)
+        order = [
+            Writer(name=name, latency_class=latency_class)
+            for name, latency_class in latency_class_by_name.items()
+        ]
+        first = first_writer(order)
         seconds = 0.1 if first.name in slow else 0.01
-        step_by_name[first.name] = step_of(seconds, reachable=True)
+        latency_class_by_name[first.name] = latency_class_of(seconds, reachable=True)
     assert first.name not in slow
 
 
 def test_who_does_not_reach_a_slow_platform_stays_behind_all():
-    writers = [Writer(name=NAMES[0], step=UNREACHABLE_STEP)]
-    writers += [Writer(name=name, step=6) for name in NAMES[1:4]]
-    assert place_in_order(writers[0], writers[1:]) == 3
+    writers = [Writer(name=NAMES[0], latency_class=UNREACHABLE_LATENCY_CLASS)]
+    writers += [Writer(name=name, latency_class=6) for name in NAMES[1:4]]
+    assert rank_of(writers[0], writers[1:]) == 3
--- a/tests/budget/world.py
+++ b/tests/budget/world.py
@@ -120,18 +120,18 @@
         match end:
             case "ok" if version == self.version:
                 self.put(value)
-                router.refresh.written(value)
+                router.refresh.record_written(value)
             case "ok" | "down":
-                router.refresh.refused()
+                router.refresh.record_refused()
             case "lost":
                 if version == self.version:
                     self.put(value)
-                router.refresh.unknown(version=version)
+                router.refresh.record_unknown(version=version)
             case "late":
                 self.late_writes.append((version, value))
-                router.refresh.unknown(version=version)
+                router.refresh.record_unknown(version=version)
             case "never":
-                router.refresh.unknown(version=version)
+                router.refresh.record_unknown(version=version)
 
     def put(self, value):
         self.ledger, self.version = value, self.version + 1
--- a/tests/ingress/test_budgets.py
+++ b/tests/ingress/test_budgets.py
@@ -5,7 +5,7 @@
 import pytest
 from tests.ingress.in_process import ledger, run_ingress
 
-from ragwortkeel.budget.shards import USABLE_SHARE
+from ragwortkeel.budget.shards import USABLE_FRACTION
 from ragwortkeel.ingress import budget_keeper
 
 PREPAID = 1_000
@@ -46,7 +46,7 @@
         statuses, problem = run_ingress(scenario, prepaid=PREPAID)
         served = statuses.count(200)
         # Each costs 70, and 100 have to be free before it starts.
-        assert served == (int(PREPAID * USABLE_SHARE) - 100) // 70 + 1
+        assert served == (int(PREPAID * USABLE_FRACTION) - 100) // 70 + 1
         assert set(statuses[served:]) == {402}
         assert problem["reason"] == "budget_exhausted"
 
--- a/tests/ingress/test_clocks.py
+++ b/tests/ingress/test_clocks.py
@@ -47,4 +47,4 @@
         successor would charge the whole slice; to the ledger it was still capped.
         """
         later = reading(monotonic=101.0, boot=106.0, wall=1006.0)
-        assert later.surely_since(reading()) == 1.0
+        assert later.min_seconds_since(reading()) == 1.0
--- a/tests/ingress/test_configuration_spread.py
+++ b/tests/ingress/test_configuration_spread.py
@@ -157,8 +157,8 @@
         monkeypatch.setattr(peers, "CLOCKS_SECONDS", 60.0)
         for rare in ("HEARTBEAT_SECONDS", "SILENCE_SECONDS"):
             monkeypatch.setattr(mesh, rare, 60.0)
-        monkeypatch.setattr(renewals, "TICK_SECONDS", 60.0)
-        monkeypatch.setattr(renewals, "patience", lambda place, **step: 60.0)
+        monkeypatch.setattr(renewals, "RENEWAL_INTERVAL_SECONDS", 60.0)
+        monkeypatch.setattr(renewals, "write_delay", lambda rank, **_: 60.0)
 
         async def scenario(fleet):
             await curio.sleep(SETTLED_SECONDS)
--- a/tests/ingress/test_renewals.py
+++ b/tests/ingress/test_renewals.py
@@ -6,7 +6,7 @@
 from ragwortkeel.budget.allowance import Allowances
 from ragwortkeel.budget.clocks import read_clocks
 from ragwortkeel.budget.shards import SHARDS_KIND, decode_shard
-from ragwortkeel.budget.turns import STAND_IN_WRITES_PER_SECOND
+from ragwortkeel.budget.write_order import FALLBACK_WRITES_PER_SECOND
 from ragwortkeel.ingress.configuration import Customer
 from ragwortkeel.ingress.ledger_store import SHARD_NAME
 from ragwortkeel.ingress.renewals import Renewals
@@ -90,11 +90,11 @@
 
     async def served(self, tokens):
         """Wait as a request does for so many tokens."""
-        self.account.waiting += tokens
+        self.account.waiting_tokens += tokens
         while self.account.reserve(tokens) is None:
             await self.renewals.wake()
             await curio.sleep(0.005)
-        self.account.waiting -= tokens
+        self.account.waiting_tokens -= tokens
 
 
 def run_two(scenario):
@@ -355,7 +355,7 @@
         return len(tries), sum(at >= ended - 1.0 for at in tries)
 
     in_all, in_the_end = curio.run(main)
-    stand_ins = STAND_IN_WRITES_PER_SECOND
+    stand_ins = FALLBACK_WRITES_PER_SECOND
     # Some take the first for dead before they have learnt how long writes take now.
     assert in_all <= seconds * (3 / PLATFORM_SECONDS + stand_ins)
     assert in_the_end <= 1 / PLATFORM_SECONDS + stand_ins
--- a/tests/ingress/test_writers.py
+++ b/tests/ingress/test_writers.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from ragwortkeel.budget.turns import UNREACHABLE_STEP
+from ragwortkeel.budget.write_order import UNREACHABLE_LATENCY_CLASS
 from ragwortkeel.ingress.writers import Writers
 from ragwortkeel.messages import RenewalCall, RenewalsWritten, WriteOutcome
 
@@ -43,7 +43,7 @@
 
 class TestOrder:
     def test_a_slow_process_stands_behind_all_quick_ones(self):
-        assert writers(three(), step=UNREACHABLE_STEP).place() == 3
+        assert writers(three(), step=UNREACHABLE_LATENCY_CLASS).place() == 3
 
     def test_a_process_that_leaves_stands_last_and_hands_over(self):
         links = three()
@@ -52,7 +52,7 @@
         assert curio.run(one.hand_over, RenewalCall()) in links
 
     def test_a_peer_that_leaves_or_was_mute_is_not_counted(self):
-        one = writers(three(), step=UNREACHABLE_STEP)
+        one = writers(three(), step=UNREACHABLE_LATENCY_CLASS)
         one.note_leaving("peer0:1", leaving=True)
         one.avoid("peer1:1")
         assert one.place() == 1
@@ -61,7 +61,7 @@
 
     def test_a_peer_that_is_no_longer_heard_is_not_counted(self):
         links = three()
-        one = writers(links, step=UNREACHABLE_STEP)
+        one = writers(links, step=UNREACHABLE_LATENCY_CLASS)
         del links["peer0:1"]
         assert one.place() == 2
 
@@ -105,7 +105,7 @@
     def test_what_could_not_be_sent_was_not_handed_over(self):
         """Callers wait for tokens that nobody was asked for."""
         links = {"peer0:1": FakeLink(broken=True)}
-        one = writers(links, step=UNREACHABLE_STEP)
+        one = writers(links, step=UNREACHABLE_LATENCY_CLASS)
         assert curio.run(one.hand_over, RenewalCall()) is None
 
     def test_all_are_called_and_a_holder_is_told_by_its_name(self):
