--- a/src/ragwortkeel/policy/admission.py
+++ b/src/ragwortkeel/policy/admission.py
@@ -28,11 +28,11 @@
 
 Key = TypeVar("Key")
 
-SMOOTHING = 0.1
+SMOOTHING_WEIGHT = 0.1
 """Weight of one more sample: about the last ten requests of a profile count, so
 an estimate follows a slowdown within a second or two at the usual rates."""
 
-TOTAL_MARGIN = 1.5
+DURATION_MARGIN_FACTOR = 1.5
 """Times the smoothed whole time that must be left before the deadline: answers
 differ in length, and one begun too late is paid for and of no use."""
 
@@ -40,11 +40,11 @@
 """Profiles with an estimate at one router, a few megabytes; the longest known is
 forgotten first, and then refuses nothing until its next sample."""
 
-SHORTEST_RETRY_SECONDS = 0.5
-LONGEST_RETRY_SECONDS = 30.0
+MIN_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 30.0
 """Longer forecasts of a queue are guesses."""
 
-RETRY_SPREAD = 0.25
+RETRY_SPREAD_FRACTION = 0.25
 """Callers refused together come back spread over a quarter of the wait, or the
 burst would return as a burst."""
 
@@ -59,18 +59,18 @@
         self._first_token_by_profile: dict[str, float] = {}
         self._total_by_profile: dict[str, float] = {}
 
-    def first_token(self, request: RequestFacts, seconds: float) -> None:
+    def record_first_token(self, request: RequestFacts, seconds: float) -> None:
         """Take in one time to the first token."""
-        _take_in(self._first_token_by_profile, request.profile, seconds)
+        _record_sample(self._first_token_by_profile, request.profile, seconds)
 
-    def finished(self, request: RequestFacts, seconds: float) -> None:
+    def record_duration(self, request: RequestFacts, seconds: float) -> None:
         """Take in one whole run's time."""
-        _take_in(self._total_by_profile, request.profile, seconds)
+        _record_sample(self._total_by_profile, request.profile, seconds)
 
     def latest_start(self, request: RequestFacts) -> tuple[float, Reason]:
         """Return when the request must be dispatched, and the promise that binds."""
         total = self._total_by_profile.get(request.profile, 0.0)
-        by_deadline = request.deadline - TOTAL_MARGIN * total
+        by_deadline = request.deadline - DURATION_MARGIN_FACTOR * total
         if request.service is not ServiceClass.INTERACTIVE:
             return by_deadline, Reason.DEADLINE
         first_token = self._first_token_by_profile.get(request.profile, 0.0)
@@ -80,26 +80,26 @@
         return by_deadline, Reason.DEADLINE
 
 
-class Places:
+class CompletionIntervals:
     """How often a place comes free for a set of back ends, by Little's law."""
 
     def __init__(self) -> None:
         self._in_flight_by_pool: dict[tuple[str, ...], int] = {}
         self._seconds_by_pool: dict[tuple[str, ...], float] = {}
 
-    def started(self, pool: tuple[str, ...]) -> None:
+    def record_start(self, pool: tuple[str, ...]) -> None:
         """Count a dispatched request."""
         self._in_flight_by_pool[pool] = self._in_flight_by_pool.get(pool, 0) + 1
 
-    def ended(self, pool: tuple[str, ...]) -> None:
+    def record_end(self, pool: tuple[str, ...]) -> None:
         """Count a request that runs no more."""
         self._in_flight_by_pool[pool] -= 1
 
-    def finished(self, pool: tuple[str, ...], seconds: float) -> None:
+    def record_duration(self, pool: tuple[str, ...], seconds: float) -> None:
         """Take in one whole run's time."""
-        _take_in(self._seconds_by_pool, pool, seconds)
+        _record_sample(self._seconds_by_pool, pool, seconds)
 
-    def seconds_between(self, pool: tuple[str, ...]) -> float:
+    def mean_seconds(self, pool: tuple[str, ...]) -> float:
         """Return the seconds from one place to the next; 0 before any finished."""
         in_flight = max(1, self._in_flight_by_pool.get(pool, 0))
         return self._seconds_by_pool.get(pool, 0.0) / in_flight
@@ -135,18 +135,18 @@
         return max(known, _smooth(known, now - self._last))
 
 
-def retry_after(excess_seconds: float, random: Random) -> float:
+def queue_retry_delay(excess_seconds: float, random: Random) -> float:
     """Return when the line should be short enough, spread at random."""
-    seconds = max(SHORTEST_RETRY_SECONDS, excess_seconds)
-    seconds *= 1.0 + RETRY_SPREAD * random.random()
-    return min(LONGEST_RETRY_SECONDS, seconds)
+    seconds = max(MIN_RETRY_SECONDS, excess_seconds)
+    seconds *= 1.0 + RETRY_SPREAD_FRACTION * random.random()
+    return min(MAX_RETRY_SECONDS, seconds)
 
 
 def _smooth(known: float, sample: float) -> float:
-    return known + SMOOTHING * (sample - known)
+    return known + SMOOTHING_WEIGHT * (sample - known)
 
 
-def _take_in(known_by_key: dict[Key, float], key: Key, sample: float) -> None:
+def _record_sample(known_by_key: dict[Key, float], key: Key, sample: float) -> None:
     if key not in known_by_key and len(known_by_key) >= MAX_PROFILES:
         del known_by_key[next(iter(known_by_key))]
     known_by_key[key] = _smooth(known_by_key.get(key, sample), sample)
--- a/src/ragwortkeel/policy/announced_limits.py
+++ b/src/ragwortkeel/policy/announced_limits.py
@@ -12,10 +12,10 @@
 
 from ragwortkeel.policy.fleet_rates import FleetRate
 
-LEAST_PER_SECOND = 0.25
+MIN_REQUESTS_PER_SECOND = 0.25
 """Of a limit near zero: without any request nobody would find out that it ended."""
 
-FEWEST_SENDERS = 3
+MIN_SENDERS = 3
 """Processes that share the lowest limit: two of them may be dead or lack callers."""
 
 SENDERS_PER_REQUEST = 1.5
@@ -23,14 +23,14 @@
 use an upstream whose limit is hardly below its load.  Each may add one request that it
 has saved up, and an upstream takes a burst of half its limit and a few more."""
 
-SAVED_SECONDS = 0.5
+BURST_SECONDS = 0.5
 """Of its share, what an idle sender saves up: requests come in bursts."""
 
-UNCONFIRMED_SECONDS = 5.0
+CONFIRMATION_SECONDS = 5.0
 """A limit that no answer named for so long is shared by all processes equally: those
 that were chosen to send may be gone."""
 
-REPORTED_SECONDS = 5.0
+REPORTING_SECONDS = 5.0
 """For how long a statement is passed on to peers; their reports are seconds apart in
 a large fleet."""
 
@@ -117,10 +117,10 @@
         if known is None or known.per_second is None:
             return None
         return FleetRate(
-            per_second=max(LEAST_PER_SECOND, known.per_second),
-            senders=FEWEST_SENDERS + int(SENDERS_PER_REQUEST * known.per_second),
-            saved_seconds=SAVED_SECONDS,
-            known_to_all=now - known.at < UNCONFIRMED_SECONDS,
+            per_second=max(MIN_REQUESTS_PER_SECOND, known.per_second),
+            senders=MIN_SENDERS + int(SENDERS_PER_REQUEST * known.per_second),
+            saved_seconds=BURST_SECONDS,
+            known_to_all=now - known.at < CONFIRMATION_SECONDS,
         )
 
     def recent(self, now: float) -> dict[str, Statement]:
@@ -131,7 +131,7 @@
         return {
             name: statement
             for name, statement in self._statement_by_upstream.items()
-            if statement.own and now - statement.changed_at < REPORTED_SECONDS
+            if statement.own and now - statement.changed_at < REPORTING_SECONDS
         }
 
     def forget(self, upstream: str) -> None:
--- a/src/ragwortkeel/policy/choice.py
+++ b/src/ragwortkeel/policy/choice.py
@@ -10,7 +10,8 @@
   all makes every router run to the one upstream that looked idle in the last
   report; round robin keeps feeding a slow one.
 - A prefix goes to its first candidate while that is not much busier than the
-  mean (`LOAD_BOUND`).  Without the bound one hot prefix overloads one upstream.
+  mean (`LOAD_BOUND_FRACTION`).  Without the bound one hot prefix overloads one
+  upstream.
 - Reports lag, so a router replaces its own part of a report by what it knows
   now (`LoadEstimate`).  Without that it sends a whole burst to one upstream
   before the next report comes.
@@ -25,10 +26,10 @@
 from hashlib import blake2b
 from random import Random
 
-CANDIDATES = 3
+CANDIDATE_COUNT = 3
 """Few enough to ask them all on a retry, enough to lose one and draw two."""
 
-LOAD_BOUND = 0.5
+LOAD_BOUND_FRACTION = 0.5
 """A prefix's first upstream may be busier than the mean by this part of what is
 idle: a lot in quiet times, when a hit is all there is to gain, and nothing in a
 saturated fleet, where balance is worth more."""
@@ -47,18 +48,18 @@
     name: str
     zone: str
     load: float
-    room: float
+    limit: float
     claimed: float = 0.0
 
     @property
-    def has_room(self) -> bool:
+    def has_headroom(self) -> bool:
         """Whether one more request fits."""
-        return self.load + self.claimed + 1.0 <= self.room
+        return self.load + self.claimed + 1.0 <= self.limit
 
     @property
     def utilisation(self) -> float:
         """Load as a share of the room, the request to place included."""
-        return (self.load + 1.0) / max(self.room, 1e-9)
+        return (self.load + 1.0) / max(self.limit, 1e-9)
 
 
 class LoadEstimate:
@@ -74,43 +75,43 @@
         False takes reports as they are, to measure what the correction buys.
     """
 
-    def __init__(self, *, corrects: bool = True) -> None:
-        self._corrects = corrects
+    def __init__(self, *, apply_correction: bool = True) -> None:
+        self._corrects = apply_correction
         self.own = 0
-        self._others = 0.0
+        self._others_reported = 0.0
         self._own_reported = 0
         self._changes: deque[tuple[float, int]] = deque()
 
-    def started(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Count one more request of one's own there."""
-        self._change(1, now)
+        self._change_own(1, now)
 
-    def ended(self, now: float) -> None:
+    def record_end(self, now: float) -> None:
         """Count one less."""
-        self._change(-1, now)
+        self._change_own(-1, now)
 
-    def report(self, total: int, taken_at: float) -> None:
+    def record_report(self, total: int, taken_at: float) -> None:
         """Take over a report of `total` requests there at `taken_at`."""
         while len(self._changes) > 1 and self._changes[1][0] <= taken_at:
             self._changes.popleft()
         own_then = 0
         if self._changes and self._changes[0][0] <= taken_at:
             own_then = self._changes[0][1]
-        self._others = float(max(0, total - own_then))
+        self._others_reported = float(max(0, total - own_then))
         self._own_reported = own_then
 
-    def full(self, room: float) -> None:
+    def assume_full(self, limit: float) -> None:
         """Believe that there is no room until the next report."""
-        self._others = max(self._others, room - self.own)
+        self._others_reported = max(self._others_reported, limit - self.own)
 
     @property
     def load(self) -> float:
         """Requests running or waiting there, own and others'."""
         if not self._corrects:
-            return self._others + self._own_reported
-        return self._others + self.own
+            return self._others_reported + self._own_reported
+        return self._others_reported + self.own
 
-    def claimed(self, room: float) -> float:
+    def claimed_by_others(self, limit: float) -> float:
         """Return how much of the free room other routers are to take.
 
         All routers see the same free room in the same report.  If each took all
@@ -119,15 +120,15 @@
         that has nothing there may take one place: a router just started has no
         part anywhere.
         """
-        reported = self._own_reported + self._others
+        reported = self._own_reported + self._others_reported
         part = (self._own_reported + 1.0) / (reported + 1.0)
-        free = max(0.0, room - reported)
+        free = max(0.0, limit - reported)
         if self._own_reported:
             return (1.0 - part) * free
         return min((1.0 - part) * free, max(0.0, free - 1.0))
 
-    def _change(self, step: int, now: float) -> None:
-        self.own += step
+    def _change_own(self, change: int, now: float) -> None:
+        self.own += change
         self._changes.append((now, self.own))
         while self._changes[0][0] < now - HISTORY_SECONDS and len(self._changes) > 1:
             self._changes.popleft()
@@ -153,8 +154,8 @@
     prefix: str,
     zone: str,
     random: Random,
-    width: int = CANDIDATES,
-    bound: float = LOAD_BOUND,
+    preferred_count: int = CANDIDATE_COUNT,
+    bound: float = LOAD_BOUND_FRACTION,
 ) -> Candidate | None:
     """Return the upstream for one request, or None where none has room.
 
@@ -168,13 +169,19 @@
         The router's own zone; empty for no preference.
     random : random.Random
         Draws the two.
-    width, bound : int, float
-        See `CANDIDATES` and `LOAD_BOUND`.
+    preferred_count, bound : int, float
+        See `CANDIDATE_COUNT` and `LOAD_BOUND_FRACTION`.
     """
-    near = [candidate for candidate in ordered[:width] if candidate.has_room]
+    near = [
+        candidate for candidate in ordered[:preferred_count] if candidate.has_headroom
+    ]
     if not near:
         # All of the few are full: a run elsewhere beats a refusal.
-        near = [candidate for candidate in ordered[width:] if candidate.has_room]
+        near = [
+            candidate
+            for candidate in ordered[preferred_count:]
+            if candidate.has_headroom
+        ]
     if not near:
         return None
     if prefix and _within(near[0], ordered, bound):
--- a/src/ragwortkeel/policy/ejection.py
+++ b/src/ragwortkeel/policy/ejection.py
@@ -18,13 +18,13 @@
 FAILURES_TO_EJECT = 3
 """Errors in a row; one or two may be the request's own fault."""
 
-FIRST_PAUSE_SECONDS = 1.0
+FIRST_BACKOFF_SECONDS = 1.0
 """Short, so that a passing error costs little; doubled with each ejection."""
 
-LONGEST_PAUSE_SECONDS = 30.0
+MAX_BACKOFF_SECONDS = 30.0
 """An upstream that was away for an hour is still tried twice a minute."""
 
-USABLE_SHARE = 1 / 3
+MIN_USABLE_FRACTION = 1 / 3
 """Of each back end at least this share stays in use: losing one zone of three
 ejects a third, two zones two thirds; more than that is likelier to be a fault
 on the router's own side."""
@@ -64,7 +64,7 @@
         self,
         *,
         failures_to_eject: int = FAILURES_TO_EJECT,
-        first_pause_seconds: float = FIRST_PAUSE_SECONDS,
+        first_pause_seconds: float = FIRST_BACKOFF_SECONDS,
     ) -> None:
         self._failures_to_eject = failures_to_eject
         self._first_pause_seconds = first_pause_seconds
@@ -110,7 +110,7 @@
                     away.append((until, name))
                 case Probing(since=since):
                     away.append((since, name))
-        missing = ceil(USABLE_SHARE * len(names)) - len(probe_by_name)
+        missing = ceil(MIN_USABLE_FRACTION * len(names)) - len(probe_by_name)
         for _, name in sorted(away)[: max(0, missing)]:
             probe_by_name[name] = False
         return probe_by_name
@@ -167,7 +167,7 @@
                 return False
 
     def _eject(self, upstream: str, ejections: int, now: float) -> bool:
-        pause = min(LONGEST_PAUSE_SECONDS, self._first_pause_seconds * 2**ejections)
+        pause = min(MAX_BACKOFF_SECONDS, self._first_pause_seconds * 2**ejections)
         self._by_upstream[upstream] = Ejected(
             until=now + pause, ejections=min(ejections + 1, 16)
         )
--- a/src/ragwortkeel/policy/fleet_rates.py
+++ b/src/ragwortkeel/policy/fleet_rates.py
@@ -26,10 +26,10 @@
 
 from ragwortkeel.policy.choice import rendezvous
 
-SENDERS = 2
+SENDERS_PER_UPSTREAM = 2
 """Processes that send to one cold upstream; one alone may be dead or lack callers."""
 
-LEARNING_SECONDS = 0.5
+DISCOVERY_SECONDS = 0.5
 """After its start a process has not heard of the others yet and sends nothing to
 bounded upstreams.  Longer would leave a fleet that starts with its upstreams idle."""
 
@@ -51,7 +51,7 @@
     """
 
     per_second: float
-    senders: int = SENDERS
+    senders: int = SENDERS_PER_UPSTREAM
     saved_seconds: float = 0.0
     known_to_all: bool = True
 
@@ -97,7 +97,9 @@
             return EqualShare(processes=len(names) + 1)
 
 
-def share_of_rate(sharing: Sharing, upstream: str, *, senders: int = SENDERS) -> float:
+def rate_fraction(
+    sharing: Sharing, upstream: str, *, senders: int = SENDERS_PER_UPSTREAM
+) -> float:
     """Return the part of the fleet's rate that this process has at an upstream."""
     match sharing:
         case EqualShare(processes=processes):
@@ -108,18 +110,18 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Share:
+class _CachedFraction:
     """A part of the rate, kept as long as what it was worked out from."""
 
     sharing: Sharing
     senders: int
-    part: float
+    fraction: float
 
 
 @dataclass(kw_only=True)
 class _Bucket:
     level: float
-    at: float
+    updated_at: float
 
 
 class FleetRates:
@@ -154,16 +156,16 @@
     ) -> None:
         self._sharing = sharing
         self._random = random
-        self._learned_at = started + LEARNING_SECONDS
+        self._discovery_ends_at = started + DISCOVERY_SECONDS
         self._bucket_by_upstream: dict[str, _Bucket] = {}
-        self._share_by_upstream: dict[str, _Share] = {}
+        self._cached_fraction_by_upstream: dict[str, _CachedFraction] = {}
 
     def own_rate(self, upstream: str, rate: FleetRate) -> float:
         """Return this process's part of the rate, in requests a second."""
         sharing = self._sharing()
         if not rate.known_to_all:
             sharing = _equal_among_all(sharing)
-        return rate.per_second * self._part(sharing, upstream, rate.senders)
+        return rate.per_second * self._fraction(sharing, upstream, rate.senders)
 
     def may_send(self, upstream: str, rate: FleetRate, *, now: float) -> bool:
         """Whether the upstream may be sent one more request now."""
@@ -171,28 +173,28 @@
 
     def seconds_to_next(self, upstream: str, rate: FleetRate, *, now: float) -> float:
         """Return when it may be sent one more; infinite for another's to send."""
-        if now < self._learned_at:
-            return self._learned_at - now
+        if now < self._discovery_ends_at:
+            return self._discovery_ends_at - now
         bucket = self._bucket_by_upstream.get(upstream)
         if bucket is None:
-            bucket = _Bucket(level=self._random.random(), at=now)
+            bucket = _Bucket(level=self._random.random(), updated_at=now)
             self._bucket_by_upstream[upstream] = bucket
         own_rate = self.own_rate(upstream, rate)
         most = 1.0 + rate.saved_seconds * own_rate
-        bucket.level = min(most, bucket.level + own_rate * (now - bucket.at))
-        bucket.at = now
+        bucket.level = min(most, bucket.level + own_rate * (now - bucket.updated_at))
+        bucket.updated_at = now
         if bucket.level >= 1.0:
             return 0.0
         return (1.0 - bucket.level) / own_rate if own_rate else inf
 
-    def _part(self, sharing: Sharing, upstream: str, senders: int) -> float:
+    def _fraction(self, sharing: Sharing, upstream: str, senders: int) -> float:
         # Ranking all processes of a large fleet for each request would be slow.
-        known = self._share_by_upstream.get(upstream)
+        known = self._cached_fraction_by_upstream.get(upstream)
         if known is None or (known.sharing, known.senders) != (sharing, senders):
-            part = share_of_rate(sharing, upstream, senders=senders)
-            known = _Share(sharing=sharing, senders=senders, part=part)
-            self._share_by_upstream[upstream] = known
-        return known.part
+            part = rate_fraction(sharing, upstream, senders=senders)
+            known = _CachedFraction(sharing=sharing, senders=senders, fraction=part)
+            self._cached_fraction_by_upstream[upstream] = known
+        return known.fraction
 
     def sent(self, upstream: str) -> None:
         """Note that a request goes to an upstream with a bound."""
@@ -201,7 +203,7 @@
     def forget(self, upstream: str) -> None:
         """Drop what was counted for an upstream without a bound."""
         self._bucket_by_upstream.pop(upstream, None)
-        self._share_by_upstream.pop(upstream, None)
+        self._cached_fraction_by_upstream.pop(upstream, None)
 
     def keep(self, upstreams: Iterable[str]) -> None:
         """Drop what was counted for upstreams that are gone."""
--- a/src/ragwortkeel/policy/quarantine.py
+++ b/src/ragwortkeel/policy/quarantine.py
@@ -28,7 +28,7 @@
 """The third was to be the run alone.  Counting it bounds a crashing request also
 where the router died before it could tell that the run was alone."""
 
-KEEP_SECONDS = 24 * 3600.0
+RETENTION_SECONDS = 24 * 3600.0
 """Longer than callers keep sending one body again, shorter than the time until
 a mended engine version is out."""
 
@@ -91,12 +91,12 @@
 
     def __init__(self, *, keep: int = MAX_FINGERPRINTS) -> None:
         self._keep = keep
-        self._by_fingerprint: OrderedDict[str, Suspicion] = OrderedDict()
+        self._suspicion_by_fingerprint: OrderedDict[str, Suspicion] = OrderedDict()
 
     def crashed(self, crash: Crash, now: float) -> bool:
         """Take in a crash, own or told; return whether it was news to pass on."""
         news = [name for name in crash.fingerprints if self._add(name, crash, now)]
-        self._forget(now)
+        self._discard_old(now)
         return bool(news)
 
     def finished(self, name: str) -> bool:
@@ -106,10 +106,10 @@
         whole answer proves it innocent.  Without clearing, a body that many
         callers send at once would gather crashes that are not its doing.
         """
-        known = self._by_fingerprint.get(name)
+        known = self._suspicion_by_fingerprint.get(name)
         if known is None or known.crashed_alone or not known.crash_ids:
             return False
-        self._by_fingerprint[name] = replace(
+        self._suspicion_by_fingerprint[name] = replace(
             known,
             crash_ids=frozenset(),
             cleared_ids=known.cleared_ids | known.crash_ids,
@@ -118,7 +118,7 @@
 
     def verdict(self, name: str) -> Verdict:
         """Return what may be done with a request of this fingerprint."""
-        known = self._by_fingerprint.get(name)
+        known = self._suspicion_by_fingerprint.get(name)
         if known is None or not (known.crash_ids or known.crashed_alone):
             return Verdict.CLEAR
         crashes = len(known.crash_ids)
@@ -129,24 +129,24 @@
         return Verdict.SUSPECT
 
     def _add(self, name: str, crash: Crash, now: float) -> bool:
-        known = self._by_fingerprint.get(name, Suspicion())
+        known = self._suspicion_by_fingerprint.get(name, Suspicion())
         seen = known.crash_ids | known.cleared_ids
         told_alone = crash.alone and not known.crashed_alone
         if crash.crash_id in seen and not told_alone:
             return False
-        self._by_fingerprint[name] = replace(
+        self._suspicion_by_fingerprint[name] = replace(
             known,
             crash_ids=known.crash_ids | {crash.crash_id},
             crashed_alone=known.crashed_alone or crash.alone,
             seen_at=now,
         )
-        self._by_fingerprint.move_to_end(name)
+        self._suspicion_by_fingerprint.move_to_end(name)
         return True
 
-    def _forget(self, now: float) -> None:
-        while self._by_fingerprint:
-            oldest = next(iter(self._by_fingerprint.values()))
-            full = len(self._by_fingerprint) > self._keep
-            if not full and oldest.seen_at + KEEP_SECONDS > now:
+    def _discard_old(self, now: float) -> None:
+        while self._suspicion_by_fingerprint:
+            oldest = next(iter(self._suspicion_by_fingerprint.values()))
+            full = len(self._suspicion_by_fingerprint) > self._keep
+            if not full and oldest.seen_at + RETENTION_SECONDS > now:
                 return
-            self._by_fingerprint.popitem(last=False)
+            self._suspicion_by_fingerprint.popitem(last=False)
--- a/src/ragwortkeel/policy/retries.py
+++ b/src/ragwortkeel/policy/retries.py
@@ -19,15 +19,15 @@
 
 from collections.abc import Hashable
 
-RETRY_SHARE = 0.1
+RETRY_FRACTION = 0.1
 """Ten retries to a hundred requests: losing one upstream of ten at once needs
 about as many, and the others can carry it at 90% load."""
 
-RESERVE = 5.0
+RESERVE_RETRIES = 5.0
 """Retries saved up at the most by a quiet router: the failure of one upstream
 leaves a handful of requests to run again."""
 
-START_RETRIES = 3.0
+INITIAL_RETRIES = 3.0
 """Retries of a process that has just started: one upstream that fails is ejected after
 as many.  With a whole reserve a series of kills, or a fleet that starts at once, would
 send the reserves of all its starts together."""
@@ -40,7 +40,7 @@
 """Three independent upstreams failing one request point at the request."""
 
 
-def reserve_of_one(*, processes: int, most: float = RESERVE) -> float:
+def reserve_of_one(*, processes: int, most: float = RESERVE_RETRIES) -> float:
     """Return one process's part of the fleet's reserve: one retry at the least.
 
     Parameters
@@ -74,10 +74,12 @@
     True
     """
 
-    def __init__(self, *, share: float = RETRY_SHARE, reserve: float = RESERVE) -> None:
+    def __init__(
+        self, *, share: float = RETRY_FRACTION, reserve: float = RESERVE_RETRIES
+    ) -> None:
         self._share = share
         self._reserve = reserve
-        self._tokens = min(reserve, START_RETRIES)
+        self._tokens = min(reserve, INITIAL_RETRIES)
 
     @property
     def saved(self) -> float:
@@ -113,7 +115,9 @@
     True
     """
 
-    def __init__(self, *, share: float = RETRY_SHARE, reserve: float = RESERVE) -> None:
+    def __init__(
+        self, *, share: float = RETRY_FRACTION, reserve: float = RESERVE_RETRIES
+    ) -> None:
         self._share = share
         self._reserve = reserve
         self._budget_by_service: dict[Hashable, RetryBudget] = {}
--- a/src/ragwortkeel/policy/returns.py
+++ b/src/ragwortkeel/policy/returns.py
@@ -8,19 +8,21 @@
 
 from random import Random
 
-SHORTEST_SECONDS = 0.5
+MIN_DELAY_SECONDS = 0.5
 """Sooner, little has changed: answers that hold tokens or places take that long."""
 
-LONGEST_SECONDS = 6.0
+MAX_DELAY_SECONDS = 6.0
 """Later, callers cut the wait short by themselves; most of their deadlines are 15 s
 and less, of which they wait a third."""
 
-SPREAD = 0.3
+SPREAD_FRACTION = 0.3
 """Of the wait, added at random: a hundred callers that were refused in one second
 come back over a third of the wait or more."""
 
 
 def return_after(seconds: float, random: Random) -> float:
     """Return the seconds to tell a caller that can be served in about `seconds`."""
-    wait = max(SHORTEST_SECONDS, seconds)
-    return round(min(LONGEST_SECONDS, wait * (1.0 + SPREAD * random.random())), 2)
+    wait = max(MIN_DELAY_SECONDS, seconds)
+    return round(
+        min(MAX_DELAY_SECONDS, wait * (1.0 + SPREAD_FRACTION * random.random())), 2
+    )
--- a/src/ragwortkeel/policy/scheduler.py
+++ b/src/ragwortkeel/policy/scheduler.py
@@ -10,7 +10,12 @@
 from random import Random
 
 from ragwortkeel.configuration import ServiceClass
-from ragwortkeel.policy.admission import Places, ServiceTimes, Turns, retry_after
+from ragwortkeel.policy.admission import (
+    CompletionIntervals,
+    ServiceTimes,
+    Turns,
+    queue_retry_delay,
+)
 from ragwortkeel.policy.facts import (
     Assignment,
     Decision,
@@ -23,7 +28,7 @@
     UpstreamFacts,
 )
 from ragwortkeel.policy.quarantine import Crash, Quarantine, Verdict
-from ragwortkeel.policy.queueing import FairQueue, Waiting
+from ragwortkeel.policy.queueing import FairQueue, QueuedRequest
 from ragwortkeel.policy.retries import MAX_ATTEMPTS, RetryBudgets
 from ragwortkeel.policy.settings import Mechanism, SchedulerSettings
 from ragwortkeel.policy.upstreams import UpstreamTable
@@ -36,7 +41,7 @@
 class _Running:
     """A request that was dispatched and has not ended."""
 
-    waiting: Waiting
+    waiting: QueuedRequest
     upstream: str
     dispatched_at: float
     first_token_seen: bool = False
@@ -93,23 +98,25 @@
         self._upstreams = UpstreamTable(
             zone=zone, random=random, settings=self._settings
         )
-        self._queues_by_pool: dict[tuple[str, ...], FairQueue] = {}
-        self._turns_by_line: dict[tuple[tuple[str, ...], ServiceClass], Turns] = {}
-        self._alone_by_id: dict[str, Waiting] = {}
+        self._queue_by_pool: dict[tuple[str, ...], FairQueue] = {}
+        self._dequeue_intervals_by_queue: dict[
+            tuple[tuple[str, ...], ServiceClass], Turns
+        ] = {}
+        self._alone_by_id: dict[str, QueuedRequest] = {}
         self._running_by_id: dict[str, _Running] = {}
         self._refusals: list[Refusal] = []
-        self._retries = RetryBudgets(share=self._settings.retry_share)
+        self._retries = RetryBudgets(share=self._settings.retry_fraction)
         self._quarantine = Quarantine()
-        self._times = ServiceTimes()
-        self._places = Places()
+        self._service_times = ServiceTimes()
+        self._completion_intervals = CompletionIntervals()
 
     def upstreams_changed(self, upstreams: Iterable[UpstreamFacts], now: float) -> None:
         """Take over the upstreams that may be given new work from now on."""
-        self._upstreams.changed(upstreams, now)
+        self._upstreams.set_upstreams(upstreams, now)
 
     def report(self, report: LoadReport, now: float) -> None:
         """Take in what a sidecar says of its upstream's load."""
-        self._upstreams.report(report, now)
+        self._upstreams.record_load(report, now)
 
     def crashed(self, crash: Crash, now: float) -> bool:
         """Take in an upstream's crash; return whether it was news to pass on."""
@@ -118,14 +125,16 @@
     def offer(self, request: RequestFacts, now: float) -> Decision:
         """Decide on a new request; `Queued` is followed up by `next`."""
         self._retries.of(request.back_ends).earn()
-        latest_start, _ = self._times.latest_start(request)
-        return self._consider(Waiting(request=request, latest_start=latest_start), now)
+        latest_start, _ = self._service_times.latest_start(request)
+        return self._decide(
+            QueuedRequest(request=request, latest_start=latest_start), now
+        )
 
     def next(self, now: float) -> tuple[Assignment | Refusal, ...]:
         """Return what is to be dispatched or refused now."""
         out: list[Assignment | Refusal] = []
-        for back_ends, queue in self._queues_by_pool.items():
-            self._refusals += [self._refuse_late(w) for w in queue.expired(now)]
+        for back_ends, queue in self._queue_by_pool.items():
+            self._refusals += [self._refuse_late(w) for w in queue.pop_expired(now)]
             if len(queue) and not self._upstreams.serving(back_ends):
                 self._refusals += [_no_upstream(each) for each in queue.clear()]
             out += self._dispatch_from(queue, now)
@@ -136,7 +145,7 @@
 
     def next_wake(self) -> float | None:
         """Return when `next` must be called at the latest; None if never."""
-        times = [queue.next_expiry() for queue in self._queues_by_pool.values()]
+        times = [queue.next_expiry_at() for queue in self._queue_by_pool.values()]
         times += [waiting.latest_start for waiting in self._alone_by_id.values()]
         return min((each for each in times if each is not None), default=None)
 
@@ -147,31 +156,31 @@
             return
         self._running_by_id[request_id] = replace(running, first_token_seen=True)
         seconds = now - running.dispatched_at
-        self._times.first_token(running.waiting.request, seconds)
-        self._upstreams.succeeded(running.upstream, now)
+        self._service_times.record_first_token(running.waiting.request, seconds)
+        self._upstreams.record_success(running.upstream, now)
 
     def finished(self, request_id: str, now: float) -> None:
         """Note that a request ended with its whole answer."""
         self.first_token(request_id, now)
-        running = self._end(request_id, now)
+        running = self._remove_running(request_id, now)
         if running is None:
             return
         request = running.waiting.request
         seconds = now - running.dispatched_at
-        self._times.finished(request, seconds)
-        self._places.finished(request.back_ends, seconds)
+        self._service_times.record_duration(request, seconds)
+        self._completion_intervals.record_duration(request.back_ends, seconds)
         self._quarantine.finished(request.fingerprint)
 
     def left(self, request_id: str, now: float) -> str | None:
         """Note that the caller is gone; return the upstream to cancel at."""
         if self._alone_by_id.pop(request_id, None):
             return None
-        if any(queue.remove(request_id) for queue in self._queues_by_pool.values()):
+        if any(queue.remove(request_id) for queue in self._queue_by_pool.values()):
             return None
-        running = self._end(request_id, now)
+        running = self._remove_running(request_id, now)
         if running is None:
             return None
-        self._upstreams.given_up(running.upstream, now)
+        self._upstreams.record_no_verdict(running.upstream, now)
         return running.upstream
 
     def failed(self, request_id: str, failure: Failure, now: float) -> Decision | None:
@@ -185,10 +194,10 @@
         Decision or None
             None where the request is not running (its caller left).
         """
-        running = self._end(request_id, now)
+        running = self._remove_running(request_id, now)
         if running is None:
             return None
-        self._upstreams.failed(running.upstream, failure, now)
+        self._upstreams.record_failure(running.upstream, failure, now)
         return self._after_failure(running, failure, now)
 
     def _after_failure(
@@ -197,11 +206,11 @@
         did_not_run = failure in (Failure.OVERLOADED, Failure.TURNED_AWAY)
         waiting = replace(
             running.waiting,
-            tried=running.waiting.tried | {running.upstream},
+            tried_upstreams=running.waiting.tried_upstreams | {running.upstream},
             may_have_run=running.waiting.may_have_run or not did_not_run,
         )
         if failure is Failure.OVERLOADED:
-            return self._consider(waiting, now)
+            return self._decide(waiting, now)
         if not did_not_run and not waiting.request.repeatable:
             return _final(waiting, Reason.MUST_NOT_REPEAT)
         if waiting.attempt >= MAX_ATTEMPTS:
@@ -209,9 +218,9 @@
         retries = self._retries.of(waiting.request.back_ends)
         if not did_not_run and not retries.take():
             return self._refuse(waiting, Reason.RETRY_BUDGET, 1.0)
-        return self._consider(replace(waiting, attempt=waiting.attempt + 1), now)
+        return self._decide(replace(waiting, attempt=waiting.attempt + 1), now)
 
-    def _consider(self, waiting: Waiting, now: float) -> Decision:
+    def _decide(self, waiting: QueuedRequest, now: float) -> Decision:
         request = waiting.request
         verdict = self._quarantine.verdict(request.fingerprint)
         if verdict is Verdict.REFUSE:
@@ -224,21 +233,23 @@
             self._alone_by_id[request.request_id] = waiting
             return Queued(request=request, estimated_wait_seconds=0.0)
         queue = self._queue(request.back_ends)
-        if not queue.waiting(request.service):
-            assignment = self._place(waiting, now)
+        if not queue.length(request.service):
+            assignment = self._assign(waiting, now)
             if assignment:
                 return assignment
         return self._enqueue(queue, waiting, now)
 
-    def _enqueue(self, queue: FairQueue, waiting: Waiting, now: float) -> Decision:
+    def _enqueue(
+        self, queue: FairQueue, waiting: QueuedRequest, now: float
+    ) -> Decision:
         request = waiting.request
         wait_seconds = self._wait_seconds(queue, request, now)
-        latest_start, reason = self._times.latest_start(request)
+        latest_start, reason = self._service_times.latest_start(request)
         excess_seconds = now + wait_seconds - latest_start
         if excess_seconds > 0.0:
             return self._refuse(waiting, reason, excess_seconds)
-        if not queue.waiting(request.service):
-            self._turns(request).waiting_from(now)
+        if not queue.length(request.service):
+            self._dequeue_intervals(request).waiting_from(now)
         displaced = queue.push(replace(waiting, latest_start=latest_start))
         if displaced and displaced.request is request:
             return self._refuse(waiting, Reason.QUEUE_FULL, wait_seconds)
@@ -250,39 +261,41 @@
     def _wait_seconds(
         self, queue: FairQueue, request: RequestFacts, now: float
     ) -> float:
-        if not self._settings.has(Mechanism.ESTIMATED_WAIT):
+        if not self._settings.uses(Mechanism.ESTIMATED_WAIT):
             return 0.0
-        ahead = queue.ahead(request) + 1.0
-        fallback = self._places.seconds_between(request.back_ends)
-        idle = not queue.waiting(request.service)
-        turns = self._turns(request)
+        ahead = queue.requests_ahead(request) + 1.0
+        fallback = self._completion_intervals.mean_seconds(request.back_ends)
+        idle = not queue.length(request.service)
+        turns = self._dequeue_intervals(request)
         return ahead * turns.seconds_each(fallback, idle=idle, now=now)
 
-    def _turns(self, request: RequestFacts) -> Turns:
+    def _dequeue_intervals(self, request: RequestFacts) -> Turns:
         key = (request.back_ends, request.service)
-        return self._turns_by_line.setdefault(key, Turns())
+        return self._dequeue_intervals_by_queue.setdefault(key, Turns())
 
     def _dispatch_from(self, queue: FairQueue, now: float) -> list[Assignment]:
         """Place what is next in each class until a class finds no room."""
         out: list[Assignment] = []
-        open_services = {s for s in ServiceClass if queue.waiting(s)}
+        open_services = {s for s in ServiceClass if queue.length(s)}
         while open_services:
             waiting = queue.peek(open_services)
             if waiting is None:
                 break
-            if self._hold_back(queue, waiting):
+            if self._isolate_or_refuse(queue, waiting):
                 continue
-            assignment = self._place(waiting, now)
+            assignment = self._assign(waiting, now)
             if assignment is None:
                 open_services.discard(waiting.request.service)
                 continue
-            queue.take(waiting)
-            fallback = self._places.seconds_between(waiting.request.back_ends)
-            self._turns(waiting.request).taken(fallback, now)
+            queue.pop(waiting)
+            fallback = self._completion_intervals.mean_seconds(
+                waiting.request.back_ends
+            )
+            self._dequeue_intervals(waiting.request).taken(fallback, now)
             out.append(assignment)
         return out
 
-    def _hold_back(self, queue: FairQueue, waiting: Waiting) -> bool:
+    def _isolate_or_refuse(self, queue: FairQueue, waiting: QueuedRequest) -> bool:
         """Take out a request that came under suspicion while it waited."""
         request = waiting.request
         match self._quarantine.verdict(request.fingerprint):
@@ -302,19 +315,19 @@
                 del self._alone_by_id[request_id]
                 self._refusals.append(self._refuse_late(waiting))
                 continue
-            upstream = self._upstreams.place_alone(waiting.request, now)
+            upstream = self._upstreams.choose_idle_upstream(waiting.request, now)
             if upstream is None:
                 continue
             del self._alone_by_id[request_id]
             out.append(self._start(waiting, upstream, alone=True, now=now))
         return out
 
-    def _place(self, waiting: Waiting, now: float) -> Assignment | None:
+    def _assign(self, waiting: QueuedRequest, now: float) -> Assignment | None:
         request = waiting.request
-        avoid = waiting.tried
+        avoid = waiting.tried_upstreams
         if self._quarantine.verdict(request.fingerprint) is Verdict.SUSPECT:
             avoid |= self._upstreams_with_suspects()
-        upstream = self._upstreams.place(request, avoid=avoid, now=now)
+        upstream = self._upstreams.choose_upstream(request, avoid=avoid, now=now)
         if upstream is None:
             return None
         return self._start(waiting, upstream, alone=False, now=now)
@@ -333,48 +346,50 @@
         )
 
     def _start(
-        self, waiting: Waiting, upstream: str, *, alone: bool, now: float
+        self, waiting: QueuedRequest, upstream: str, *, alone: bool, now: float
     ) -> Assignment:
         request = waiting.request
         self._running_by_id[request.request_id] = _Running(
             waiting=waiting, upstream=upstream, dispatched_at=now
         )
-        self._places.started(request.back_ends)
-        self._upstreams.started(request.request_id, upstream, alone=alone, now=now)
+        self._completion_intervals.record_start(request.back_ends)
+        self._upstreams.record_start(request.request_id, upstream, alone=alone, now=now)
         return Assignment(
             request=request, upstream=upstream, attempt=waiting.attempt, alone=alone
         )
 
-    def _end(self, request_id: str, now: float) -> _Running | None:
+    def _remove_running(self, request_id: str, now: float) -> _Running | None:
         running = self._running_by_id.pop(request_id, None)
         if running is None:
             return None
-        self._places.ended(running.waiting.request.back_ends)
-        self._upstreams.ended(request_id, running.upstream, now)
+        self._completion_intervals.record_end(running.waiting.request.back_ends)
+        self._upstreams.record_end(request_id, running.upstream, now)
         return running
 
     def _queue(self, back_ends: tuple[str, ...]) -> FairQueue:
-        queue = self._queues_by_pool.get(back_ends)
+        queue = self._queue_by_pool.get(back_ends)
         if queue is None:
             settings = self._settings
             queue = FairQueue(
-                max_waiting=settings.max_waiting,
-                fair=settings.has(Mechanism.FAIR_SHARES),
+                max_requests=settings.max_queued_requests,
+                fair=settings.uses(Mechanism.FAIR_SHARES),
             )
-            self._queues_by_pool[back_ends] = queue
+            self._queue_by_pool[back_ends] = queue
         return queue
 
-    def _refuse_late(self, waiting: Waiting) -> Refusal:
-        _, reason = self._times.latest_start(waiting.request)
+    def _refuse_late(self, waiting: QueuedRequest) -> Refusal:
+        _, reason = self._service_times.latest_start(waiting.request)
         return self._refuse(waiting, reason, 0.0)
 
-    def _refuse(self, waiting: Waiting, reason: Reason, wait_seconds: float) -> Refusal:
-        seconds = retry_after(wait_seconds, self._random)
+    def _refuse(
+        self, waiting: QueuedRequest, reason: Reason, wait_seconds: float
+    ) -> Refusal:
+        seconds = queue_retry_delay(wait_seconds, self._random)
         return _final(waiting, reason, retry_after_seconds=seconds)
 
 
 def _final(
-    waiting: Waiting, reason: Reason, *, retry_after_seconds: float = 0.0
+    waiting: QueuedRequest, reason: Reason, *, retry_after_seconds: float = 0.0
 ) -> Refusal:
     return Refusal(
         request=waiting.request,
@@ -384,7 +399,7 @@
     )
 
 
-def _no_upstream(waiting: Waiting) -> Refusal:
+def _no_upstream(waiting: QueuedRequest) -> Refusal:
     return _final(
         waiting, Reason.NO_UPSTREAM, retry_after_seconds=NO_UPSTREAM_RETRY_SECONDS
     )
--- a/src/ragwortkeel/policy/settings.py
+++ b/src/ragwortkeel/policy/settings.py
@@ -3,14 +3,14 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from ragwortkeel.policy.choice import CANDIDATES, LOAD_BOUND
+from ragwortkeel.policy.choice import CANDIDATE_COUNT, LOAD_BOUND_FRACTION
 from ragwortkeel.policy.ejection import FAILURES_TO_EJECT
 from ragwortkeel.policy.limits import FIRST_LIMIT
-from ragwortkeel.policy.queueing import MAX_WAITING
-from ragwortkeel.policy.retries import RETRY_SHARE
-from ragwortkeel.policy.shifting import RISE_PER_SECOND
+from ragwortkeel.policy.queueing import MAX_QUEUED_REQUESTS
+from ragwortkeel.policy.retries import RETRY_FRACTION
+from ragwortkeel.policy.shifting import RISE_FRACTION_PER_SECOND
 
-BATCH_SHARE = 0.7
+BATCH_FRACTION = 0.7
 """Batch work leaves three tenths of each upstream free, so that an interactive
 request finds a place within its first-token promise and not after a summary."""
 
@@ -37,17 +37,17 @@
         Empty but in measurements.
     """
 
-    candidates: int = CANDIDATES
-    load_bound: float = LOAD_BOUND
+    candidate_count: int = CANDIDATE_COUNT
+    load_bound: float = LOAD_BOUND_FRACTION
     first_limit: int = FIRST_LIMIT
-    batch_share: float = BATCH_SHARE
-    max_waiting: int = MAX_WAITING
-    retry_share: float = RETRY_SHARE
+    batch_fraction: float = BATCH_FRACTION
+    max_queued_requests: int = MAX_QUEUED_REQUESTS
+    retry_fraction: float = RETRY_FRACTION
     failures_to_eject: int = FAILURES_TO_EJECT
-    rise_per_second: float = RISE_PER_SECOND
+    rise_per_second: float = RISE_FRACTION_PER_SECOND
     report_lag_seconds: float = 0.0
     without: frozenset[Mechanism] = frozenset()
 
-    def has(self, mechanism: Mechanism) -> bool:
+    def uses(self, mechanism: Mechanism) -> bool:
         """Tell whether the mechanism is in use."""
         return mechanism not in self.without
--- a/src/ragwortkeel/policy/timeouts.py
+++ b/src/ragwortkeel/policy/timeouts.py
@@ -6,13 +6,13 @@
 ordinary ones.
 """
 
-SHORTEST_SECONDS = 0.25
+MIN_TIMEOUT_SECONDS = 0.25
 """A lost packet is sent again after 0.2 s; a call that takes longer is late anyway."""
 
-FACTOR = 6.0
+MEAN_FACTOR = 6.0
 """Times the mean: answers of a slow hour spread less than that around it."""
 
-WEIGHT = 0.2
+NEWEST_WEIGHT = 0.2
 """Of the newest answer in the mean; of some ten answers the mean is made."""
 
 
@@ -39,24 +39,26 @@
     """
 
     def __init__(self, *, longest: float) -> None:
-        self._longest = longest
-        self._mean: float | None = None
-        self._doubled = 1.0
+        self._max_seconds = longest
+        self._mean_seconds: float | None = None
+        self._backoff_factor = 1.0
 
     @property
     def seconds(self) -> float:
         """How long to wait for the next answer."""
-        if self._mean is None:
-            return self._longest
-        least = max(SHORTEST_SECONDS, FACTOR * self._mean)
-        return min(self._longest, least * self._doubled)
+        if self._mean_seconds is None:
+            return self._max_seconds
+        least = max(MIN_TIMEOUT_SECONDS, MEAN_FACTOR * self._mean_seconds)
+        return min(self._max_seconds, least * self._backoff_factor)
 
     def answered(self, seconds: float) -> None:
         """Take in how long an answer took."""
-        known = seconds if self._mean is None else self._mean
-        self._mean = known + (seconds - known) * WEIGHT
-        self._doubled = 1.0
+        known = seconds if self._mean_seconds is None else self._mean_seconds
+        self._mean_seconds = known + (seconds - known) * NEWEST_WEIGHT
+        self._backoff_factor = 1.0
 
     def timed_out(self) -> None:
         """Note a call without an answer."""
-        self._doubled = min(2 * self._doubled, self._longest / SHORTEST_SECONDS)
+        self._backoff_factor = min(
+            2 * self._backoff_factor, self._max_seconds / MIN_TIMEOUT_SECONDS
+        )
--- a/src/ragwortkeel/policy/upstreams.py
+++ b/src/ragwortkeel/policy/upstreams.py
@@ -12,7 +12,7 @@
 from ragwortkeel.policy.ejection import Ejections
 from ragwortkeel.policy.facts import Failure, LoadReport, RequestFacts, UpstreamFacts
 from ragwortkeel.policy.settings import Mechanism, SchedulerSettings
-from ragwortkeel.policy.shifting import Shares
+from ragwortkeel.policy.shifting import SlowStart
 
 
 class UpstreamTable:
@@ -24,40 +24,42 @@
         self._zone = zone
         self._random = random
         self._settings = settings
-        self._claims = settings.has(Mechanism.CLAIMED_ROOM)
-        self._corrects = settings.has(Mechanism.REPORT_CORRECTION)
+        self._subtracts_claims = settings.uses(Mechanism.CLAIMED_ROOM)
+        self._applies_correction = settings.uses(Mechanism.REPORT_CORRECTION)
         self._facts_by_name: dict[str, UpstreamFacts] = {}
-        self._loads_by_name: dict[str, LoadEstimate] = {}
-        self._limits_by_name: dict[str, int] = {}
-        self._alone_by_name: dict[str, str] = {}
+        self._load_by_name: dict[str, LoadEstimate] = {}
+        self._limit_by_name: dict[str, int] = {}
+        self._isolated_request_by_name: dict[str, str] = {}
         self._names_by_pool: dict[tuple[str, ...], list[str]] = {}
         self._full: set[tuple[tuple[str, ...], ServiceClass]] = set()
         self._ejections = Ejections(failures_to_eject=settings.failures_to_eject)
-        self._shares = Shares(rise_per_second=settings.rise_per_second)
+        self._slow_start = SlowStart(rise_per_second=settings.rise_per_second)
 
-    def changed(self, upstreams: Iterable[UpstreamFacts], now: float) -> None:
+    def set_upstreams(self, upstreams: Iterable[UpstreamFacts], now: float) -> None:
         """Take over the upstreams that may be given new work from now on."""
         self._facts_by_name = {facts.name: facts for facts in upstreams}
         self._names_by_pool.clear()
         self._full.clear()
         names = set(self._facts_by_name)
-        self._shares.keep(names, now)
+        self._slow_start.retain(names, now)
         self._ejections.keep(names)
-        for name in names - self._loads_by_name.keys():
-            self._loads_by_name[name] = LoadEstimate(corrects=self._corrects)
-        for name in self._loads_by_name.keys() - names:
-            self._forget_if_idle(name)
-
-    def report(self, report: LoadReport, now: float) -> None:
+        for name in names - self._load_by_name.keys():
+            self._load_by_name[name] = LoadEstimate(
+                apply_correction=self._applies_correction
+            )
+        for name in self._load_by_name.keys() - names:
+            self._remove_if_idle(name)
+
+    def record_load(self, report: LoadReport, now: float) -> None:
         """Take in what a sidecar says of its upstream's load."""
-        load = self._loads_by_name.get(report.upstream)
+        load = self._load_by_name.get(report.upstream)
         if load is None:
             return
         self._full.clear()
         taken_at = now - self._settings.report_lag_seconds
-        load.report(report.running + report.waiting, taken_at)
+        load.record_report(report.running + report.waiting, taken_at)
         if report.limit:
-            self._limits_by_name[report.upstream] = report.limit
+            self._limit_by_name[report.upstream] = report.limit
 
     def serving(self, back_ends: tuple[str, ...]) -> list[str]:
         """Return the upstreams of these back ends."""
@@ -68,7 +70,7 @@
             self._names_by_pool[back_ends] = names
         return names
 
-    def place(
+    def choose_upstream(
         self,
         request: RequestFacts,
         *,
@@ -84,10 +86,10 @@
         pool = (request.back_ends, request.service)
         if pool in self._full:
             return None
-        names = self._open(request, now)
+        names = self._open_upstreams(request, now)
         names = [name for name in names if name not in avoid] or names
         by_name = {n: self._candidate(n, request.service, now) for n in names}
-        if not any(candidate.has_room for candidate in by_name.values()):
+        if not any(candidate.has_headroom for candidate in by_name.values()):
             if not avoid:
                 self._full.add(pool)
             return None
@@ -97,90 +99,90 @@
             prefix=request.prefix,
             zone=self._zone,
             random=self._random,
-            width=self._settings.candidates,
+            preferred_count=self._settings.candidate_count,
             bound=self._settings.load_bound,
         )
         return chosen.name if chosen else None
 
-    def place_alone(self, request: RequestFacts, now: float) -> str | None:
+    def choose_idle_upstream(self, request: RequestFacts, now: float) -> str | None:
         """Return where the request may run alone, or None.
 
         One upstream of a back end at a time: a suspect must not be able to take
         the back end away from everybody.
         """
         pool = self.serving(request.back_ends)
-        if any(name in self._alone_by_name for name in pool):
+        if any(name in self._isolated_request_by_name for name in pool):
             return None
         usable = self._ejections.usable(pool, now)
         steady = [name for name, probe in usable.items() if not probe]
-        return min(
-            steady, key=lambda name: self._loads_by_name[name].load, default=None
-        )
+        return min(steady, key=lambda name: self._load_by_name[name].load, default=None)
 
-    def started(self, request_id: str, name: str, *, alone: bool, now: float) -> None:
+    def record_start(
+        self, request_id: str, name: str, *, alone: bool, now: float
+    ) -> None:
         """Count a dispatched request."""
-        self._loads_by_name[name].started(now)
+        self._load_by_name[name].record_start(now)
         self._ejections.assigned(name, now)
         if alone:
-            self._alone_by_name[name] = request_id
+            self._isolated_request_by_name[name] = request_id
 
-    def ended(self, request_id: str, name: str, now: float) -> None:
+    def record_end(self, request_id: str, name: str, now: float) -> None:
         """Count a request that runs there no more."""
         self._full.clear()
-        self._loads_by_name[name].ended(now)
-        if self._alone_by_name.get(name) == request_id:
-            del self._alone_by_name[name]
+        self._load_by_name[name].record_end(now)
+        if self._isolated_request_by_name.get(name) == request_id:
+            del self._isolated_request_by_name[name]
         if name not in self._facts_by_name:
-            self._forget_if_idle(name)
+            self._remove_if_idle(name)
 
-    def succeeded(self, name: str, now: float) -> None:
+    def record_success(self, name: str, now: float) -> None:
         """Note an answer, or its first token."""
         if self._ejections.succeeded(name):
             self._full.clear()
-            self._shares.drop(name, now)
+            self._slow_start.reset(name, now)
 
-    def given_up(self, name: str, now: float) -> None:
+    def record_no_verdict(self, name: str, now: float) -> None:
         """Note work that left without a verdict on the upstream."""
         self._full.clear()
         self._ejections.given_up(name, now)
 
-    def failed(self, name: str, failure: Failure, now: float) -> None:
+    def record_failure(self, name: str, failure: Failure, now: float) -> None:
         """Note a failed attempt."""
         self._full.clear()
-        if failure is Failure.OVERLOADED and name in self._loads_by_name:
-            self._loads_by_name[name].full(self._limit(name))
-        if not self._settings.has(Mechanism.EJECTION):
+        if failure is Failure.OVERLOADED and name in self._load_by_name:
+            self._load_by_name[name].assume_full(self._limit(name))
+        if not self._settings.uses(Mechanism.EJECTION):
             return
         if self._ejections.failed(name, failure, now):
-            self._shares.drop(name, now)
+            self._slow_start.reset(name, now)
 
-    def _open(self, request: RequestFacts, now: float) -> list[str]:
+    def _open_upstreams(self, request: RequestFacts, now: float) -> list[str]:
         """Return the usable upstreams; no probes with what must not repeat."""
         pool = self.serving(request.back_ends)
         usable = self._ejections.usable(pool, now)
-        names = [name for name in usable if name not in self._alone_by_name]
+        names = [name for name in usable if name not in self._isolated_request_by_name]
         if request.repeatable:
             return names
         return [name for name in names if not usable[name]] or names
 
     def _limit(self, name: str) -> float:
-        return float(self._limits_by_name.get(name, self._settings.first_limit))
+        return float(self._limit_by_name.get(name, self._settings.first_limit))
 
     def _candidate(self, name: str, service: ServiceClass, now: float) -> Candidate:
-        room = self._limit(name) * self._shares.share(name, now)
+        room = self._limit(name) * self._slow_start.fraction(name, now)
         if service is ServiceClass.BATCH:
-            room *= self._settings.batch_share
+            room *= self._settings.batch_fraction
         room = max(1.0, room)
-        load = self._loads_by_name[name]
+        load = self._load_by_name[name]
         return Candidate(
             name=name,
             zone=self._facts_by_name[name].zone,
             load=load.load,
-            room=room,
-            claimed=load.claimed(room) if self._claims else 0.0,
+            limit=room,
+            claimed=load.claimed_by_others(room) if self._subtracts_claims else 0.0,
         )
 
-    def _forget_if_idle(self, name: str) -> None:
-        if self._loads_by_name[name].own == 0:
-            del self._loads_by_name[name]
-            self._limits_by_name.pop(name, None)
+    def _remove_if_idle(self, name: str) -> None:
+        if self._load_by_name[name].own == 0:
+            del self._load_by_name[name]
+            self._limit_by_name.pop(name, None)
--- a/src/ragwortkeel/runs/answer.py
+++ b/src/ragwortkeel/runs/answer.py
@@ -20,7 +20,7 @@
 """One message of a replay; small enough not to delay other answers' tokens."""
 
 
-CROWDED_SHARE = 0.75
+NEARLY_FULL_FRACTION = 0.75
 """Share of the store held by answers that can't be dropped, beyond which no new
 run should begin; the rest is room for those that run."""
 
@@ -60,13 +60,13 @@
     ) -> None:
         self._max_bytes = max_bytes
         self._max_answer_bytes = max_answer_bytes
-        self._by_nonce: dict[str, Answer] = {}
-        self._finished: dict[str, None] = {}
+        self._answer_by_nonce: dict[str, Answer] = {}
+        self._droppable: dict[str, None] = {}
         self._bytes = 0
         self._droppable_bytes = 0
 
     def __len__(self) -> int:
-        return len(self._by_nonce)
+        return len(self._answer_by_nonce)
 
     @property
     def size(self) -> int:
@@ -77,15 +77,15 @@
     def crowded(self) -> bool:
         """Whether a new run should not begin for want of memory."""
         kept = self._bytes - self._droppable_bytes
-        return kept > CROWDED_SHARE * self._max_bytes
+        return kept > NEARLY_FULL_FRACTION * self._max_bytes
 
     def get(self, nonce: str) -> Answer | None:
         """Return the answer, or None where it has no head yet or was dropped."""
-        return self._by_nonce.get(nonce)
+        return self._answer_by_nonce.get(nonce)
 
     def open(self, nonce: str, *, status: int, content_type: str) -> None:
         """Begin an answer."""
-        self._by_nonce[nonce] = Answer(status=status, content_type=content_type)
+        self._answer_by_nonce[nonce] = Answer(status=status, content_type=content_type)
 
     def append(self, nonce: str, data: bytes) -> int:
         """Add bytes to a running answer and return their offset.
@@ -95,11 +95,11 @@
         AnswerTooLarge
             Nothing was added.
         """
-        answer = self._by_nonce[nonce]
+        answer = self._answer_by_nonce[nonce]
         offset = len(answer.data)
         if offset + len(data) > self._max_answer_bytes:
             raise AnswerTooLarge(f"more than {self._max_answer_bytes} bytes")
-        self._make_room(len(data))
+        self._free_bytes(len(data))
         answer.data += data
         self._bytes += len(data)
         return offset
@@ -111,23 +111,23 @@
 
     def unpin(self, nonce: str) -> None:
         """Let a finished answer be dropped when memory is short."""
-        answer = self._by_nonce.get(nonce)
-        if answer is not None and nonce not in self._finished:
-            self._finished[nonce] = None
+        answer = self._answer_by_nonce.get(nonce)
+        if answer is not None and nonce not in self._droppable:
+            self._droppable[nonce] = None
             self._droppable_bytes += len(answer.data)
 
     def drop(self, nonce: str) -> None:
         """Forget an answer; harmless where there is none."""
-        answer = self._by_nonce.pop(nonce, None)
+        answer = self._answer_by_nonce.pop(nonce, None)
         if answer is None:
             return
         self._bytes -= len(answer.data)
-        if nonce in self._finished:
-            del self._finished[nonce]
+        if nonce in self._droppable:
+            del self._droppable[nonce]
             self._droppable_bytes -= len(answer.data)
 
-    def _make_room(self, size: int) -> None:
+    def _free_bytes(self, size: int) -> None:
         while self._bytes + size > self._max_bytes:
-            if not self._finished:
+            if not self._droppable:
                 raise AnswerTooLarge("no room beside the answers still needed")
-            self.drop(next(iter(self._finished)))
+            self.drop(next(iter(self._droppable)))
--- a/src/ragwortkeel/runs/assembly.py
+++ b/src/ragwortkeel/runs/assembly.py
@@ -32,20 +32,20 @@
         self._max_waiting_bytes = max_waiting_bytes
         self._waiting_by_offset: dict[int, bytes] = {}
         self._waiting_bytes = 0
-        self._end: int | None = None
+        self._end_offset: int | None = None
         self.length = 0
 
     @property
     def whole(self) -> bool:
         """Whether everything up to the end marker has been released."""
-        return self._end is not None and self.length == self._end
+        return self._end_offset is not None and self.length == self._end_offset
 
     @property
     def has_gap(self) -> bool:
         """Whether bytes are missing that a replay would bring."""
         if self._waiting_by_offset:
             return True
-        return self._end is not None and self.length < self._end
+        return self._end_offset is not None and self.length < self._end_offset
 
     def add(self, offset: int, data: bytes) -> bytes:
         """Take a chunk and return the bytes that are now next in order.
@@ -57,10 +57,10 @@
         GapTooWide
             The chunk was not kept.
         """
-        if self._end is not None and offset + len(data) > self._end:
+        if self._end_offset is not None and offset + len(data) > self._end_offset:
             raise AnswerMismatch("a chunk lies beyond the end of the answer")
         if offset > self.length:
-            self._keep(offset, data)
+            self._buffer(offset, data)
             return b""
         fresh = data[self.length - offset :]
         self.length += len(fresh)
@@ -74,7 +74,7 @@
         AnswerMismatch
             More bytes than `length` have come, or another length was marked.
         """
-        if self._end not in (None, length):
+        if self._end_offset not in (None, length):
             raise AnswerMismatch("two end markers differ")
         furthest = max(
             (offset + len(data) for offset, data in self._waiting_by_offset.items()),
@@ -82,9 +82,9 @@
         )
         if max(furthest, self.length) > length:
             raise AnswerMismatch("the end marker lies before the end of the bytes")
-        self._end = length
+        self._end_offset = length
 
-    def _keep(self, offset: int, data: bytes) -> None:
+    def _buffer(self, offset: int, data: bytes) -> None:
         known = self._waiting_by_offset.get(offset, b"")
         if len(known) >= len(data):
             return
--- a/src/ragwortkeel/runs/filing.py
+++ b/src/ragwortkeel/runs/filing.py
@@ -9,7 +9,7 @@
 
 from ragwortkeel.messages import RefusalReason, RunState
 from ragwortkeel.runs.intent import (
-    MAX_ROUNDS,
+    MAX_WRITE_ATTEMPTS,
     Answer,
     AskSidecar,
     Create,
@@ -45,7 +45,7 @@
 
 Step = Read | Create | TakeOver | AskSidecar | Go | Release | Follow | Answer | Refuse
 
-FINAL = (Follow, Answer, Refuse)
+FINAL_STEPS = (Follow, Answer, Refuse)
 """Steps after which the filing has nothing left to decide."""
 
 
@@ -73,40 +73,45 @@
         self.step: Step = Read()
         self.held: Held | None = None
         self._first = first
-        self._rounds = 0
-        self._sends = 0
+        self._write_attempts = 0
+        self._dispatch_count = 0
 
     @property
     def is_final(self) -> bool:
         """Whether nothing is left to decide."""
-        return isinstance(self.step, FINAL)
+        return isinstance(self.step, FINAL_STEPS)
 
     def on_read(self, held: Held | None) -> None:
         """Take what the platform holds under the key."""
         self.held = held
-        self._go_on(after_read(self.wanted, held))
+        self._continue(after_read(self.wanted, held))
 
     def on_unreadable(self) -> None:
         """Take it that the platform can't be read."""
-        self._go_on(without_platform(first=self._first))
+        self._continue(without_platform(first=self._first))
 
     def on_tombstone(self, state: RunState | None) -> None:
         """Take the sidecar's answer, None where it is gone or out of reach."""
-        self._go_on(after_tombstone(self.wanted, self.held, state))
+        self._continue(after_tombstone(self.wanted, self.held, state))
 
     def on_write(self, result: WriteResult, version: int = 0) -> None:
         """Take how the write of the intent ended, and its new version."""
-        self._rounds += 1
+        self._write_attempts += 1
         if result is WriteResult.WRITTEN:
             self.held = Held(intent=self.wanted, version=version)
-        self._go_on(
-            after_write(self.wanted, result, first=self._first, rounds=self._rounds)
+        self._continue(
+            after_write(
+                self.wanted,
+                result,
+                first=self._first,
+                write_attempts=self._write_attempts,
+            )
         )
 
     def on_sent(self) -> None:
         """Take it that the dispatch goes out, for the first time or again."""
-        self._sends += 1
-        if self._sends > 1:
+        self._dispatch_count += 1
+        if self._dispatch_count > 1:
             # An earlier copy may have run, so that only the platform can tell.
             self._first = False
 
@@ -121,17 +126,17 @@
             An intent with a new nonce for another sidecar, or None where the
             request is to be refused.
         """
-        if reason is RefusalReason.WRONG_INCARNATION and self._sends > 1:
+        if reason is RefusalReason.WRONG_INCARNATION and self._dispatch_count > 1:
             # Failure: the first copy ran at a sidecar that restarted since, and
             # its successor refuses the second; that proves nothing of the first.
-            self._go_on(after_tombstone(self.wanted, self.held, None))
+            self._continue(after_tombstone(self.wanted, self.held, None))
             return
         if other is None:
             self.step = Release(
                 intent=after_refusal(self.held.intent), version=self.held.version
             )
             return
-        self._want(other)
+        self._replace_intent(other)
         self.step = TakeOver(intent=other, version=self.held.version)
 
     def on_release(self, result: WriteResult) -> None:
@@ -141,8 +146,8 @@
         intent over and runs, and `not_run` would be a lie.  Written over the
         version that was ours, `NOT_RUN` shows that nobody did.
         """
-        self._rounds += 1
-        if result is WriteResult.CONFLICT and self._rounds < MAX_ROUNDS:
+        self._write_attempts += 1
+        if result is WriteResult.CONFLICT and self._write_attempts < MAX_WRITE_ATTEMPTS:
             self.step = Read()
             return
         is_sure = result is WriteResult.WRITTEN or self._first
@@ -162,12 +167,12 @@
         # it, so it answers `TOMBSTONED`; with the platform gone by then,
         # `not_run` would be a lie.  Only the conditional update tells.
         self._first = False
-        self._want(wanted)
+        self._replace_intent(wanted)
         self.step = AskSidecar(sidecar=lost.sidecar, nonce=lost.nonce)
 
-    def _want(self, intent: Intent) -> None:
+    def _replace_intent(self, intent: Intent) -> None:
         self.wanted = intent
-        self._sends = 0
+        self._dispatch_count = 0
 
-    def _go_on(self, decision: Decision) -> None:
+    def _continue(self, decision: Decision) -> None:
         self.step = Read() if isinstance(decision, ReadAgain) else decision
--- a/src/ragwortkeel/runs/intent.py
+++ b/src/ragwortkeel/runs/intent.py
@@ -18,7 +18,7 @@
 MAX_STORED_ANSWER_BYTES = 256 * 1024
 """A quarter of the platform's value limit; confirmations are far smaller."""
 
-MAX_ROUNDS = 4
+MAX_WRITE_ATTEMPTS = 4
 """Writes lost to other retries of one key before the caller is told to return."""
 
 SIDECAR_GONE = "sidecar_gone"
@@ -244,7 +244,7 @@
 
 
 def after_write(
-    wanted: Intent, result: WriteResult, *, first: bool, rounds: int
+    wanted: Intent, result: WriteResult, *, first: bool, write_attempts: int
 ) -> Decision:
     """Decide from how the write of `wanted` ended.
 
@@ -260,7 +260,7 @@
         return Go(intent=wanted)
     if result is WriteResult.UNAVAILABLE:
         return without_platform(first=first)
-    if rounds >= MAX_ROUNDS:
+    if write_attempts >= MAX_WRITE_ATTEMPTS:
         return Refuse(status=503, outcome="unknown", reason="contended")
     return ReadAgain()
 
--- a/src/ragwortkeel/runs/journal.py
+++ b/src/ragwortkeel/runs/journal.py
@@ -15,13 +15,13 @@
 KEPT_EPOCHS = 2
 """Dispatches minted this many epochs ago are still taken, older ones never."""
 
-MAX_ENDED = 50_000
+MAX_ENDED_RUNS = 50_000
 """Ended nonces remembered at once, about 30 MB; past it the floor moves up."""
 
-MAX_RECEIPTS = 200_000
+MAX_PENDING_RECEIPTS = 200_000
 """Receipts not yet durable; at a few runs a second half a day of outage."""
 
-MAX_UNDECIDED = 2_000
+MAX_UNDECIDED_RUNS = 2_000
 """Must-not-repeat runs whose outcome no intent holds yet; their answers stay."""
 
 
@@ -74,11 +74,11 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Owed:
+class _PendingReceipt:
     """A receipt that is not durable yet, and since when."""
 
     receipt: RunReceipt
-    since: float
+    created_at: float
 
 
 class Journal:
@@ -96,16 +96,16 @@
         router last heard when it minted the nonce.
     """
 
-    def __init__(self, *, sidecar: str, max_ended: int = MAX_ENDED) -> None:
+    def __init__(self, *, sidecar: str, max_ended: int = MAX_ENDED_RUNS) -> None:
         self._sidecar = sidecar
         self._max_ended = max_ended
-        self._entries_by_nonce: dict[str, _Entry] = {}
+        self._entry_by_nonce: dict[str, _Entry] = {}
         self._ended: dict[str, None] = {}
         self._nonce_by_request: dict[tuple[str, str], str] = {}
         self._running: set[str] = set()
         self._accounts = SidecarAccounts()
         self._accounts.open(seals=())
-        self._owed_by_nonce: dict[str, _Owed] = {}
+        self._pending_receipt_by_nonce: dict[str, _PendingReceipt] = {}
         self._undecided: dict[str, float] = {}
         self.epoch = 1
         self.floor = 1
@@ -124,25 +124,25 @@
         instead; nothing already run is forgotten.
         """
         return (
-            len(self._owed_by_nonce) + self.running >= MAX_RECEIPTS
-            or len(self._undecided) >= MAX_UNDECIDED
+            len(self._pending_receipt_by_nonce) + self.running >= MAX_PENDING_RECEIPTS
+            or len(self._undecided) >= MAX_UNDECIDED_RUNS
         )
 
     def state(self, nonce: str) -> RunState:
         """Return what is known of a nonce."""
-        entry = self._entries_by_nonce.get(nonce)
+        entry = self._entry_by_nonce.get(nonce)
         return RunState.UNSEEN if entry is None else entry.state
 
     def run(self, nonce: str) -> Run:
         """Return the run; `UnknownRun` where none was let in."""
-        entry = self._entries_by_nonce.get(nonce)
+        entry = self._entry_by_nonce.get(nonce)
         if entry is None or entry.run is None:
             raise UnknownRun(nonce)
         return entry.run
 
     def tokens(self, nonce: str) -> int:
         """Return the tokens spent so far by a run."""
-        entry = self._entries_by_nonce.get(nonce)
+        entry = self._entry_by_nonce.get(nonce)
         return 0 if entry is None else entry.tokens
 
     def find(self, profile: str, request_id: str) -> str | None:
@@ -151,7 +151,7 @@
 
     def admit(self, run: Run) -> None:
         """Record a run before it starts."""
-        self._entries_by_nonce[run.nonce] = _Entry(run=run)
+        self._entry_by_nonce[run.nonce] = _Entry(run=run)
         self._nonce_by_request[run.profile, run.request_id] = run.nonce
         self._running.add(run.nonce)
         self._accounts.start(
@@ -163,17 +163,17 @@
 
     def begin(self, nonce: str) -> None:
         """Record that the upstream answers: from here on it can't be retracted."""
-        self._entries_by_nonce[nonce].lifecycle.fire("start")
+        self._entry_by_nonce[nonce].lifecycle.fire("start")
 
     def cancel(self, nonce: str) -> None:
         """Record that the upstream was told to stop."""
-        lifecycle = self._entries_by_nonce[nonce].lifecycle
+        lifecycle = self._entry_by_nonce[nonce].lifecycle
         if lifecycle.state == "running":
             lifecycle.fire("cancel")
 
     def progress(self, nonce: str, tokens: int) -> bool:
         """Record tokens so far; return whether the reservation is outrun."""
-        entry = self._entries_by_nonce[nonce]
+        entry = self._entry_by_nonce[nonce]
         entry.tokens = max(entry.tokens, tokens)
         return entry.tokens > entry.run.reservation
 
@@ -185,7 +185,7 @@
         The charge never exceeds the reservation: that is all the budget has
         set aside, and an engine that reports more is at fault.
         """
-        entry = self._entries_by_nonce[nonce]
+        entry = self._entry_by_nonce[nonce]
         if entry.state is not RunState.RUNNING:
             return None
         run = entry.run
@@ -193,7 +193,7 @@
             entry.lifecycle.fire("start")
         entry.lifecycle.fire(_END_EVENTS[state])
         entry.tokens = min(max(tokens, 0), run.reservation)
-        self._leave(nonce, entry.tokens)
+        self._record_end(nonce, entry.tokens)
         receipt = RunReceipt(
             profile=run.profile,
             request_id=run.request_id,
@@ -204,9 +204,11 @@
             billable=billable,
         )
         if receipt.tokens:
-            self._owed_by_nonce[nonce] = _Owed(receipt=receipt, since=now)
+            self._pending_receipt_by_nonce[nonce] = _PendingReceipt(
+                receipt=receipt, created_at=now
+            )
         if run.idempotent:
-            self._remember(nonce, entry)
+            self._retain(nonce, entry)
         else:
             # Failure: a must-not-repeat run is forgotten before its intent has
             # the outcome; a retry asks, reads "never ran", and runs it again.
@@ -221,12 +223,12 @@
         LifecycleError
             The upstream had begun to answer it.
         """
-        entry = self._entries_by_nonce[nonce]
+        entry = self._entry_by_nonce[nonce]
         entry.lifecycle.fire("refuse")
         run, entry.run = entry.run, None
-        self._leave(nonce, 0)
-        self._unlink(nonce, run)
-        self._remember(nonce, entry)
+        self._record_end(nonce, 0)
+        self._remove_request(nonce, run)
+        self._retain(nonce, entry)
 
     def tombstone(self, nonce: str) -> RunState:
         """Promise never to run an unseen nonce; return what is now known of it.
@@ -239,8 +241,8 @@
         if self.state(nonce) is RunState.UNSEEN:
             entry = _Entry()
             entry.lifecycle.fire("refuse")
-            self._entries_by_nonce[nonce] = entry
-            self._remember(nonce, entry)
+            self._entry_by_nonce[nonce] = entry
+            self._retain(nonce, entry)
         return self.state(nonce)
 
     def seal(self, router: str) -> SealReport:
@@ -262,26 +264,26 @@
         can't run: its conditional update names a version that has passed.
         """
         if self._undecided.pop(nonce, None) is not None:
-            self._remember(nonce, self._entries_by_nonce[nonce])
+            self._retain(nonce, self._entry_by_nonce[nonce])
 
     def undecided_before(self, since: float) -> tuple[Run, ...]:
         """Return must-not-repeat runs that ended by `since`, outcome not durable."""
         return tuple(
-            self._entries_by_nonce[nonce].run
+            self._entry_by_nonce[nonce].run
             for nonce, ended in self._undecided.items()
             if ended <= since
         )
 
     def receipts_of(self, router: str) -> tuple[RunReceipt, ...]:
         """Return a router's receipts that are not durable yet."""
-        owed = self._owed_by_nonce.values()
+        owed = self._pending_receipt_by_nonce.values()
         return tuple(o.receipt for o in owed if o.receipt.router == router)
 
     def receipts_before(self, since: float, limit: int) -> tuple[RunReceipt, ...]:
         """Return up to `limit` receipts owed since `since` or longer."""
         due = []
-        for owed in self._owed_by_nonce.values():
-            if owed.since > since or len(due) == limit:
+        for owed in self._pending_receipt_by_nonce.values():
+            if owed.created_at > since or len(due) == limit:
                 break
             due.append(owed.receipt)
         return tuple(due)
@@ -294,12 +296,12 @@
     @property
     def owed(self) -> int:
         """Number of receipts that are not durable yet."""
-        return len(self._owed_by_nonce)
+        return len(self._pending_receipt_by_nonce)
 
     def settle(self, nonces: tuple[str, ...]) -> None:
         """Drop receipts that are durable."""
         for nonce in nonces:
-            self._owed_by_nonce.pop(nonce, None)
+            self._pending_receipt_by_nonce.pop(nonce, None)
 
     def is_fresh(self, epoch: int) -> bool:
         """Whether a dispatch minted in `epoch` may still be let in.
@@ -315,9 +317,9 @@
         """Begin the next epoch; return the nonces that were forgotten."""
         self.epoch += 1
         self.floor = max(self.floor, self.epoch - KEPT_EPOCHS)
-        return self._forget_below_floor()
+        return self._discard_below_floor()
 
-    def _remember(self, nonce: str, entry: _Entry) -> None:
+    def _retain(self, nonce: str, entry: _Entry) -> None:
         entry.ended_epoch = self.epoch
         self._ended[nonce] = None
 
@@ -325,32 +327,32 @@
         """Move the floor up while too much is remembered; return what went."""
         forgotten = []
         while len(self._ended) > self._max_ended:
-            oldest = self._entries_by_nonce[next(iter(self._ended))]
+            oldest = self._entry_by_nonce[next(iter(self._ended))]
             if oldest.ended_epoch >= self.epoch:
                 self.epoch = oldest.ended_epoch + 1
             self.floor = oldest.ended_epoch + 1
-            forgotten += self._forget_below_floor()
+            forgotten += self._discard_below_floor()
         return forgotten
 
-    def _forget_below_floor(self) -> list[str]:
+    def _discard_below_floor(self) -> list[str]:
         forgotten = []
         for nonce in self._ended:
-            entry = self._entries_by_nonce[nonce]
+            entry = self._entry_by_nonce[nonce]
             if entry.ended_epoch >= self.floor:
                 break
             forgotten.append(nonce)
         for nonce in forgotten:
             del self._ended[nonce]
-            entry = self._entries_by_nonce.pop(nonce)
+            entry = self._entry_by_nonce.pop(nonce)
             if entry.run is not None:
-                self._unlink(nonce, entry.run)
+                self._remove_request(nonce, entry.run)
         return forgotten
 
-    def _unlink(self, nonce: str, run: Run) -> None:
+    def _remove_request(self, nonce: str, run: Run) -> None:
         key = (run.profile, run.request_id)
         if self._nonce_by_request.get(key) == nonce:
             del self._nonce_by_request[key]
 
-    def _leave(self, nonce: str, tokens: int) -> None:
+    def _record_end(self, nonce: str, tokens: int) -> None:
         self._running.discard(nonce)
         self._accounts.finish(nonce=nonce, tokens=tokens)
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -16,7 +16,7 @@
     ChosenSenders,
     EqualShare,
     FleetRates,
-    share_of_rate,
+    rate_fraction,
 )
 
 APP = Service(name="app", max_connections=96)
@@ -160,7 +160,7 @@
         chosen = [
             name
             for name in names
-            if share_of_rate(ChosenSenders(own=name, names=names), "u0", senders=3)
+            if rate_fraction(ChosenSenders(own=name, names=names), "u0", senders=3)
         ]
         own = sorted(names - set(chosen))[0]
         rates = FleetRates(
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -4,13 +4,13 @@
 from tests.policy.helpers import batch, request
 
 from ragwortkeel.policy.admission import (
-    LONGEST_RETRY_SECONDS,
-    SHORTEST_RETRY_SECONDS,
-    TOTAL_MARGIN,
-    Places,
+    DURATION_MARGIN_FACTOR,
+    MAX_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
+    CompletionIntervals,
     ServiceTimes,
     Turns,
-    retry_after,
+    queue_retry_delay,
 )
 from ragwortkeel.policy.facts import Reason
 
@@ -19,8 +19,8 @@
     def learned(self, first_token=0.5, total=4.0):
         times = ServiceTimes()
         for made in (request("r"), batch("b")):
-            times.first_token(made, first_token)
-            times.finished(made, total)
+            times.record_first_token(made, first_token)
+            times.record_duration(made, total)
         return times
 
     def test_nothing_known_refuses_nothing(self):
@@ -35,18 +35,18 @@
         ],
     )
     def test_by_the_promise_that_binds(self, made, expected):
-        assert TOTAL_MARGIN == 1.5
+        assert DURATION_MARGIN_FACTOR == 1.5
         assert self.learned().latest_start(made) == expected
 
 
 class TestWaits:
     def test_places_by_littles_law(self):
-        places = Places()
-        assert places.seconds_between(("model",)) == 0.0
+        places = CompletionIntervals()
+        assert places.mean_seconds(("model",)) == 0.0
         for _ in range(4):
-            places.started(("model",))
-        places.finished(("model",), 8.0)
-        assert places.seconds_between(("model",)) == 2.0
+            places.record_start(("model",))
+        places.record_duration(("model",), 8.0)
+        assert places.mean_seconds(("model",)) == 2.0
 
     def test_turns_follow_what_was_taken(self):
         turns = Turns()
@@ -68,6 +68,6 @@
     @pytest.mark.parametrize("excess", [0.0, 0.2, 5.0, 1e6])
     def test_bounded_and_spread(self, excess):
         random = Random(1)
-        told = {retry_after(excess, random) for _ in range(20)}
-        assert all(SHORTEST_RETRY_SECONDS <= t <= LONGEST_RETRY_SECONDS for t in told)
-        assert len(told) > 1 or excess >= LONGEST_RETRY_SECONDS
+        told = {queue_retry_delay(excess, random) for _ in range(20)}
+        assert all(MIN_RETRY_SECONDS <= t <= MAX_RETRY_SECONDS for t in told)
+        assert len(told) > 1 or excess >= MAX_RETRY_SECONDS
--- a/tests/policy/test_announced_limits.py
+++ b/tests/policy/test_announced_limits.py
@@ -5,13 +5,13 @@
 import pytest
 
 from ragwortkeel.policy.announced_limits import (
-    REPORTED_SECONDS,
-    UNCONFIRMED_SECONDS,
+    CONFIRMATION_SECONDS,
+    REPORTING_SECONDS,
     AnnouncedLimits,
     Statement,
 )
 from ragwortkeel.policy.fleet_rates import (
-    LEARNING_SECONDS,
+    DISCOVERY_SECONDS,
     ChosenSenders,
     EqualShare,
     FleetRates,
@@ -62,7 +62,7 @@
         limits.answered("u1", 1.2, sent_at=7.0, now=8.0)
         limits.answered("u1", None, sent_at=9.0, now=9.1)
         assert limits.recent(9.2)["u1"].per_second is None
-        assert not limits.recent(9.0 + REPORTED_SECONDS)
+        assert not limits.recent(9.0 + REPORTING_SECONDS)
 
     def test_an_end_is_told_for_some_seconds_only(self):
         """Guards against reports that name every upstream that ever had a limit."""
@@ -99,10 +99,10 @@
         FleetRates(sharing=sharing, random=Random(seed * 10_000 + i), started=0.0)
         for i, sharing in enumerate(sharings)
     ]
-    begun = LEARNING_SECONDS + idle
+    begun = DISCOVERY_SECONDS + idle
     bound = limits.rate("u1", begun)
     for process in rates:
-        process.may_send("u1", bound, now=LEARNING_SECONDS)
+        process.may_send("u1", bound, now=DISCOVERY_SECONDS)
     sent = []
     for number in range(int(PLAYED_SECONDS / step)):
         now = begun + number * step
@@ -160,5 +160,5 @@
         """Guards against a limit that only processes which are gone could end."""
         limits = AnnouncedLimits()
         limits.take("u1", Statement(per_second=1.2, at=0.0))
-        assert limits.rate("u1", UNCONFIRMED_SECONDS - 0.1).known_to_all
-        assert not limits.rate("u1", UNCONFIRMED_SECONDS).known_to_all
+        assert limits.rate("u1", CONFIRMATION_SECONDS - 0.1).known_to_all
+        assert not limits.rate("u1", CONFIRMATION_SECONDS).known_to_all
--- a/tests/policy/test_choice.py
+++ b/tests/policy/test_choice.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from ragwortkeel.policy.choice import (
-    CANDIDATES,
+    CANDIDATE_COUNT,
     Candidate,
     LoadEstimate,
     choose,
@@ -16,7 +16,7 @@
 
 def candidates(*loads: float, room: float = 10.0, zones: str = "aaaaaaaaaa"):
     return [
-        Candidate(name=f"m{i}", zone=zones[i], load=load, room=room)
+        Candidate(name=f"m{i}", zone=zones[i], load=load, limit=room)
         for i, load in enumerate(loads)
     ]
 
@@ -58,7 +58,7 @@
         assert pick(ordered, seed=seed) in {"m0", "m1", "m2"}
 
     def test_goes_beyond_the_few_rather_than_refuse(self):
-        assert pick(candidates(*[10] * CANDIDATES, 3)) == f"m{CANDIDATES}"
+        assert pick(candidates(*[10] * CANDIDATE_COUNT, 3)) == f"m{CANDIDATE_COUNT}"
 
     @pytest.mark.parametrize("seed", range(8))
     def test_own_zone_goes_first_within_the_bound(self, seed):
@@ -85,10 +85,10 @@
     def test_own_work_since_the_report_counts(self):
         load = LoadEstimate()
         for second in range(3):
-            load.started(now=float(second))
-        load.report(10, taken_at=1.5)
+            load.record_start(now=float(second))
+        load.record_report(10, taken_at=1.5)
         assert load.load == 8 + 3
-        load.ended(now=3.0)
+        load.record_end(now=3.0)
         assert load.load == 8 + 2
 
     @pytest.mark.parametrize(
@@ -104,15 +104,17 @@
         """
         load = LoadEstimate()
         for _ in range(own):
-            load.started(now=0.0)
-        load.report(total, taken_at=1.0)
-        assert load.claimed(room=20.0 if own else 16.0) == pytest.approx(claimed)
+            load.record_start(now=0.0)
+        load.record_report(total, taken_at=1.0)
+        assert load.claimed_by_others(limit=20.0 if own else 16.0) == pytest.approx(
+            claimed
+        )
 
     def test_full_until_the_next_report(self):
         load = LoadEstimate()
-        load.full(room=16.0)
+        load.assume_full(limit=16.0)
         assert load.load == 16
-        load.report(4, taken_at=1.0)
+        load.record_report(4, taken_at=1.0)
         assert load.load == 4
 
     @given(st.lists(st.integers(0, 1), max_size=40), st.integers(0, 30))
@@ -120,8 +122,8 @@
         load = LoadEstimate()
         for at, step in enumerate(steps):
             if step or not load.own:
-                load.started(float(at))
+                load.record_start(float(at))
             else:
-                load.ended(float(at))
-        load.report(total, taken_at=len(steps) / 2)
+                load.record_end(float(at))
+        load.record_report(total, taken_at=len(steps) / 2)
         assert load.load >= load.own >= 0
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 
 from ragwortkeel.policy.ejection import (
-    FIRST_PAUSE_SECONDS,
-    LONGEST_PAUSE_SECONDS,
-    USABLE_SHARE,
+    FIRST_BACKOFF_SECONDS,
+    MAX_BACKOFF_SECONDS,
+    MIN_USABLE_FRACTION,
     Ejected,
     Ejections,
     Healthy,
@@ -47,7 +47,9 @@
         ejections = Ejections()
         for _ in range(20):
             ejections.failed("m0", Failure.CRASHED, 0.0)
-        assert ejections.health("m0") == Ejected(until=FIRST_PAUSE_SECONDS, ejections=1)
+        assert ejections.health("m0") == Ejected(
+            until=FIRST_BACKOFF_SECONDS, ejections=1
+        )
 
     @given(st.integers(1, 12), st.lists(st.integers(0, 11), max_size=60))
     def test_never_ejects_all(self, count, failing):
@@ -60,7 +62,7 @@
         ejections = Ejections()
         for index in failing:
             ejections.failed(names[index % count], Failure.UNREACHABLE, 0.0)
-        assert len(ejections.usable(names, 0.5)) >= ceil(USABLE_SHARE * count)
+        assert len(ejections.usable(names, 0.5)) >= ceil(MIN_USABLE_FRACTION * count)
 
 
 class TestProbing:
@@ -71,11 +73,11 @@
 
     def test_one_probe_at_a_time(self):
         ejections = self.ejected()
-        assert ejections.usable(NAMES, FIRST_PAUSE_SECONDS)["m0"]
-        ejections.assigned("m0", FIRST_PAUSE_SECONDS)
-        assert "m0" not in ejections.usable(NAMES, FIRST_PAUSE_SECONDS)
+        assert ejections.usable(NAMES, FIRST_BACKOFF_SECONDS)["m0"]
+        ejections.assigned("m0", FIRST_BACKOFF_SECONDS)
+        assert "m0" not in ejections.usable(NAMES, FIRST_BACKOFF_SECONDS)
         assert ejections.succeeded("m0")
-        assert ejections.usable(NAMES, FIRST_PAUSE_SECONDS)["m0"] is False
+        assert ejections.usable(NAMES, FIRST_BACKOFF_SECONDS)["m0"] is False
 
     def test_probe_without_verdict_is_tried_again(self):
         """The probe's caller hangs up: the upstream must not be lost for it."""
@@ -94,4 +96,4 @@
             ejections.failed("m0", Failure.UNREACHABLE, until)
             pauses.append(ejections.health("m0").until - until)
         assert pauses[:3] == [2.0, 4.0, 8.0]
-        assert pauses[-1] == LONGEST_PAUSE_SECONDS
+        assert pauses[-1] == MAX_BACKOFF_SECONDS
--- a/tests/policy/test_fleet_rates.py
+++ b/tests/policy/test_fleet_rates.py
@@ -5,13 +5,13 @@
 import pytest
 
 from ragwortkeel.policy.fleet_rates import (
-    LEARNING_SECONDS,
-    SENDERS,
+    DISCOVERY_SECONDS,
+    SENDERS_PER_UPSTREAM,
     ChosenSenders,
     EqualShare,
     FleetRate,
     FleetRates,
-    share_of_rate,
+    rate_fraction,
     sharing_among,
 )
 
@@ -40,7 +40,7 @@
         for index, sharing in enumerate(sharings)
     ]
     sent = []
-    begun = LEARNING_SECONDS + 1.0
+    begun = DISCOVERY_SECONDS + 1.0
     for number in range(int(COLD_SECONDS / step)):
         now = begun + number * step
         for process in processes:
@@ -74,7 +74,7 @@
         """Guards against a sum whose many terms meet by chance."""
         for seed in range(8):
             sent = starts(chosen(fleet(size)), seed=seed)
-            assert 0 < most_in_a_second(sent) <= PER_SECOND + SENDERS
+            assert 0 < most_in_a_second(sent) <= PER_SECOND + SENDERS_PER_UPSTREAM
 
     def test_processes_that_started_apart_keep_the_bound(self):
         """Guards against two halves that each choose senders of their own."""
@@ -101,7 +101,7 @@
         alone = FleetRates(
             sharing=lambda: EqualShare(processes=1), random=Random(0), started=10.0
         )
-        for step in range(int(LEARNING_SECONDS / STEP_SECONDS) - 1):
+        for step in range(int(DISCOVERY_SECONDS / STEP_SECONDS) - 1):
             now = 10.0 + step * STEP_SECONDS
             assert not alone.may_send("u1", RATE, now=now)
 
@@ -118,7 +118,7 @@
 
     def test_chosen_ones_have_the_whole_rate_and_others_nothing(self):
         names = fleet(30)
-        shares = [share_of_rate(sharing(), "u1") for sharing in chosen(names)]
+        shares = [rate_fraction(sharing(), "u1") for sharing in chosen(names)]
         assert sorted(shares)[-2:] == [0.5, 0.5]
         assert sum(shares) == 1.0
 
@@ -127,7 +127,7 @@
         senders = set()
         for number in range(20):
             for own, sharing in zip(fleet(30), chosen(fleet(30)), strict=True):
-                if share_of_rate(sharing(), f"u{number}"):
+                if rate_fraction(sharing(), f"u{number}"):
                     senders.add(own)
         assert len(senders) > 10
 
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -3,11 +3,11 @@
 from hypothesis import strategies as st
 
 from ragwortkeel.policy.limits import (
-    DECREASE,
-    FEWEST_SLOW,
+    DECREASE_FACTOR,
     FIRST_LIMIT,
-    MAX_LIMIT,
-    MIN_LIMIT,
+    MAX_LIMIT_REQUESTS,
+    MIN_LIMIT_REQUESTS,
+    MIN_SLOW_SAMPLES,
     AdaptiveLimit,
     Sample,
 )
@@ -39,12 +39,12 @@
     def test_cut_starts_from_what_was_in_use(self):
         limit = AdaptiveLimit(first=100)
         feed(limit, SLOW, 1.5, running=10)
-        assert limit.limit == int(10 * DECREASE)
+        assert limit.limit == int(10 * DECREASE_FACTOR)
 
     def test_slow_upstream_needs_few_samples(self):
         """An engine at a quarter of its speed answers a few times a second."""
         limit = AdaptiveLimit()
-        for second in range(FEWEST_SLOW):
+        for second in range(MIN_SLOW_SAMPLES):
             limit.observe(SLOW, running=16, now=float(second))
         assert limit.limit < FIRST_LIMIT
 
@@ -64,6 +64,6 @@
             limit.observe(sample, running=before, now=tick / 20)
             if limit.limit != before:
                 steps.add(int(tick / 20))
-            assert MIN_LIMIT <= limit.limit <= MAX_LIMIT
+            assert MIN_LIMIT_REQUESTS <= limit.limit <= MAX_LIMIT_REQUESTS
             assert 0.9 * before - 1 <= limit.limit <= 1.1 * before + 1
         assert len(steps) <= len(samples) / 20 + 1
--- a/tests/policy/test_quarantine.py
+++ b/tests/policy/test_quarantine.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 
 from ragwortkeel.policy.quarantine import (
-    KEEP_SECONDS,
+    RETENTION_SECONDS,
     Crash,
     Quarantine,
     Verdict,
@@ -100,5 +100,5 @@
     def test_forgotten_after_a_day(self):
         quarantine = Quarantine()
         quarantine.crashed(crash("c1", "poison", alone=True), 0.0)
-        quarantine.crashed(crash("c2", "other"), KEEP_SECONDS + 1)
+        quarantine.crashed(crash("c2", "other"), RETENTION_SECONDS + 1)
         assert quarantine.verdict("poison") is Verdict.CLEAR
--- a/tests/policy/test_queueing.py
+++ b/tests/policy/test_queueing.py
@@ -12,19 +12,19 @@
 from tests.policy.helpers import batch, request
 
 from ragwortkeel.configuration import ServiceClass
-from ragwortkeel.policy.queueing import FairQueue, Waiting
+from ragwortkeel.policy.queueing import FairQueue, QueuedRequest
 
 EVERY = frozenset(ServiceClass)
 
 
 def waiting(request_id, latest_start=100.0, made=request, **facts):
-    return Waiting(request=made(request_id, **facts), latest_start=latest_start)
+    return QueuedRequest(request=made(request_id, **facts), latest_start=latest_start)
 
 
 def drain(queue, count=1000, services=EVERY):
     taken = []
     while len(taken) < count and (first := queue.peek(services)):
-        queue.take(first)
+        queue.pop(first)
         taken.append(first.request)
     return taken
 
@@ -58,7 +58,7 @@
 
     @pytest.mark.parametrize(("fair", "owner"), [(True, "large"), (False, "small")])
     def test_full_queue_turns_away_who_waits_with_most(self, fair, owner):
-        queue = FairQueue(max_waiting=4, fair=fair)
+        queue = FairQueue(max_requests=4, fair=fair)
         for i in range(4):
             assert queue.push(waiting(f"flood{i}", customer="large")) is None
         assert queue.push(waiting("s", customer="small")).request.customer == owner
@@ -86,7 +86,7 @@
 
     def __init__(self):
         super().__init__()
-        self.queue = FairQueue(max_waiting=5)
+        self.queue = FairQueue(max_requests=5)
         self.inside = {}
         self.now = 0.0
         self.number = 0
@@ -117,7 +117,7 @@
         there = [w for w in self.inside.values() if w.request.service in services]
         assert bool(first) == bool(there)
         if first:
-            self.queue.take(first)
+            self.queue.pop(first)
             del self.inside[first.request.request_id]
 
     @rule(number=st.integers(1, 30))
@@ -128,7 +128,7 @@
     @rule(seconds=st.integers(0, 4))
     def pass_time(self, seconds):
         self.now += seconds
-        late = {w.request.request_id for w in self.queue.expired(self.now)}
+        late = {w.request.request_id for w in self.queue.pop_expired(self.now)}
         due = {i for i, w in self.inside.items() if w.latest_start < self.now}
         assert late == due
         for request_id in late:
@@ -138,10 +138,10 @@
     def counts_agree(self):
         assert len(self.queue) == len(self.inside)
         starts = [w.latest_start for w in self.inside.values()]
-        assert self.queue.next_expiry() == min(starts, default=None)
+        assert self.queue.next_expiry_at() == min(starts, default=None)
         for service in ServiceClass:
             there = [w for w in self.inside.values() if w.request.service is service]
-            assert self.queue.waiting(service) == len(there) <= 5
+            assert self.queue.length(service) == len(there) <= 5
 
 
 TestQueueMachine = QueueMachine.TestCase
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -9,8 +9,8 @@
 from ragwortkeel.ingress.worker import RETRY_SHARE as INGRESS_SHARE
 from ragwortkeel.policy.retries import (
     FLEET_RESERVE,
-    RESERVE,
-    RETRY_SHARE,
+    RESERVE_RETRIES,
+    RETRY_FRACTION,
     RetryBudget,
     RetryBudgets,
     reserve_of_one,
@@ -38,11 +38,11 @@
                 firsts += 1
             elif budget.take():
                 retries += 1
-        assert retries <= RESERVE + RETRY_SHARE * firsts + 1e-6
+        assert retries <= RESERVE_RETRIES + RETRY_FRACTION * firsts + 1e-6
 
     def test_quiet_time_saves_up_no_more_than_the_reserve(self):
         budget = quiet_for_long(RetryBudget())
-        assert sum(budget.take() for _ in range(100)) == RESERVE
+        assert sum(budget.take() for _ in range(100)) == RESERVE_RETRIES
 
 
 class TestReserveOfAFleet:
--- a/tests/policy/test_returns.py
+++ b/tests/policy/test_returns.py
@@ -2,7 +2,11 @@
 
 from random import Random
 
-from ragwortkeel.policy.returns import LONGEST_SECONDS, SHORTEST_SECONDS, return_after
+from ragwortkeel.policy.returns import (
+    MAX_DELAY_SECONDS,
+    MIN_DELAY_SECONDS,
+    return_after,
+)
 
 
 def returns(seconds, count=200):
@@ -22,5 +26,5 @@
 
 
 def test_waits_have_bounds():
-    assert min(returns(0.0)) >= SHORTEST_SECONDS
-    assert max(returns(600.0)) == LONGEST_SECONDS
+    assert min(returns(0.0)) >= MIN_DELAY_SECONDS
+    assert max(returns(600.0)) == MAX_DELAY_SECONDS
--- a/tests/policy/test_scheduler.py
+++ b/tests/policy/test_scheduler.py
@@ -11,7 +11,7 @@
     UpstreamFacts,
 )
 from ragwortkeel.policy.quarantine import Crash
-from ragwortkeel.policy.retries import MAX_ATTEMPTS, RESERVE, RETRY_SHARE
+from ragwortkeel.policy.retries import MAX_ATTEMPTS, RESERVE_RETRIES, RETRY_FRACTION
 
 
 def learn(made, seconds=1.0, first_token=0.2):
@@ -40,7 +40,7 @@
         assert assignment.request.request_id == "r2"
 
     def test_batch_leaves_places_for_interactive(self):
-        made = scheduler(1, first_limit=10, batch_share=0.8)
+        made = scheduler(1, first_limit=10, batch_fraction=0.8)
         answers = [made.offer(batch(f"b{i}"), now=0.0) for i in range(12)]
         assert sum(isinstance(each, Assignment) for each in answers) == 8
         assert isinstance(made.offer(request("chat"), now=0.0), Assignment)
@@ -71,7 +71,7 @@
 
     def test_displaced_request_is_answered_by_the_same_next(self):
         """A large customer's flood fills the queue; a small one comes."""
-        made = scheduler(1, first_limit=1, max_waiting=4)
+        made = scheduler(1, first_limit=1, max_queued_requests=4)
         made.offer(batch("first"), now=0.0)
         for i in range(4):
             made.offer(batch(f"flood{i}", customer="large"), now=0.0)
@@ -144,7 +144,7 @@
             answer = made.failed(f"a{i}", Failure.ERROR, now=float(i))
             retries += not isinstance(answer, Refusal)
             made.left(f"a{i}", now=float(i))
-        assert 0 < retries <= RESERVE + 40 * RETRY_SHARE
+        assert 0 < retries <= RESERVE_RETRIES + 40 * RETRY_FRACTION
 
     def test_refused_in_the_queue_after_a_failed_attempt_is_not_called_unrun(self):
         """An attempt breaks off; the retry finds all places taken.
--- a/tests/policy/test_timeouts.py
+++ b/tests/policy/test_timeouts.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ragwortkeel.policy.timeouts import SHORTEST_SECONDS, AnswerTimeout
+from ragwortkeel.policy.timeouts import MIN_TIMEOUT_SECONDS, AnswerTimeout
 
 LONGEST = 0.6
 
@@ -20,7 +20,7 @@
 
 def test_a_quick_service_that_is_cut_off_is_given_up_soon():
     """Callers wait out the timeout of a slow hour each time the platform is cut."""
-    assert after(*[0.004] * 20).seconds == SHORTEST_SECONDS
+    assert after(*[0.004] * 20).seconds == MIN_TIMEOUT_SECONDS
 
 
 def test_a_service_that_has_become_slow_is_waited_for_after_two_tries():
--- a/tests/runs/test_intent.py
+++ b/tests/runs/test_intent.py
@@ -7,8 +7,8 @@
 from ragwortkeel.runs import intent as intents
 from ragwortkeel.runs.filing import Filing, Read, Release
 from ragwortkeel.runs.intent import (
-    MAX_ROUNDS,
     MAX_STORED_ANSWER_BYTES,
+    MAX_WRITE_ATTEMPTS,
     SIDECAR_GONE,
     Answer,
     AskSidecar,
@@ -121,7 +121,7 @@
 
     def test_lost_races_end(self):
         filing = Filing(wanted=WANTED, first=False)
-        for _ in range(MAX_ROUNDS):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             filing.on_read(None)
             filing.on_write(WriteResult.CONFLICT)
         assert filing.step.reason == "contended"
--- a/tests/runs/test_journal.py
+++ b/tests/runs/test_journal.py
@@ -149,7 +149,7 @@
         assert end(journal, "n", 99).tokens == 10
 
     def test_long_outage_refuses_work_rather_than_drop_bills(self, monkeypatch):
-        monkeypatch.setattr("ragwortkeel.runs.journal.MAX_RECEIPTS", 2)
+        monkeypatch.setattr("ragwortkeel.runs.journal.MAX_PENDING_RECEIPTS", 2)
         journal = Journal(sidecar="s")
         for nonce in "xy":
             assert not journal.full
