--- a/benchmarks/_slopes_parts.py
+++ b/benchmarks/_slopes_parts.py
@@ -45,7 +45,7 @@
             UpstreamFacts(name=f"u{i}", back_end="model", zone="abc"[i % 3])
             for i in range(count)
         ]
-        scheduler.upstreams_changed(facts, now=0.0)
+        scheduler.set_upstreams(facts, now=0.0)
         rounds = max(20, 20_000 // count)
         points.append((count, _us_each(lambda s=scheduler: _one(s), rounds)))
     report_slope("choice", "us", "upstream", points)
@@ -56,16 +56,16 @@
         request_id="r1",
         profile="chat",
         customer="coop",
-        service=ServiceClass.INTERACTIVE,
+        service_class=ServiceClass.INTERACTIVE,
         back_ends=("model",),
         deadline=1e6,
-        first_token_by=1e6,
+        first_token_deadline=1e6,
         cost=400,
     )
     decision = scheduler.offer(request, now=1.0)
     if not isinstance(decision, Assignment):
         raise RuntimeError(f"an idle fleet did not take a request: {decision}")
-    scheduler.finished("r1", now=1.0)
+    scheduler.record_finish("r1", now=1.0)
 
 
 def measure_streaming() -> None:
--- a/benchmarks/load/fleet.py
+++ b/benchmarks/load/fleet.py
@@ -229,10 +229,10 @@
             request_id=f"{need.number}.{outcome.asks}",
             profile=profile.name,
             customer=need.customer,
-            service=profile.service,
+            service_class=profile.service,
             back_ends=(profile.back_end,),
             deadline=now + profile.deadline_seconds,
-            first_token_by=now + profile.first_token_seconds,
+            first_token_deadline=now + profile.first_token_seconds,
             cost=need.prompt + 2 * need.output,
             prefix=need.prefix,
         )
@@ -305,7 +305,9 @@
         return ask.request.request_id not in self._asks_by_id
 
     def _job(self, ask: Ask, nonce: str) -> Job:
-        priority = PRIORITIES[ask.request.service] if self._scheme.priorities else 0
+        priority = (
+            PRIORITIES[ask.request.service_class] if self._scheme.priorities else 0
+        )
         return Job(
             job_id=nonce,
             prompt=ask.need.prompt,
@@ -368,14 +370,14 @@
         """Count the answer as in time if it kept what its class promises."""
         request = ask.request
         in_time = self._now <= request.deadline
-        if request.service is ServiceClass.INTERACTIVE:
-            in_time = in_time and ask.first_token_at <= request.first_token_by
+        if request.service_class is ServiceClass.INTERACTIVE:
+            in_time = in_time and ask.first_token_at <= request.first_token_deadline
         self._measures.outcomes[ask.need.number].in_time |= in_time
 
     def _observe(self, sidecar: Sidecar, ask: Ask) -> None:
         if sidecar.limit is None:
             return
-        interactive = ask.request.service is ServiceClass.INTERACTIVE
+        interactive = ask.request.service_class is ServiceClass.INTERACTIVE
         promised = ask.need.profile.first_token_seconds if interactive else 0.0
         sample = Sample(
             first_token_seconds=ask.first_token_at - ask.sent_at,
@@ -416,8 +418,8 @@
         request = ask.request
         total = request.deadline - self._now
         first = total
-        if request.service is ServiceClass.INTERACTIVE:
-            first = request.first_token_by - self._now
+        if request.service_class is ServiceClass.INTERACTIVE:
+            first = request.first_token_deadline - self._now
         job = self._job(ask, "")
         return any(
             not sidecar.failing
--- a/benchmarks/load/schemes.py
+++ b/benchmarks/load/schemes.py
@@ -83,42 +83,44 @@
 
     def changed(self, upstreams: list[UpstreamFacts], now: float) -> list[Step]:
         """Pass it on, and hand out what that decides."""
-        self._scheduler.upstreams_changed(upstreams, now)
+        self._scheduler.set_upstreams(upstreams, now)
         return self.tick(now)
 
     def report(self, reports: list[LoadReport], now: float) -> list[Step]:
         """Report, and hand out what there is room for."""
         for report in reports:
-            self._scheduler.report(report, now)
+            self._scheduler.record_load(report, now)
         return self.tick(now)
 
     def first_token(self, request_id: str, now: float) -> None:
         """Pass it on."""
-        self._scheduler.first_token(request_id, now)
+        self._scheduler.record_first_token(request_id, now)
 
     def finished(self, request_id: str, now: float) -> list[Step]:
         """Pass it on, and fill the place."""
-        self._scheduler.finished(request_id, now)
+        self._scheduler.record_finish(request_id, now)
         return self.tick(now)
 
     def failed(self, request_id: str, failure: Failure, now: float) -> list[Step]:
         """Pass it on, and hand out what that decides."""
-        return self._steps(self._scheduler.failed(request_id, failure, now), now)
+        return self._steps(
+            self._scheduler.record_failure(request_id, failure, now), now
+        )
 
     def left(self, request_id: str, now: float) -> tuple[str | None, list[Step]]:
         """Pass it on, and fill the place."""
         if not self._cancels:
             return None, []
-        upstream = self._scheduler.left(request_id, now)
+        upstream = self._scheduler.record_disconnect(request_id, now)
         return upstream, self.tick(now)
 
     def tick(self, now: float) -> list[Step]:
         """Hand out what is due."""
-        return list(self._scheduler.next(now))
+        return list(self._scheduler.next_decisions(now))
 
     def next_wake(self) -> float | None:
         """Pass it on."""
-        return self._scheduler.next_wake()
+        return self._scheduler.next_wake_at()
 
     def _steps(self, decision: Decision | None, now: float) -> list[Step]:
         out = self.tick(now)
@@ -144,15 +146,15 @@
     """Return our scheme, with what is to be left out or set otherwise."""
     settings = replace(settings, **thresholds)
     if without:
-        settings = replace(settings, without=frozenset([without]))
+        settings = replace(settings, disabled=frozenset([without]))
     if fixed_limit:
-        settings = replace(settings, first_limit=fixed_limit)
+        settings = replace(settings, initial_limit=fixed_limit)
 
     def router(upstreams: list[UpstreamFacts], zone: str, random: Random) -> Ours:
         scheduler = Scheduler(
             zone=zone if zones else "", random=random, settings=settings
         )
-        scheduler.upstreams_changed(upstreams, 0.0)
+        scheduler.set_upstreams(upstreams, 0.0)
         return Ours(scheduler, cancels=cancels, affinity=affinity)
 
     return Scheme(
@@ -220,7 +222,7 @@
         if ended is None:
             return []
         request = ended.request
-        if request.service is ServiceClass.MUST_NOT_REPEAT or ended.attempt >= 3:
+        if request.service_class is ServiceClass.MUST_NOT_REPEAT or ended.attempt >= 3:
             return [_refusal(request, Reason.ATTEMPTS, may_have_run=True)]
         return [self._send(request, ended.attempt + 1)]
 
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -52,15 +52,15 @@
     """Return where a scheduler sends a request."""
     scheduler = Scheduler(zone="maule-a", random=Random(1))
     upstream = UpstreamFacts(name="m1", back_end="assistant", zone="maule-a")
-    scheduler.upstreams_changed([upstream], now=0.0)
+    scheduler.set_upstreams([upstream], now=0.0)
     request = RequestFacts(
         request_id="r1",
         profile="advisor-chat",
         customer="coop",
-        service=ServiceClass.INTERACTIVE,
+        service_class=ServiceClass.INTERACTIVE,
         back_ends=("assistant",),
         deadline=20.0,
-        first_token_by=1.5,
+        first_token_deadline=1.5,
         cost=250,
     )
     return scheduler.offer(request, now=0.0).upstream
--- a/src/ragwortkeel/cli/runs.py
+++ b/src/ragwortkeel/cli/runs.py
@@ -7,7 +7,7 @@
 from ragwortkeel.configuration import INTENTS, NODES
 from ragwortkeel.exceptions import CommandError, PlatformUnavailable, RunError
 from ragwortkeel.platform import Platform
-from ragwortkeel.runs.intent import Intent, Outcome, Verdict, decode, name_of
+from ragwortkeel.runs.intent import Intent, Outcome, Verdict, decode, object_name
 
 BY_OPERATOR = "operator"
 
@@ -53,7 +53,7 @@
     if verdict is None:
         raise CommandError(f"found {word}; allowed: ran or not-run")
     objects = Objects(platform=platform, kind=INTENTS, cls=Intent, noun="request")
-    name = name_of(profile, request_id)
+    name = object_name(profile, request_id)
     held = await objects.find(name)
     if held is None or not _is_unresolved(held.value):
         raise CommandError(
--- a/src/ragwortkeel/ingress/answers.py
+++ b/src/ragwortkeel/ingress/answers.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ragwortkeel.http_responder import Responder
-from ragwortkeel.policy.returns import return_after
+from ragwortkeel.policy.retry_delays import retry_delay
 
 PROBLEM_TYPE = "application/problem+json"
 
@@ -80,7 +80,7 @@
 
 def returning(answer: Answer, seconds: float) -> Answer:
     """Return the refusal with when to come back, of what is known of that."""
-    return replace(answer, retry_after_seconds=return_after(seconds, _random))
+    return replace(answer, retry_after_seconds=retry_delay(seconds, _random))
 
 
 async def send_answer(responder: Responder, answer: Answer) -> None:
--- a/src/ragwortkeel/ingress/crashes.py
+++ b/src/ragwortkeel/ingress/crashes.py
@@ -45,7 +45,7 @@
 
     def finished(self, fingerprint: str) -> None:
         """Note a whole answer, which clears a body."""
-        self._quarantine.finished(fingerprint)
+        self._quarantine.record_finish(fingerprint)
 
     def broken(self, upstream: Upstream, fingerprint: str) -> None:
         """Note a run that broke off."""
@@ -63,9 +63,9 @@
         # upstream can't crash twice it has one id.
         crash_id = f"{upstream.name}/{upstream.born}/{int(now / SUSPECT_SECONDS)}"
         crash = Crash(crash_id=crash_id, fingerprints=frozenset(names))
-        if self._quarantine.crashed(crash, now):
+        if self._quarantine.record_crash(crash, now):
             self.found.append(crash)
 
     def heard(self, crash: Crash) -> None:
         """Take in a crash that a peer found."""
-        self._quarantine.crashed(crash, self._clock())
+        self._quarantine.record_crash(crash, self._clock())
--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -11,7 +11,7 @@
 from ragwortkeel.ingress.placement import Job, OwnRates, Placed, Placement
 from ragwortkeel.ingress.waiting import Waiter, WaitingRoom
 from ragwortkeel.logs import log_info
-from ragwortkeel.policy.admission import Turns
+from ragwortkeel.policy.admission import DequeueIntervals
 
 PLACING_SECONDS = 0.05
 """How often waiting requests are looked at even if nothing was released here:
@@ -66,7 +66,7 @@
         self._placed_by_id: dict[str, Placed] = {}
         self._turn_by_id: dict[str, curio.Event] = {}
         self._service_by_name: dict[str, Service] = {}
-        self._turns_by_service: dict[str, Turns] = {}
+        self._turns_by_service: dict[str, DequeueIntervals] = {}
 
     async def acquire(
         self,
@@ -127,7 +127,7 @@
                     break
                 self._placed_by_id[waiter.job.request_id] = placed
                 self.room.remove(waiter.job)
-                self._turns(name).taken(0.0, monotonic())
+                self._turns(name).record_dequeue(0.0, monotonic())
                 await self._turn_by_id[waiter.job.request_id].set()
 
     async def run(self) -> None:
@@ -157,7 +157,7 @@
         now = monotonic()
         turn = self._turn_by_id[job.request_id] = curio.Event()
         if job.service not in self.room.services():
-            self._turns(job.service).waiting_from(now)
+            self._turns(job.service).record_queue_start(now)
         self.room.add(
             Waiter(job=job, arrived_at=now, latest_start=latest_start, tried=tried)
         )
@@ -202,10 +202,10 @@
             now=monotonic(),
         )
 
-    def _turns(self, service: str) -> Turns:
-        return self._turns_by_service.setdefault(service, Turns())
+    def _turns(self, service: str) -> DequeueIntervals:
+        return self._turns_by_service.setdefault(service, DequeueIntervals())
 
     def _seconds_to_turn(self, job: Job) -> float:
         idle = job.service not in self.room.services()
-        each = self._turns(job.service).seconds_each(0.0, idle=idle, now=monotonic())
+        each = self._turns(job.service).mean_seconds(0.0, idle=idle, now=monotonic())
         return each * (self.room.waiting_before(job) + 1)
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -91,7 +91,7 @@
         self._parts = parts
         self._accepted = accepted
         self._responder = to
-        self._retries = parts.retries.of(accepted.service.name)
+        self._retries = parts.retries.get(accepted.service.name)
         self._relay = Relay(responder=to, last_event=accepted.call.last_event)
         self._runs = 0
         self._turned_away = 0
@@ -118,7 +118,7 @@
         if isinstance(hold, Answer):
             await self._answer(hold)
             return
-        self._retries.earn()
+        self._retries.record_first_attempt()
         try:
             answer = await self._tries()
             if answer is not None:
@@ -337,7 +337,7 @@
 
     def _take_retry(self, cause: str) -> bool:
         """Spend one retry if there is one."""
-        allowed = self._retries.take()
+        allowed = self._retries.try_spend()
         self._log_retry(cause, allowed=allowed, charged=allowed)
         return allowed
 
@@ -350,7 +350,7 @@
             cause=cause,
             allowed=allowed,
             charged=charged,
-            saved=round(self._retries.saved, 2),
+            saved=round(self._retries.available_retries, 2),
         )
         self._parts.metrics.retry_decided(service=service, cause=cause, allowed=allowed)
 
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -272,7 +272,9 @@
         None where one has not, or is only cold: that passes within seconds.
         """
         upstreams = list(upstreams)
-        if not upstreams or any(self._limits.of(u.name) is None for u in upstreams):
+        if not upstreams or any(
+            self._limits.limit_of(u.name) is None for u in upstreams
+        ):
             return None
         pairs = [(u, self._rate(u, service, now)) for u in upstreams]
         return OwnRates(
@@ -299,21 +301,21 @@
         """Note a failure; return whether the upstream is left alone now."""
         if failure in _MAY_HAVE_RESTARTED and upstream in self._state_by_name:
             self._state_by_name[upstream].cold = _Cold(unreached=True, told=False)
-        return self.ejections.failed(upstream, failure, now)
+        return self.ejections.record_failure(upstream, failure, now)
 
     def succeeded(self, upstream: str, now: float) -> None:
         """Note an answer of the upstream's own."""
         state = self._state_by_name.get(upstream)
         if state is not None and state.cold.unreached:
             state.cold = _Cold(at=now, seconds=float("inf"), told=False)
-        self.ejections.succeeded(upstream)
+        self.ejections.record_success(upstream)
 
     def note_cold(self, upstream: str, seconds: float, now: float) -> None:
         """Take an upstream for cold for so long from now; 0 for warm."""
         state = self._state_by_name.setdefault(upstream, _State())
         state.cold = _Cold(at=now, seconds=seconds)
-        if not seconds and self._limits.of(upstream) is None:
-            self._rates.forget(upstream)
+        if not seconds and self._limits.limit_of(upstream) is None:
+            self._rates.remove(upstream)
 
     def forget(self, upstream: str) -> None:
         """Drop what a restarted or gone upstream no longer holds."""
@@ -363,8 +365,8 @@
 
     def keep(self, upstreams: set[str]) -> None:
         """Forget upstreams that are gone and hold no own work."""
-        self.ejections.keep(upstreams)
-        self._rates.keep(upstreams)
+        self.ejections.retain(upstreams)
+        self._rates.retain(upstreams)
         self._state_by_name = {
             name: state
             for name, state in self._state_by_name.items()
@@ -403,7 +405,7 @@
         self, upstream: Upstream, service: Service, now: float
     ) -> FleetRate | None:
         """Return the bound on the upstream's requests, of several the least."""
-        announced = self._limits.rate(upstream.name, now)
+        announced = self._limits.fleet_rate(upstream.name, now)
         cold = self._state(upstream).cold
         if not service.cold_per_second or not cold.holds(service, now):
             return announced
@@ -468,8 +470,8 @@
         state.memory_tokens += job.memory_tokens
         state.unread_tokens += unread
         if self._rate(upstream, service, now) is not None:
-            self._rates.sent(upstream.name)
-        self.ejections.assigned(upstream.name, now)
+            self._rates.record_sent(upstream.name)
+        self.ejections.record_assignment(upstream.name, now)
         return Placed(upstream=upstream, job=job, unread_tokens=unread, load=load)
 
 
--- a/src/ragwortkeel/ingress/renewals.py
+++ b/src/ragwortkeel/ingress/renewals.py
@@ -174,8 +174,8 @@
         self._merges_by = monotonic() + CLOCKS_WAIT_SECONDS
         self._joins_by = monotonic() + JOIN_SECONDS
         self._stand_in = StandIn(random=self._random)
-        self._hand_over_timeout = AnswerTimeout(longest=LONGEST_HAND_OVER_SECONDS)
-        self._hand_over_timeout.answered(HAND_OVER_SECONDS)
+        self._hand_over_timeout = AnswerTimeout(max_seconds=LONGEST_HAND_OVER_SECONDS)
+        self._hand_over_timeout.record_answer(HAND_OVER_SECONDS)
         self._renewed_at = float("-inf")
         self._called_at = float("-inf")
         self._waits_until = 0.0
@@ -443,10 +443,10 @@
             patience = LONGEST_HAND_OVER_SECONDS
             answered = await self._answered_by(boot, begun + patience)
         if answered:
-            self._hand_over_timeout.answered(monotonic() - begun)
+            self._hand_over_timeout.record_answer(monotonic() - begun)
             return WriteOutcome.DONE
         log_info("renewals_unanswered", writer=writer, seconds=round(patience, 3))
-        self._hand_over_timeout.timed_out()
+        self._hand_over_timeout.record_timeout()
         self._group.avoid(writer)
         return WriteOutcome.UNKNOWN
 
--- a/src/ragwortkeel/ingress/stated_limits.py
+++ b/src/ragwortkeel/ingress/stated_limits.py
@@ -9,7 +9,7 @@
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import AnnouncedLimit
 from ragwortkeel.metrics import Metrics
-from ragwortkeel.policy.announced_limits import AnnouncedLimits, Statement
+from ragwortkeel.policy.announced_limits import AnnouncedLimits, LimitAnnouncement
 
 LOGGED_CHARACTERS = 40
 """Of a value that can't be read."""
@@ -60,8 +60,10 @@
             self._log_unreadable(upstream, str(exc))
             return
         self._unreadable.discard(upstream)
-        was = self.limits.of(upstream)
-        if self.limits.answered(upstream, per_second, sent_at=sent_at, now=monotonic()):
+        was = self.limits.limit_of(upstream)
+        if self.limits.record_answer(
+            upstream, per_second, sent_at=sent_at, now=monotonic()
+        ):
             self._log_change(upstream, was, source="answer")
 
     def recent(self) -> dict[str, AnnouncedLimit]:
@@ -70,20 +72,22 @@
         return {
             name: AnnouncedLimit(
                 per_second=statement.per_second,
-                age_seconds=round(now - statement.at, 3),
+                age_seconds=round(now - statement.effective_at, 3),
             )
-            for name, statement in self.limits.recent(now).items()
+            for name, statement in self.limits.recent_own(now).items()
         }
 
     def merge(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
         """Take in what answers to a peer said."""
         now = monotonic()
         for name, reported in limit_by_upstream.items():
-            was = self.limits.of(name)
-            statement = Statement(
-                per_second=reported.per_second, at=now - reported.age_seconds, own=False
+            was = self.limits.limit_of(name)
+            statement = LimitAnnouncement(
+                per_second=reported.per_second,
+                effective_at=now - reported.age_seconds,
+                own=False,
             )
-            if self.limits.take(name, statement):
+            if self.limits.merge(name, statement):
                 self._log_change(name, was, source="peer")
 
     def note_instance(self, upstream: Upstream) -> None:
@@ -92,21 +96,21 @@
         self._born_by_upstream[upstream.name] = upstream.born
         if known is None or upstream.born <= known:
             return
-        was = self.limits.of(upstream.name)
-        self.limits.forget(upstream.name)
+        was = self.limits.limit_of(upstream.name)
+        self.limits.remove(upstream.name)
         if was is not None:
             self._log_change(upstream.name, was, source="restart")
 
     def keep(self, upstreams: set[str]) -> None:
         """Drop what upstreams said that are gone."""
-        for gone in self.limits.keep(upstreams):
+        for gone in self.limits.retain(upstreams):
             self._metrics.upstream_announced(name=gone, limit=None)
         self._unreadable &= upstreams
         for gone in self._born_by_upstream.keys() - upstreams:
             del self._born_by_upstream[gone]
 
     def _log_change(self, upstream: str, was: float | None, *, source: str) -> None:
-        limit = self.limits.of(upstream)
+        limit = self.limits.limit_of(upstream)
         log_info(
             "upstream_limit_changed",
             upstream=upstream,
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -56,7 +56,7 @@
 from ragwortkeel.platform_counts import CountedPlatform
 from ragwortkeel.policy.fleet_rates import FleetRates, sharing_among
 from ragwortkeel.policy.quarantine import Crash
-from ragwortkeel.policy.retries import RetryBudgets, reserve_of_one
+from ragwortkeel.policy.retries import RetryBudgets, process_reserve
 from ragwortkeel.process import Leftover
 from ragwortkeel.settings import Address, IngressSettings, changed_fields
 from ragwortkeel.tasks import run_together
@@ -68,7 +68,7 @@
 
 RETRY_RESERVE = 6.0
 """Retries at a service saved up by a quiet process of a small fleet, less in a larger
-one; see `policy.retries.reserve_of_one`."""
+one; see `policy.retries.process_reserve`."""
 
 UPKEEP_SECONDS = 0.2
 """How often lapsed entries and idle connections are looked at."""
@@ -127,7 +127,7 @@
                 sharing=lambda: sharing_among(
                     own=settings.address,
                     others=self._peers.routers,
-                    holders=self._keeper.allowances.holders,
+                    ledger_processes=self._keeper.allowances.holders,
                 ),
                 random=Random(incarnation),
                 started=monotonic(),
@@ -472,8 +472,8 @@
             await self._tell_crashes()
             holders = self._keeper.allowances.holders
             processes = max(self._peers.known_routers, holders)
-            reserve = reserve_of_one(processes=processes, most=RETRY_RESERVE)
-            self._retries.keep(reserve)
+            reserve = process_reserve(processes=processes, most=RETRY_RESERVE)
+            self._retries.set_reserve(reserve)
             self.metrics.load(
                 running=self._server.open_exchanges, queued=len(self._dispatcher.room)
             )
--- a/src/ragwortkeel/platform_calls.py
+++ b/src/ragwortkeel/platform_calls.py
@@ -52,7 +52,7 @@
     ) -> None:
         where = Address.parse(address)
         self._client = HttpClient(host=where.host, port=where.port)
-        self._timeout = AnswerTimeout(longest=timeout)
+        self._timeout = AnswerTimeout(max_seconds=timeout)
         self._on_failure = on_failure
 
     async def read(
@@ -100,10 +100,10 @@
                 method, target, timeout=self._timeout.seconds + wait, **fields
             )
         except (ConnectFailed, ExchangeBroken):
-            self._timeout.timed_out()
+            self._timeout.record_timeout()
             raise
         if not wait:
-            self._timeout.answered(monotonic() - begun)
+            self._timeout.record_answer(monotonic() - begun)
         return response
 
     async def close(self) -> None:
--- a/src/ragwortkeel/policy/admission.py
+++ b/src/ragwortkeel/policy/admission.py
@@ -71,10 +71,10 @@
         """Return when the request must be dispatched, and the promise that binds."""
         total = self._total_by_profile.get(request.profile, 0.0)
         by_deadline = request.deadline - DURATION_MARGIN_FACTOR * total
-        if request.service is not ServiceClass.INTERACTIVE:
+        if request.service_class is not ServiceClass.INTERACTIVE:
             return by_deadline, Reason.DEADLINE
         first_token = self._first_token_by_profile.get(request.profile, 0.0)
-        by_first_token = request.first_token_by - first_token
+        by_first_token = request.first_token_deadline - first_token
         if by_first_token < by_deadline:
             return by_first_token, Reason.FIRST_TOKEN
         return by_deadline, Reason.DEADLINE
@@ -99,30 +99,30 @@
         """Take in one whole run's time."""
         _record_sample(self._seconds_by_pool, pool, seconds)
 
-    def mean_seconds(self, pool: tuple[str, ...]) -> float:
+    def seconds_per_completion(self, pool: tuple[str, ...]) -> float:
         """Return the seconds from one place to the next; 0 before any finished."""
         in_flight = max(1, self._in_flight_by_pool.get(pool, 0))
         return self._seconds_by_pool.get(pool, 0.0) / in_flight
 
 
-class Turns:
+class DequeueIntervals:
     """How often a waiting request of one class is taken out of one queue."""
 
     def __init__(self) -> None:
         self._seconds: float | None = None
         self._last = 0.0
 
-    def waiting_from(self, now: float) -> None:
+    def record_queue_start(self, now: float) -> None:
         """Note that the first request began to wait."""
         self._last = now
 
-    def taken(self, fallback: float, now: float) -> None:
+    def record_dequeue(self, fallback: float, now: float) -> None:
         """Note that one was taken out; `fallback` is the estimate before any."""
         known = fallback if self._seconds is None else self._seconds
         self._seconds = _smooth(known, now - self._last)
         self._last = now
 
-    def seconds_each(self, fallback: float, *, idle: bool, now: float) -> float:
+    def mean_seconds(self, fallback: float, *, idle: bool, now: float) -> float:
         """Return the smoothed time from one to the next.
 
         While any wait, the pause since the last one counts as a sample once it
--- a/src/ragwortkeel/policy/announced_limits.py
+++ b/src/ragwortkeel/policy/announced_limits.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Statement:
+class LimitAnnouncement:
     """What an upstream said of its limit.
 
     Attributes
@@ -52,14 +52,14 @@
     """
 
     per_second: float | None
-    at: float
+    effective_at: float
     own: bool = True
     ended_at: float | None = None
 
     @property
     def changed_at(self) -> float:
         """Return the second from which it is due to be reported."""
-        return self.at if self.ended_at is None else self.ended_at
+        return self.effective_at if self.ended_at is None else self.ended_at
 
 
 class AnnouncedLimits:
@@ -68,18 +68,18 @@
     Examples
     --------
     >>> limits = AnnouncedLimits()
-    >>> limits.take("u1", Statement(per_second=1.5, at=8.0))
+    >>> limits.take("u1", LimitAnnouncement(per_second=1.5, at=8.0))
     True
-    >>> limits.take("u1", Statement(per_second=None, at=7.9)), limits.of("u1")
+    >>> limits.take("u1", LimitAnnouncement(per_second=None, at=7.9)), limits.of("u1")
     (False, 1.5)
-    >>> limits.take("u1", Statement(per_second=None, at=8.2)), limits.of("u1")
+    >>> limits.take("u1", LimitAnnouncement(per_second=None, at=8.2)), limits.of("u1")
     (True, None)
     """
 
     def __init__(self) -> None:
-        self._statement_by_upstream: dict[str, Statement] = {}
+        self._announcement_by_upstream: dict[str, LimitAnnouncement] = {}
 
-    def answered(
+    def record_answer(
         self, upstream: str, per_second: float | None, *, sent_at: float, now: float
     ) -> bool:
         """Take in what an answer says; return whether the limit changed.
@@ -88,59 +88,63 @@
         it speaks only of the moment in which its request was sent.
         """
         at = sent_at if per_second is None else now
-        return self.take(upstream, Statement(per_second=per_second, at=at))
+        return self.merge(
+            upstream, LimitAnnouncement(per_second=per_second, effective_at=at)
+        )
 
-    def take(self, upstream: str, statement: Statement) -> bool:
+    def merge(self, upstream: str, statement: LimitAnnouncement) -> bool:
         """Take in a statement where it is newer; return whether the limit changed."""
-        known = self._statement_by_upstream.get(upstream)
+        known = self._announcement_by_upstream.get(upstream)
         if known is None:
             if statement.per_second is None:
                 return False
-            self._statement_by_upstream[upstream] = statement
+            self._announcement_by_upstream[upstream] = statement
             return True
-        if statement.at <= known.at:
+        if statement.effective_at <= known.effective_at:
             return False
         if statement.per_second is None:
-            ended_at = statement.at if known.ended_at is None else known.ended_at
+            ended_at = (
+                statement.effective_at if known.ended_at is None else known.ended_at
+            )
             statement = replace(statement, ended_at=ended_at)
-        self._statement_by_upstream[upstream] = statement
+        self._announcement_by_upstream[upstream] = statement
         return statement.per_second != known.per_second
 
-    def of(self, upstream: str) -> float | None:
+    def limit_of(self, upstream: str) -> float | None:
         """Return the limit in force, in requests a second; None for none."""
-        known = self._statement_by_upstream.get(upstream)
+        known = self._announcement_by_upstream.get(upstream)
         return known.per_second if known else None
 
-    def rate(self, upstream: str, now: float) -> FleetRate | None:
+    def fleet_rate(self, upstream: str, now: float) -> FleetRate | None:
         """Return the bound on the fleet's requests to an upstream; None for none."""
-        known = self._statement_by_upstream.get(upstream)
+        known = self._announcement_by_upstream.get(upstream)
         if known is None or known.per_second is None:
             return None
         return FleetRate(
             per_second=max(MIN_REQUESTS_PER_SECOND, known.per_second),
             senders=MIN_SENDERS + int(SENDERS_PER_REQUEST * known.per_second),
-            saved_seconds=BURST_SECONDS,
-            known_to_all=now - known.at < CONFIRMATION_SECONDS,
+            burst_seconds=BURST_SECONDS,
+            known_to_all=now - known.effective_at < CONFIRMATION_SECONDS,
         )
 
-    def recent(self, now: float) -> dict[str, Statement]:
+    def recent_own(self, now: float) -> dict[str, LimitAnnouncement]:
         """Return the statements that peers should hear of.
 
         Only own ones: passed on again, one would seem newer than it is.
         """
         return {
             name: statement
-            for name, statement in self._statement_by_upstream.items()
+            for name, statement in self._announcement_by_upstream.items()
             if statement.own and now - statement.changed_at < REPORTING_SECONDS
         }
 
-    def forget(self, upstream: str) -> None:
+    def remove(self, upstream: str) -> None:
         """Drop what an earlier instance of that name said."""
-        self._statement_by_upstream.pop(upstream, None)
+        self._announcement_by_upstream.pop(upstream, None)
 
-    def keep(self, upstreams: Iterable[str]) -> set[str]:
+    def retain(self, upstreams: Iterable[str]) -> set[str]:
         """Drop what upstreams said that are gone; return their names."""
-        gone = self._statement_by_upstream.keys() - set(upstreams)
+        gone = self._announcement_by_upstream.keys() - set(upstreams)
         for name in gone:
-            del self._statement_by_upstream[name]
+            del self._announcement_by_upstream[name]
         return gone
--- a/src/ragwortkeel/policy/ejection.py
+++ b/src/ragwortkeel/policy/ejection.py
@@ -64,23 +64,23 @@
         self,
         *,
         failures_to_eject: int = FAILURES_TO_EJECT,
-        first_pause_seconds: float = FIRST_BACKOFF_SECONDS,
+        first_backoff_seconds: float = FIRST_BACKOFF_SECONDS,
     ) -> None:
         self._failures_to_eject = failures_to_eject
-        self._first_pause_seconds = first_pause_seconds
-        self._by_upstream: dict[str, Health] = {}
+        self._first_backoff_seconds = first_backoff_seconds
+        self._health_by_upstream: dict[str, Health] = {}
 
-    def keep(self, upstreams: set[str]) -> None:
+    def retain(self, upstreams: set[str]) -> None:
         """Forget upstreams that left."""
-        self._by_upstream = {
+        self._health_by_upstream = {
             name: health
-            for name, health in self._by_upstream.items()
+            for name, health in self._health_by_upstream.items()
             if name in upstreams
         }
 
     def health(self, upstream: str) -> Health:
         """Return what is known of the upstream."""
-        return self._by_upstream.get(upstream, Healthy())
+        return self._health_by_upstream.get(upstream, Healthy())
 
     def usable(self, upstreams: Iterable[str], now: float) -> dict[str, bool]:
         """Return the upstreams that may get work, and whether it is a probe.
@@ -115,47 +115,51 @@
             probe_by_name[name] = False
         return probe_by_name
 
-    def assigned(self, upstream: str, now: float) -> None:
+    def record_assignment(self, upstream: str, now: float) -> None:
         """Note that work goes there; the first after a pause is the probe."""
         match self.health(upstream):
             case Ejected(until=until, ejections=ejections) if until <= now:
-                self._by_upstream[upstream] = Probing(since=now, ejections=ejections)
+                self._health_by_upstream[upstream] = Probing(
+                    since=now, ejections=ejections
+                )
 
-    def succeeded(self, upstream: str) -> bool:
+    def record_success(self, upstream: str) -> bool:
         """Note a success; return whether it brought the upstream back."""
         match self.health(upstream):
             case Healthy(failures=0, ejections=0):
                 return False
             case Healthy():
-                self._by_upstream[upstream] = Healthy()
+                self._health_by_upstream[upstream] = Healthy()
                 return False
             case Ejected():
                 # A late answer from before the ejection proves nothing new.
                 return False
             case Probing(ejections=ejections):
-                self._by_upstream[upstream] = Healthy(ejections=ejections)
+                self._health_by_upstream[upstream] = Healthy(ejections=ejections)
                 return True
 
-    def given_up(self, upstream: str, now: float) -> None:
+    def record_no_verdict(self, upstream: str, now: float) -> None:
         """Note that work left without a verdict (cancelled, turned away)."""
         match self.health(upstream):
             case Probing(ejections=ejections):
-                self._by_upstream[upstream] = Ejected(until=now, ejections=ejections)
+                self._health_by_upstream[upstream] = Ejected(
+                    until=now, ejections=ejections
+                )
 
-    def failed(self, upstream: str, failure: Failure, now: float) -> bool:
+    def record_failure(self, upstream: str, failure: Failure, now: float) -> bool:
         """Note a failed attempt; return whether it ejected the upstream.
 
         A full or leaving upstream is not a failing one, so `OVERLOADED` and
         `TURNED_AWAY` count as no verdict.
         """
         if failure in (Failure.OVERLOADED, Failure.TURNED_AWAY):
-            self.given_up(upstream, now)
+            self.record_no_verdict(upstream, now)
             return False
         match self.health(upstream):
             case Healthy(failures=failures, ejections=ejections):
                 needed = self._failures_to_eject if failure is Failure.ERROR else 1
                 if failures + 1 < needed:
-                    self._by_upstream[upstream] = Healthy(
+                    self._health_by_upstream[upstream] = Healthy(
                         failures=failures + 1, ejections=ejections
                     )
                     return False
@@ -167,8 +171,8 @@
                 return False
 
     def _eject(self, upstream: str, ejections: int, now: float) -> bool:
-        pause = min(MAX_BACKOFF_SECONDS, self._first_pause_seconds * 2**ejections)
-        self._by_upstream[upstream] = Ejected(
+        pause = min(MAX_BACKOFF_SECONDS, self._first_backoff_seconds * 2**ejections)
+        self._health_by_upstream[upstream] = Ejected(
             until=now + pause, ejections=min(ejections + 1, 16)
         )
         return True
--- a/src/ragwortkeel/policy/facts.py
+++ b/src/ragwortkeel/policy/facts.py
@@ -68,19 +68,19 @@
     request_id: str
     profile: str
     customer: str
-    service: ServiceClass
+    service_class: ServiceClass
     back_ends: tuple[str, ...]
     deadline: float
-    first_token_by: float
+    first_token_deadline: float
     cost: int
     prefix: str = ""
     fingerprint: str = ""
-    first_token_seconds: float = 0.0
+    promised_first_token_seconds: float = 0.0
 
     @property
     def repeatable(self) -> bool:
         """Whether a second run would be harmless."""
-        return self.service is not ServiceClass.MUST_NOT_REPEAT
+        return self.service_class is not ServiceClass.MUST_NOT_REPEAT
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/src/ragwortkeel/policy/fleet_rates.py
+++ b/src/ragwortkeel/policy/fleet_rates.py
@@ -52,7 +52,7 @@
 
     per_second: float
     senders: int = SENDERS_PER_UPSTREAM
-    saved_seconds: float = 0.0
+    burst_seconds: float = 0.0
     known_to_all: bool = True
 
 
@@ -74,7 +74,9 @@
 Sharing = EqualShare | ChosenSenders
 
 
-def sharing_among(*, own: str, others: frozenset[str], holders: int) -> Sharing:
+def sharing_among(
+    *, own: str, others: frozenset[str], ledger_processes: int
+) -> Sharing:
     """Return how a process shares the rate.
 
     Parameters
@@ -84,8 +86,8 @@
     holders : int
         Processes that the ledgers show, starts that are gone among them.
     """
-    if len(others) + 1 < holders:
-        return EqualShare(processes=holders)
+    if len(others) + 1 < ledger_processes:
+        return EqualShare(processes=ledger_processes)
     return ChosenSenders(own=own, names=others)
 
 
@@ -180,7 +182,7 @@
             bucket = _Bucket(level=self._random.random(), updated_at=now)
             self._bucket_by_upstream[upstream] = bucket
         own_rate = self.own_rate(upstream, rate)
-        most = 1.0 + rate.saved_seconds * own_rate
+        most = 1.0 + rate.burst_seconds * own_rate
         bucket.level = min(most, bucket.level + own_rate * (now - bucket.updated_at))
         bucket.updated_at = now
         if bucket.level >= 1.0:
@@ -196,16 +198,16 @@
             self._cached_fraction_by_upstream[upstream] = known
         return known.fraction
 
-    def sent(self, upstream: str) -> None:
+    def record_sent(self, upstream: str) -> None:
         """Note that a request goes to an upstream with a bound."""
         self._bucket_by_upstream[upstream].level -= 1.0
 
-    def forget(self, upstream: str) -> None:
+    def remove(self, upstream: str) -> None:
         """Drop what was counted for an upstream without a bound."""
         self._bucket_by_upstream.pop(upstream, None)
         self._cached_fraction_by_upstream.pop(upstream, None)
 
-    def keep(self, upstreams: Iterable[str]) -> None:
+    def retain(self, upstreams: Iterable[str]) -> None:
         """Drop what was counted for upstreams that are gone."""
         for name in self._bucket_by_upstream.keys() - set(upstreams):
-            self.forget(name)
+            self.remove(name)
--- a/src/ragwortkeel/policy/limits.py
+++ b/src/ragwortkeel/policy/limits.py
@@ -19,7 +19,7 @@
 
 from dataclasses import dataclass
 
-FIRST_LIMIT = 16
+INITIAL_LIMIT_REQUESTS = 16
 MIN_LIMIT_REQUESTS = 2
 """One running and one arriving: below, an upstream idles between requests."""
 
@@ -92,8 +92,8 @@
     7
     """
 
-    def __init__(self, *, first: int = FIRST_LIMIT) -> None:
-        self._limit = float(first)
+    def __init__(self, *, initial_limit: int = INITIAL_LIMIT_REQUESTS) -> None:
+        self._limit = float(initial_limit)
         self._window_start = 0.0
         self._reset_window()
 
--- a/src/ragwortkeel/policy/quarantine.py
+++ b/src/ragwortkeel/policy/quarantine.py
@@ -89,17 +89,17 @@
         Fingerprints remembered at the most.
     """
 
-    def __init__(self, *, keep: int = MAX_FINGERPRINTS) -> None:
-        self._keep = keep
+    def __init__(self, *, max_fingerprints: int = MAX_FINGERPRINTS) -> None:
+        self._max_fingerprints = max_fingerprints
         self._suspicion_by_fingerprint: OrderedDict[str, Suspicion] = OrderedDict()
 
-    def crashed(self, crash: Crash, now: float) -> bool:
+    def record_crash(self, crash: Crash, now: float) -> bool:
         """Take in a crash, own or told; return whether it was news to pass on."""
         news = [name for name in crash.fingerprints if self._add(name, crash, now)]
         self._discard_old(now)
         return bool(news)
 
-    def finished(self, name: str) -> bool:
+    def record_finish(self, name: str) -> bool:
         """Clear a body that ran to its end; return whether it was suspected.
 
         A request that crashes upstreams crashes each one that runs it, so one
@@ -146,7 +146,7 @@
     def _discard_old(self, now: float) -> None:
         while self._suspicion_by_fingerprint:
             oldest = next(iter(self._suspicion_by_fingerprint.values()))
-            full = len(self._suspicion_by_fingerprint) > self._keep
+            full = len(self._suspicion_by_fingerprint) > self._max_fingerprints
             if not full and oldest.seen_at + RETENTION_SECONDS > now:
                 return
             self._suspicion_by_fingerprint.popitem(last=False)
--- a/src/ragwortkeel/policy/queueing.py
+++ b/src/ragwortkeel/policy/queueing.py
@@ -113,7 +113,7 @@
 
     def requests_ahead(self, request: RequestFacts) -> float:
         """Return about how many of its class will go before a new request."""
-        flows = self._queue_by_class[request.service].flow_by_customer
+        flows = self._queue_by_class[request.service_class].flow_by_customer
         customer = self._customer(request)
         own = len(flows[customer].requests) if customer in flows else 0
         others = (flow for name, flow in flows.items() if name != customer)
@@ -124,7 +124,7 @@
 
         The one turned away may be the new one itself.
         """
-        line = self._queue_by_class[waiting.request.service]
+        line = self._queue_by_class[waiting.request.service_class]
         if line.size == 0:
             line.served_tokens = max(line.served_tokens, self._floor_tokens)
         line.flow(self._customer(waiting.request)).requests.append(waiting)
@@ -147,7 +147,7 @@
     def pop(self, waiting: QueuedRequest) -> None:
         """Take the request that `peek` returned out, and charge its customer."""
         request = waiting.request
-        line = self._queue_by_class[request.service]
+        line = self._queue_by_class[request.service_class]
         flow = line.flow(self._customer(request))
         self._floor_tokens = max(self._floor_tokens, line.served_tokens)
         line.floor_tokens = max(line.floor_tokens, flow.served_tokens)
@@ -203,7 +203,7 @@
     def _remove(self, waiting: QueuedRequest) -> None:
         request = waiting.request
         del self._queued_by_id[request.request_id]
-        line = self._queue_by_class[request.service]
+        line = self._queue_by_class[request.service_class]
         line.size -= 1
         customer = self._customer(request)
         flow = line.flow_by_customer[customer]
--- a/src/ragwortkeel/policy/retries.py
+++ b/src/ragwortkeel/policy/retries.py
@@ -32,7 +32,7 @@
 as many.  With a whole reserve a series of kills, or a fleet that starts at once, would
 send the reserves of all its starts together."""
 
-FLEET_RESERVE = 30.0
+FLEET_RESERVE_RETRIES = 30.0
 """Retries saved up at the most by all processes of a fleet together.  A fixed reserve
 of each adds up instead: 29 quiet processes with 6 would send 174 at once."""
 
@@ -40,7 +40,7 @@
 """Three independent upstreams failing one request point at the request."""
 
 
-def reserve_of_one(*, processes: int, most: float = RESERVE_RETRIES) -> float:
+def process_reserve(*, processes: int, most: float = RESERVE_RETRIES) -> float:
     """Return one process's part of the fleet's reserve: one retry at the least.
 
     Parameters
@@ -51,7 +51,7 @@
     most : float
         What a process keeps in a small fleet.
     """
-    return min(most, max(1.0, FLEET_RESERVE / processes))
+    return min(most, max(1.0, FLEET_RESERVE_RETRIES / processes))
 
 
 class RetryBudget:
@@ -79,27 +79,29 @@
     ) -> None:
         self._share = share
         self._reserve = reserve
-        self._tokens = min(reserve, INITIAL_RETRIES)
+        self._available_retries = min(reserve, INITIAL_RETRIES)
 
     @property
-    def saved(self) -> float:
+    def available_retries(self) -> float:
         """Retries that could be spent now; a part of one can't."""
-        return self._tokens
+        return self._available_retries
 
-    def earn(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count one first attempt."""
-        self._tokens = min(self._reserve, self._tokens + self._share)
+        self._available_retries = min(
+            self._reserve, self._available_retries + self._share
+        )
 
-    def keep(self, reserve: float) -> None:
+    def set_reserve(self, reserve: float) -> None:
         """Change the reserve; what is saved up beyond it is lost."""
         self._reserve = reserve
-        self._tokens = min(self._reserve, self._tokens)
+        self._available_retries = min(self._reserve, self._available_retries)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry if there is one."""
-        if self._tokens < 1.0 - 1e-9:
+        if self._available_retries < 1.0 - 1e-9:
             return False
-        self._tokens -= 1.0
+        self._available_retries -= 1.0
         return True
 
 
@@ -122,7 +124,7 @@
         self._reserve = reserve
         self._budget_by_service: dict[Hashable, RetryBudget] = {}
 
-    def of(self, service: Hashable) -> RetryBudget:
+    def get(self, service: Hashable) -> RetryBudget:
         """Return the budget of a service."""
         budget = self._budget_by_service.get(service)
         if budget is None:
@@ -130,8 +132,8 @@
             self._budget_by_service[service] = budget
         return budget
 
-    def keep(self, reserve: float) -> None:
+    def set_reserve(self, reserve: float) -> None:
         """Change the reserve of each service."""
         self._reserve = reserve
         for budget in self._budget_by_service.values():
-            budget.keep(reserve)
+            budget.set_reserve(reserve)
--- a/src/ragwortkeel/policy/returns.py
+++ b/src/ragwortkeel/policy/retry_delays.py
@@ -20,7 +20,7 @@
 come back over a third of the wait or more."""
 
 
-def return_after(seconds: float, random: Random) -> float:
+def retry_delay(seconds: float, random: Random) -> float:
     """Return the seconds to tell a caller that can be served in about `seconds`."""
     wait = max(MIN_DELAY_SECONDS, seconds)
     return round(
--- a/src/ragwortkeel/policy/scheduler.py
+++ b/src/ragwortkeel/policy/scheduler.py
@@ -12,8 +12,8 @@
 from ragwortkeel.configuration import ServiceClass
 from ragwortkeel.policy.admission import (
     CompletionIntervals,
+    DequeueIntervals,
     ServiceTimes,
-    Turns,
     queue_retry_delay,
 )
 from ragwortkeel.policy.facts import (
@@ -100,7 +100,7 @@
         )
         self._queue_by_pool: dict[tuple[str, ...], FairQueue] = {}
         self._dequeue_intervals_by_queue: dict[
-            tuple[tuple[str, ...], ServiceClass], Turns
+            tuple[tuple[str, ...], ServiceClass], DequeueIntervals
         ] = {}
         self._alone_by_id: dict[str, QueuedRequest] = {}
         self._running_by_id: dict[str, _Running] = {}
@@ -110,27 +110,27 @@
         self._service_times = ServiceTimes()
         self._completion_intervals = CompletionIntervals()
 
-    def upstreams_changed(self, upstreams: Iterable[UpstreamFacts], now: float) -> None:
+    def set_upstreams(self, upstreams: Iterable[UpstreamFacts], now: float) -> None:
         """Take over the upstreams that may be given new work from now on."""
-        self._upstreams.set_upstreams(upstreams, now)
+        self._upstreams.replace_upstreams(upstreams, now)
 
-    def report(self, report: LoadReport, now: float) -> None:
+    def record_load(self, report: LoadReport, now: float) -> None:
         """Take in what a sidecar says of its upstream's load."""
         self._upstreams.record_load(report, now)
 
-    def crashed(self, crash: Crash, now: float) -> bool:
+    def record_crash(self, crash: Crash, now: float) -> bool:
         """Take in an upstream's crash; return whether it was news to pass on."""
-        return self._quarantine.crashed(crash, now)
+        return self._quarantine.record_crash(crash, now)
 
     def offer(self, request: RequestFacts, now: float) -> Decision:
         """Decide on a new request; `Queued` is followed up by `next`."""
-        self._retries.of(request.back_ends).earn()
+        self._retries.get(request.back_ends).record_first_attempt()
         latest_start, _ = self._service_times.latest_start(request)
         return self._decide(
             QueuedRequest(request=request, latest_start=latest_start), now
         )
 
-    def next(self, now: float) -> tuple[Assignment | Refusal, ...]:
+    def next_decisions(self, now: float) -> tuple[Assignment | Refusal, ...]:
         """Return what is to be dispatched or refused now."""
         out: list[Assignment | Refusal] = []
         for back_ends, queue in self._queue_by_pool.items():
@@ -143,13 +143,13 @@
         self._refusals = []
         return tuple(out)
 
-    def next_wake(self) -> float | None:
+    def next_wake_at(self) -> float | None:
         """Return when `next` must be called at the latest; None if never."""
         times = [queue.next_expiry_at() for queue in self._queue_by_pool.values()]
         times += [waiting.latest_start for waiting in self._alone_by_id.values()]
         return min((each for each in times if each is not None), default=None)
 
-    def first_token(self, request_id: str, now: float) -> None:
+    def record_first_token(self, request_id: str, now: float) -> None:
         """Note the first token (or the whole answer) of a running request."""
         running = self._running_by_id.get(request_id)
         if running is None or running.first_token_seen:
@@ -159,9 +159,9 @@
         self._service_times.record_first_token(running.waiting.request, seconds)
         self._upstreams.record_success(running.upstream, now)
 
-    def finished(self, request_id: str, now: float) -> None:
+    def record_finish(self, request_id: str, now: float) -> None:
         """Note that a request ended with its whole answer."""
-        self.first_token(request_id, now)
+        self.record_first_token(request_id, now)
         running = self._remove_running(request_id, now)
         if running is None:
             return
@@ -169,9 +169,9 @@
         seconds = now - running.dispatched_at
         self._service_times.record_duration(request, seconds)
         self._completion_intervals.record_duration(request.back_ends, seconds)
-        self._quarantine.finished(request.fingerprint)
+        self._quarantine.record_finish(request.fingerprint)
 
-    def left(self, request_id: str, now: float) -> str | None:
+    def record_disconnect(self, request_id: str, now: float) -> str | None:
         """Note that the caller is gone; return the upstream to cancel at."""
         if self._alone_by_id.pop(request_id, None):
             return None
@@ -183,7 +183,9 @@
         self._upstreams.record_no_verdict(running.upstream, now)
         return running.upstream
 
-    def failed(self, request_id: str, failure: Failure, now: float) -> Decision | None:
+    def record_failure(
+        self, request_id: str, failure: Failure, now: float
+    ) -> Decision | None:
         """Note a failed attempt; decide whether the request gets another.
 
         Report an upstream's crash by `crashed` first, so that a suspect is not
@@ -215,8 +217,8 @@
             return _final(waiting, Reason.MUST_NOT_REPEAT)
         if waiting.attempt >= MAX_ATTEMPTS:
             return _final(waiting, Reason.ATTEMPTS)
-        retries = self._retries.of(waiting.request.back_ends)
-        if not did_not_run and not retries.take():
+        retries = self._retries.get(waiting.request.back_ends)
+        if not did_not_run and not retries.try_spend():
             return self._refuse(waiting, Reason.RETRY_BUDGET, 1.0)
         return self._decide(replace(waiting, attempt=waiting.attempt + 1), now)
 
@@ -233,7 +235,7 @@
             self._alone_by_id[request.request_id] = waiting
             return Queued(request=request, estimated_wait_seconds=0.0)
         queue = self._queue(request.back_ends)
-        if not queue.length(request.service):
+        if not queue.length(request.service_class):
             assignment = self._assign(waiting, now)
             if assignment:
                 return assignment
@@ -248,8 +250,8 @@
         excess_seconds = now + wait_seconds - latest_start
         if excess_seconds > 0.0:
             return self._refuse(waiting, reason, excess_seconds)
-        if not queue.length(request.service):
-            self._dequeue_intervals(request).waiting_from(now)
+        if not queue.length(request.service_class):
+            self._dequeue_intervals(request).record_queue_start(now)
         displaced = queue.push(replace(waiting, latest_start=latest_start))
         if displaced and displaced.request is request:
             return self._refuse(waiting, Reason.QUEUE_FULL, wait_seconds)
@@ -264,14 +266,14 @@
         if not self._settings.uses(Mechanism.ESTIMATED_WAIT):
             return 0.0
         ahead = queue.requests_ahead(request) + 1.0
-        fallback = self._completion_intervals.mean_seconds(request.back_ends)
-        idle = not queue.length(request.service)
+        fallback = self._completion_intervals.seconds_per_completion(request.back_ends)
+        idle = not queue.length(request.service_class)
         turns = self._dequeue_intervals(request)
-        return ahead * turns.seconds_each(fallback, idle=idle, now=now)
+        return ahead * turns.mean_seconds(fallback, idle=idle, now=now)
 
-    def _dequeue_intervals(self, request: RequestFacts) -> Turns:
-        key = (request.back_ends, request.service)
-        return self._dequeue_intervals_by_queue.setdefault(key, Turns())
+    def _dequeue_intervals(self, request: RequestFacts) -> DequeueIntervals:
+        key = (request.back_ends, request.service_class)
+        return self._dequeue_intervals_by_queue.setdefault(key, DequeueIntervals())
 
     def _dispatch_from(self, queue: FairQueue, now: float) -> list[Assignment]:
         """Place what is next in each class until a class finds no room."""
@@ -285,13 +287,13 @@
                 continue
             assignment = self._assign(waiting, now)
             if assignment is None:
-                open_services.discard(waiting.request.service)
+                open_services.discard(waiting.request.service_class)
                 continue
             queue.pop(waiting)
-            fallback = self._completion_intervals.mean_seconds(
+            fallback = self._completion_intervals.seconds_per_completion(
                 waiting.request.back_ends
             )
-            self._dequeue_intervals(waiting.request).taken(fallback, now)
+            self._dequeue_intervals(waiting.request).record_dequeue(fallback, now)
             out.append(assignment)
         return out
 
--- a/src/ragwortkeel/policy/settings.py
+++ b/src/ragwortkeel/policy/settings.py
@@ -5,10 +5,10 @@
 
 from ragwortkeel.policy.choice import CANDIDATE_COUNT, LOAD_BOUND_FRACTION
 from ragwortkeel.policy.ejection import FAILURES_TO_EJECT
-from ragwortkeel.policy.limits import FIRST_LIMIT
+from ragwortkeel.policy.limits import INITIAL_LIMIT_REQUESTS
 from ragwortkeel.policy.queueing import MAX_QUEUED_REQUESTS
 from ragwortkeel.policy.retries import RETRY_FRACTION
-from ragwortkeel.policy.shifting import RISE_FRACTION_PER_SECOND
+from ragwortkeel.policy.slow_start import RISE_FRACTION_PER_SECOND
 
 BATCH_FRACTION = 0.7
 """Batch work leaves three tenths of each upstream free, so that an interactive
@@ -39,15 +39,15 @@
 
     candidate_count: int = CANDIDATE_COUNT
     load_bound: float = LOAD_BOUND_FRACTION
-    first_limit: int = FIRST_LIMIT
+    initial_limit: int = INITIAL_LIMIT_REQUESTS
     batch_fraction: float = BATCH_FRACTION
     max_queued_requests: int = MAX_QUEUED_REQUESTS
     retry_fraction: float = RETRY_FRACTION
     failures_to_eject: int = FAILURES_TO_EJECT
     rise_per_second: float = RISE_FRACTION_PER_SECOND
     report_lag_seconds: float = 0.0
-    without: frozenset[Mechanism] = frozenset()
+    disabled: frozenset[Mechanism] = frozenset()
 
     def uses(self, mechanism: Mechanism) -> bool:
         """Tell whether the mechanism is in use."""
-        return mechanism not in self.without
+        return mechanism not in self.disabled
--- a/src/ragwortkeel/policy/timeouts.py
+++ b/src/ragwortkeel/policy/timeouts.py
@@ -38,8 +38,8 @@
     0.5
     """
 
-    def __init__(self, *, longest: float) -> None:
-        self._max_seconds = longest
+    def __init__(self, *, max_seconds: float) -> None:
+        self._max_seconds = max_seconds
         self._mean_seconds: float | None = None
         self._backoff_factor = 1.0
 
@@ -51,13 +51,13 @@
         least = max(MIN_TIMEOUT_SECONDS, MEAN_FACTOR * self._mean_seconds)
         return min(self._max_seconds, least * self._backoff_factor)
 
-    def answered(self, seconds: float) -> None:
+    def record_answer(self, seconds: float) -> None:
         """Take in how long an answer took."""
         known = seconds if self._mean_seconds is None else self._mean_seconds
         self._mean_seconds = known + (seconds - known) * NEWEST_WEIGHT
         self._backoff_factor = 1.0
 
-    def timed_out(self) -> None:
+    def record_timeout(self) -> None:
         """Note a call without an answer."""
         self._backoff_factor = min(
             2 * self._backoff_factor, self._max_seconds / MIN_TIMEOUT_SECONDS
--- a/src/ragwortkeel/policy/upstreams.py
+++ b/src/ragwortkeel/policy/upstreams.py
@@ -12,7 +12,7 @@
 from ragwortkeel.policy.ejection import Ejections
 from ragwortkeel.policy.facts import Failure, LoadReport, RequestFacts, UpstreamFacts
 from ragwortkeel.policy.settings import Mechanism, SchedulerSettings
-from ragwortkeel.policy.shifting import SlowStart
+from ragwortkeel.policy.slow_start import SlowStart
 
 
 class UpstreamTable:
@@ -35,14 +35,14 @@
         self._ejections = Ejections(failures_to_eject=settings.failures_to_eject)
         self._slow_start = SlowStart(rise_per_second=settings.rise_per_second)
 
-    def set_upstreams(self, upstreams: Iterable[UpstreamFacts], now: float) -> None:
+    def replace_upstreams(self, upstreams: Iterable[UpstreamFacts], now: float) -> None:
         """Take over the upstreams that may be given new work from now on."""
         self._facts_by_name = {facts.name: facts for facts in upstreams}
         self._names_by_pool.clear()
         self._full.clear()
         names = set(self._facts_by_name)
         self._slow_start.retain(names, now)
-        self._ejections.keep(names)
+        self._ejections.retain(names)
         for name in names - self._load_by_name.keys():
             self._load_by_name[name] = LoadEstimate(
                 apply_correction=self._applies_correction
@@ -83,12 +83,12 @@
         """
         # What found no room finds none until something ends or is reported;
         # a saturated router asks many times in between.
-        pool = (request.back_ends, request.service)
+        pool = (request.back_ends, request.service_class)
         if pool in self._full:
             return None
         names = self._open_upstreams(request, now)
         names = [name for name in names if name not in avoid] or names
-        by_name = {n: self._candidate(n, request.service, now) for n in names}
+        by_name = {n: self._candidate(n, request.service_class, now) for n in names}
         if not any(candidate.has_headroom for candidate in by_name.values()):
             if not avoid:
                 self._full.add(pool)
@@ -122,7 +122,7 @@
     ) -> None:
         """Count a dispatched request."""
         self._load_by_name[name].record_start(now)
-        self._ejections.assigned(name, now)
+        self._ejections.record_assignment(name, now)
         if alone:
             self._isolated_request_by_name[name] = request_id
 
@@ -137,14 +137,14 @@
 
     def record_success(self, name: str, now: float) -> None:
         """Note an answer, or its first token."""
-        if self._ejections.succeeded(name):
+        if self._ejections.record_success(name):
             self._full.clear()
             self._slow_start.reset(name, now)
 
     def record_no_verdict(self, name: str, now: float) -> None:
         """Note work that left without a verdict on the upstream."""
         self._full.clear()
-        self._ejections.given_up(name, now)
+        self._ejections.record_no_verdict(name, now)
 
     def record_failure(self, name: str, failure: Failure, now: float) -> None:
         """Note a failed attempt."""
@@ -153,7 +153,7 @@
             self._load_by_name[name].assume_full(self._limit(name))
         if not self._settings.uses(Mechanism.EJECTION):
             return
-        if self._ejections.failed(name, failure, now):
+        if self._ejections.record_failure(name, failure, now):
             self._slow_start.reset(name, now)
 
     def _open_upstreams(self, request: RequestFacts, now: float) -> list[str]:
@@ -166,7 +166,7 @@
         return [name for name in names if not usable[name]] or names
 
     def _limit(self, name: str) -> float:
-        return float(self._limit_by_name.get(name, self._settings.first_limit))
+        return float(self._limit_by_name.get(name, self._settings.initial_limit))
 
     def _candidate(self, name: str, service: ServiceClass, now: float) -> Candidate:
         room = self._limit(name) * self._slow_start.fraction(name, now)
--- a/src/ragwortkeel/router/attempt.py
+++ b/src/ragwortkeel/router/attempt.py
@@ -188,7 +188,7 @@
         self.assembly.finish(finished.length)
         # An answer is whole by its length, not by its end message: pieces may
         # have been lost with a replaced connection.
-        if not self.assembly.whole:
+        if not self.assembly.is_complete:
             await self._resume()
             return None
         return Completed(
--- a/src/ragwortkeel/router/dispatcher.py
+++ b/src/ragwortkeel/router/dispatcher.py
@@ -64,43 +64,43 @@
     ) -> Assignment | Refusal | None:
         """Return where to run the request after a failed attempt, if at all."""
         self._observer.attempt_failed(request_id, failure)
-        decision = self._scheduler.failed(request_id, failure, self._clock())
+        decision = self._scheduler.record_failure(request_id, failure, self._clock())
         return None if decision is None else await self._settle(decision)
 
     async def first_token(self, request_id: str) -> None:
         """Note that a request's answer has begun."""
-        self._scheduler.first_token(request_id, self._clock())
+        self._scheduler.record_first_token(request_id, self._clock())
 
     async def finished(self, request_id: str) -> None:
         """Note that a request got its whole answer."""
-        self._scheduler.finished(request_id, self._clock())
+        self._scheduler.record_finish(request_id, self._clock())
         await self._pump()
 
     async def left(self, request_id: str) -> None:
         """Note that a request is of no more interest."""
         self._waiting_by_id.pop(request_id, None)
-        self._scheduler.left(request_id, self._clock())
+        self._scheduler.record_disconnect(request_id, self._clock())
         await self._pump()
 
     async def crashed(self, crash: Crash) -> bool:
         """Note an upstream's crash; return whether it was news."""
-        return self._scheduler.crashed(crash, self._clock())
+        return self._scheduler.record_crash(crash, self._clock())
 
     async def upstreams_changed(self, upstreams: list[UpstreamFacts]) -> None:
         """Note which upstreams may be given work."""
-        self._scheduler.upstreams_changed(upstreams, self._clock())
+        self._scheduler.set_upstreams(upstreams, self._clock())
         await self._pump()
 
     async def report(self, report: LoadReport) -> None:
         """Note a sidecar's load."""
-        self._scheduler.report(report, self._clock())
+        self._scheduler.record_load(report, self._clock())
         await self._pump()
 
     async def run(self) -> None:
         """Make due decisions until cancelled."""
         while True:
             await self._pump()
-            wake = self._scheduler.next_wake()
+            wake = self._scheduler.next_wake_at()
             seconds = IDLE_WAKE_SECONDS
             if wake is not None:
                 seconds = min(max(wake - self._clock(), 0.001), seconds)
@@ -134,7 +134,7 @@
             self._waiting_by_id.pop(request_id, None)
 
     async def _pump(self) -> None:
-        for decision in self._scheduler.next(self._clock()):
+        for decision in self._scheduler.next_decisions(self._clock()):
             queue = self._waiting_by_id.get(decision.request.request_id)
             if queue is not None:
                 await queue.put(decision)
--- a/src/ragwortkeel/router/dispatches.py
+++ b/src/ragwortkeel/router/dispatches.py
@@ -44,7 +44,7 @@
         body=body,
         stream=call.stream,
         budget_seconds=max(facts.deadline - parts.clock(), 0.0),
-        priority=PRIORITIES[facts.service],
+        priority=PRIORITIES[facts.service_class],
         traceparent=traceparent,
         prefix=facts.prefix,
         alone=alone,
@@ -57,6 +57,6 @@
 
 def _promise(facts: RequestFacts) -> float:
     """Return the promise of the first token, which binds interactive work only."""
-    if facts.service is not ServiceClass.INTERACTIVE:
+    if facts.service_class is not ServiceClass.INTERACTIVE:
         return 0.0
-    return facts.first_token_seconds
+    return facts.promised_first_token_seconds
--- a/src/ragwortkeel/router/filing_runs.py
+++ b/src/ragwortkeel/router/filing_runs.py
@@ -35,9 +35,9 @@
 from ragwortkeel.router.sinks import WholeSink
 from ragwortkeel.runs.intent import (
     AskSidecar,
-    Held,
     Intent,
     Outcome,
+    StoredIntent,
     Verdict,
     with_outcome,
 )
@@ -101,14 +101,14 @@
             self._parts.pool.unsubscribe(reader)
 
     async def run(
-        self, held: Held, reservation: Reservation, *, alone: bool
+        self, held: StoredIntent, reservation: Reservation, *, alone: bool
     ) -> AttemptEnd:
         """Dispatch the intent, once, and return how it ended."""
         running = await curio.spawn(self._run, held, reservation, alone, daemon=True)
         return await running.join()
 
     async def _run(
-        self, held: Held, reservation: Reservation, alone: bool
+        self, held: StoredIntent, reservation: Reservation, alone: bool
     ) -> AttemptEnd:
         intent = held.intent
         attempt = self.attempt(intent.upstream, intent.nonce, intent.sidecar)
@@ -137,7 +137,7 @@
         self,
         attempt: Attempt,
         reservation: Reservation,
-        held: Held,
+        held: StoredIntent,
         order: Dispatch,
     ) -> AttemptEnd:
         end = Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
@@ -153,7 +153,7 @@
         return end
 
     async def start_recording(
-        self, end: AttemptEnd, held: Held, attempt: Attempt
+        self, end: AttemptEnd, held: StoredIntent, attempt: Attempt
     ) -> None:
         """Make the outcome of a run durable in the background."""
         outcome = self._outcome(end)
--- a/src/ragwortkeel/router/filings.py
+++ b/src/ragwortkeel/router/filings.py
@@ -31,16 +31,16 @@
 from ragwortkeel.router.refusals import Outcome as CallerOutcome
 from ragwortkeel.router.refusals import Reason, Refusal
 from ragwortkeel.router.sinks import WholeSink
-from ragwortkeel.runs.filing import Filing, Read, Release
+from ragwortkeel.runs.filing import Filing, ReadIntent, WriteNotRun
 from ragwortkeel.runs.intent import (
-    Answer,
     AskSidecar,
     Create,
-    Follow,
-    Go,
+    DispatchRun,
     Intent,
     Outcome,
     Refuse,
+    ResumeRun,
+    ReturnOutcome,
     TakeOver,
     Verdict,
     WriteResult,
@@ -115,14 +115,14 @@
     async def _decide(self) -> Refusal | None:
         while True:
             match self._filing.step:
-                case Answer(outcome=outcome):
+                case ReturnOutcome(outcome=outcome):
                     return await self._answer(outcome)
-                case Follow() as step:
+                case ResumeRun() as step:
                     return await self._follow(step)
                 case Refuse() as step:
                     await self._list_if_asked(step)
                     return _refusal(step)
-                case Go():
+                case DispatchRun():
                     end = await self._go()
                     if isinstance(end, Completed):
                         return await self._finish(end)
@@ -133,11 +133,11 @@
                 return refusal
 
     async def _take(
-        self, step: Read | Create | TakeOver | AskSidecar | Release
+        self, step: ReadIntent | Create | TakeOver | AskSidecar | WriteNotRun
     ) -> Refusal | None:
         """Carry out one step; return a refusal that the steps do not know of."""
         match step:
-            case Read():
+            case ReadIntent():
                 await self._read()
             case Create():
                 return await self._write(None)
@@ -145,7 +145,7 @@
                 return await self._write(version)
             case AskSidecar():
                 self._filing.on_tombstone(await self._runs.ask(step))
-            case Release(intent=intent, version=version):
+            case WriteNotRun(intent=intent, version=version):
                 result, _ = await self._intents.write(intent, version)
                 self._filing.on_release(result)
         return None
@@ -180,7 +180,7 @@
         """
         if not self._call.key_given or refusal.reason in _ALREADY_SURE:
             return refusal
-        held = self._filing.held
+        held = self._filing.stored
         base = held.intent if held else self._new_intent()
         fresh = replace(base, nonce=uuid4().hex)
         result, _ = await self._intents.write(
@@ -216,7 +216,7 @@
         return None
 
     def _found_released(self) -> bool:
-        outcome = self._filing.held.intent.outcome
+        outcome = self._filing.stored.intent.outcome
         return outcome is not None and outcome.verdict is Verdict.NOT_RUN
 
     async def _prepare(self) -> Refusal | None:
@@ -245,7 +245,7 @@
         self._filing.on_sent()
         reservation, self._reservation = self._reservation, None
         return await self._runs.run(
-            self._filing.held, reservation, alone=self._assignment.alone
+            self._filing.stored, reservation, alone=self._assignment.alone
         )
 
     async def _finish(self, end: Completed) -> None:
@@ -262,7 +262,7 @@
                 other = await self._elsewhere(end)
                 self._filing.on_refused(RefusalReason.UPSTREAM_UNREACHABLE, other)
             case Lost():
-                self._filing.on_lost(self._new_intent())
+                self._filing.on_disconnected(self._new_intent())
             case Broken():
                 return _unknown(Reason.RUN_FAILED)
         return None
@@ -278,7 +278,7 @@
         self._assignment = decision
         return self._new_intent()
 
-    async def _follow(self, step: Follow) -> Refusal | None:
+    async def _follow(self, step: ResumeRun) -> Refusal | None:
         """Give the caller the answer of a run that an earlier attempt started."""
         upstream = self._parts.pool.upstream_of(step.sidecar)
         if upstream is None:
@@ -292,7 +292,7 @@
             attempt.close()
         if not isinstance(end, Completed):
             return _unknown(Reason.RUN_FAILED)
-        await self._runs.start_recording(end, self._filing.held, attempt)
+        await self._runs.start_recording(end, self._filing.stored, attempt)
         await self._sink.finish(end.status, end.content_type)
         return None
 
@@ -301,7 +301,7 @@
         await self._sink.finish(outcome.status, outcome.content_type)
 
     async def _list_if_asked(self, step: Refuse) -> None:
-        held = self._filing.held
+        held = self._filing.stored
         if not step.list_for_operators or held is None:
             return
         outcome = Outcome(verdict=Verdict.UNRESOLVED, reason=step.reason)
--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -133,14 +133,14 @@
             request_id=f"{call.request_id}#{next(self._serials)}",
             profile=profile.name,
             customer=profile.customer,
-            service=profile.service,
+            service_class=profile.service,
             back_ends=profile.back_ends,
             deadline=now + profile.deadline_seconds,
-            first_token_by=now + profile.first_token_seconds,
+            first_token_deadline=now + profile.first_token_seconds,
             cost=call.bound,
             prefix=call.kind.prefix if isinstance(call.kind, ChatCall) else "",
             fingerprint=call.fingerprint,
-            first_token_seconds=profile.first_token_seconds,
+            promised_first_token_seconds=profile.first_token_seconds,
         )
 
     async def _serve(
--- a/src/ragwortkeel/router/intents.py
+++ b/src/ragwortkeel/router/intents.py
@@ -11,7 +11,14 @@
     VersionConflict,
 )
 from ragwortkeel.platform import Platform
-from ragwortkeel.runs.intent import Held, Intent, WriteResult, decode, encode, name_of
+from ragwortkeel.runs.intent import (
+    Intent,
+    StoredIntent,
+    WriteResult,
+    decode,
+    encode,
+    object_name,
+)
 
 OUTCOME_RETRY_SECONDS = 1.0
 OUTCOME_TRIES = 30
@@ -27,18 +34,18 @@
     def __init__(self, *, platform: Platform) -> None:
         self._platform = platform
 
-    async def read(self, profile: str, request_id: str) -> Held | None:
+    async def read(self, profile: str, request_id: str) -> StoredIntent | None:
         """Return the intent under a key; a `PlatformError` where it can't be read."""
-        stored = await self._platform.get(INTENTS, name_of(profile, request_id))
+        stored = await self._platform.get(INTENTS, object_name(profile, request_id))
         if stored is None:
             return None
-        return Held(intent=decode(stored.value), version=stored.version)
+        return StoredIntent(intent=decode(stored.value), version=stored.version)
 
     async def write(
         self, intent: Intent, version: int | None
     ) -> tuple[WriteResult, int]:
         """Create the intent, or replace it at `version`; also return the new one."""
-        name = name_of(intent.profile, intent.request_id)
+        name = object_name(intent.profile, intent.request_id)
         value = encode(intent)
         try:
             if version is None:
--- a/src/ragwortkeel/router/observer.py
+++ b/src/ragwortkeel/router/observer.py
@@ -80,7 +80,9 @@
         match decision:
             case Assignment(upstream=upstream, attempt=attempt, alone=alone):
                 self._metrics.decided(decision=DISPATCHED, reason="")
-                self._metrics.queue_waited(service=request.service, seconds=waited)
+                self._metrics.queue_waited(
+                    service=request.service_class, seconds=waited
+                )
                 log_debug(
                     "dispatched",
                     request=request.request_id,
--- a/src/ragwortkeel/runs/answer.py
+++ b/src/ragwortkeel/runs/answer.py
@@ -37,7 +37,7 @@
     content_type: str
     data: bytearray = field(default_factory=bytearray)
 
-    def pieces(self, offset: int) -> Iterator[tuple[int, bytes]]:
+    def chunks(self, offset: int) -> Iterator[tuple[int, bytes]]:
         """Yield (offset, bytes) from `offset` on, in messages of bounded size."""
         for start in range(offset, len(self.data), REPLAY_CHUNK_BYTES):
             yield start, bytes(self.data[start : start + REPLAY_CHUNK_BYTES])
@@ -74,7 +74,7 @@
         return self._bytes
 
     @property
-    def crowded(self) -> bool:
+    def is_nearly_full(self) -> bool:
         """Whether a new run should not begin for want of memory."""
         kept = self._bytes - self._droppable_bytes
         return kept > NEARLY_FULL_FRACTION * self._max_bytes
@@ -116,7 +116,7 @@
             self._droppable[nonce] = None
             self._droppable_bytes += len(answer.data)
 
-    def drop(self, nonce: str) -> None:
+    def remove(self, nonce: str) -> None:
         """Forget an answer; harmless where there is none."""
         answer = self._answer_by_nonce.pop(nonce, None)
         if answer is None:
@@ -130,4 +130,4 @@
         while self._bytes + size > self._max_bytes:
             if not self._droppable:
                 raise AnswerTooLarge("no room beside the answers still needed")
-            self.drop(next(iter(self._droppable)))
+            self.remove(next(iter(self._droppable)))
--- a/src/ragwortkeel/runs/assembly.py
+++ b/src/ragwortkeel/runs/assembly.py
@@ -36,7 +36,7 @@
         self.length = 0
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether everything up to the end marker has been released."""
         return self._end_offset is not None and self.length == self._end_offset
 
--- a/src/ragwortkeel/runs/filing.py
+++ b/src/ragwortkeel/runs/filing.py
@@ -1,8 +1,9 @@
 """One attempt at a request that must not repeat, as steps without I/O.
 
-The router carries out the step it is given and hands the result back, until the
-step is `Answer`, `Refuse` or `Follow`.  At `Go` it calls `on_sent` and dispatches;
-then come `on_refused` or `on_lost`, or the answer.
+The router executes the current step and reports its result, until the step is
+`ReturnOutcome`, `Refuse` or `ResumeRun`.  At `DispatchRun` it calls `on_sent` and
+sends the dispatch; afterwards it calls `on_refused` or `on_disconnected`, or
+receives the answer.
 """
 
 from dataclasses import dataclass
@@ -10,16 +11,16 @@
 from ragwortkeel.messages import RefusalReason, RunState
 from ragwortkeel.runs.intent import (
     MAX_WRITE_ATTEMPTS,
-    Answer,
     AskSidecar,
     Create,
     Decision,
-    Follow,
-    Go,
-    Held,
+    DispatchRun,
     Intent,
     ReadAgain,
     Refuse,
+    ResumeRun,
+    ReturnOutcome,
+    StoredIntent,
     TakeOver,
     WriteResult,
     after_read,
@@ -31,21 +32,31 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Read:
+class ReadIntent:
     """Read the intent under the key, then `on_read` or `on_unreadable`."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Release:
+class WriteNotRun:
     """Replace the intent at `version` by this `NOT_RUN` one, then `on_release`."""
 
     intent: Intent
     version: int
 
 
-Step = Read | Create | TakeOver | AskSidecar | Go | Release | Follow | Answer | Refuse
+Step = (
+    ReadIntent
+    | Create
+    | TakeOver
+    | AskSidecar
+    | DispatchRun
+    | WriteNotRun
+    | ResumeRun
+    | ReturnOutcome
+    | Refuse
+)
 
-FINAL_STEPS = (Follow, Answer, Refuse)
+FINAL_STEPS = (ResumeRun, ReturnOutcome, Refuse)
 """Steps after which the filing has nothing left to decide."""
 
 
@@ -64,14 +75,14 @@
     ----------
     step : Step
         What to do next.
-    held : Held or None
+    held : StoredIntent or None
         The intent as last read or written.
     """
 
     def __init__(self, *, wanted: Intent, first: bool) -> None:
         self.wanted = wanted
-        self.step: Step = Read()
-        self.held: Held | None = None
+        self.step: Step = ReadIntent()
+        self.stored: StoredIntent | None = None
         self._first = first
         self._write_attempts = 0
         self._dispatch_count = 0
@@ -81,9 +92,9 @@
         """Whether nothing is left to decide."""
         return isinstance(self.step, FINAL_STEPS)
 
-    def on_read(self, held: Held | None) -> None:
+    def on_read(self, held: StoredIntent | None) -> None:
         """Take what the platform holds under the key."""
-        self.held = held
+        self.stored = held
         self._continue(after_read(self.wanted, held))
 
     def on_unreadable(self) -> None:
@@ -92,13 +103,13 @@
 
     def on_tombstone(self, state: RunState | None) -> None:
         """Take the sidecar's answer, None where it is gone or out of reach."""
-        self._continue(after_tombstone(self.wanted, self.held, state))
+        self._continue(after_tombstone(self.wanted, self.stored, state))
 
     def on_write(self, result: WriteResult, version: int = 0) -> None:
         """Take how the write of the intent ended, and its new version."""
         self._write_attempts += 1
         if result is WriteResult.WRITTEN:
-            self.held = Held(intent=self.wanted, version=version)
+            self.stored = StoredIntent(intent=self.wanted, version=version)
         self._continue(
             after_write(
                 self.wanted,
@@ -129,15 +140,15 @@
         if reason is RefusalReason.WRONG_INCARNATION and self._dispatch_count > 1:
             # Failure: the first copy ran at a sidecar that restarted since, and
             # its successor refuses the second; that proves nothing of the first.
-            self._continue(after_tombstone(self.wanted, self.held, None))
+            self._continue(after_tombstone(self.wanted, self.stored, None))
             return
         if other is None:
-            self.step = Release(
-                intent=after_refusal(self.held.intent), version=self.held.version
+            self.step = WriteNotRun(
+                intent=after_refusal(self.stored.intent), version=self.stored.version
             )
             return
         self._replace_intent(other)
-        self.step = TakeOver(intent=other, version=self.held.version)
+        self.step = TakeOver(intent=other, version=self.stored.version)
 
     def on_release(self, result: WriteResult) -> None:
         """Take how the write of `NOT_RUN` ended.
@@ -148,7 +159,7 @@
         """
         self._write_attempts += 1
         if result is WriteResult.CONFLICT and self._write_attempts < MAX_WRITE_ATTEMPTS:
-            self.step = Read()
+            self.step = ReadIntent()
             return
         is_sure = result is WriteResult.WRITTEN or self._first
         self.step = Refuse(
@@ -157,12 +168,12 @@
             reason="refused_by_upstream",
         )
 
-    def on_lost(self, wanted: Intent) -> None:
+    def on_disconnected(self, wanted: Intent) -> None:
         """Take it that the dispatched sidecar went silent without an answer.
 
         `wanted` is an intent with a new nonce, in case the old one never ran.
         """
-        lost = self.held.intent
+        lost = self.stored.intent
         # Failure: it ran, its outcome is durable and the sidecar has let go of
         # it, so it answers `TOMBSTONED`; with the platform gone by then,
         # `not_run` would be a lie.  Only the conditional update tells.
@@ -175,4 +186,4 @@
         self._dispatch_count = 0
 
     def _continue(self, decision: Decision) -> None:
-        self.step = Read() if isinstance(decision, ReadAgain) else decision
+        self.step = ReadIntent() if isinstance(decision, ReadAgain) else decision
--- a/src/ragwortkeel/runs/intent.py
+++ b/src/ragwortkeel/runs/intent.py
@@ -21,7 +21,7 @@
 MAX_WRITE_ATTEMPTS = 4
 """Writes lost to other retries of one key before the caller is told to return."""
 
-SIDECAR_GONE = "sidecar_gone"
+SIDECAR_UNREACHABLE = "sidecar_gone"
 """Reason of an `UNRESOLVED` outcome that the sidecar itself may still settle."""
 
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Held:
+class StoredIntent:
     """An intent as read, with the platform version for conditional updates."""
 
     intent: Intent
@@ -106,14 +106,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Go:
+class DispatchRun:
     """The intent is ours: dispatch under its nonce, once."""
 
     intent: Intent
 
 
 @dataclass(frozen=True, kw_only=True)
-class Follow:
+class ResumeRun:
     """It runs or ran there: `Resume` the nonce from offset 0."""
 
     sidecar: str
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Answer:
+class ReturnOutcome:
     """Answer the caller from the outcome."""
 
     outcome: Outcome
@@ -145,7 +145,16 @@
     """Another retry was faster, or the write's fate is open: read and decide."""
 
 
-Decision = Create | TakeOver | AskSidecar | Go | Follow | Answer | Refuse | ReadAgain
+Decision = (
+    Create
+    | TakeOver
+    | AskSidecar
+    | DispatchRun
+    | ResumeRun
+    | ReturnOutcome
+    | Refuse
+    | ReadAgain
+)
 
 
 class WriteResult(StrEnum):
@@ -157,7 +166,7 @@
     UNAVAILABLE = "unavailable"
 
 
-def name_of(profile: str, request_id: str) -> str:
+def object_name(profile: str, request_id: str) -> str:
     """Return the object name; any key makes a legal name of bounded length."""
     digest = hashlib.sha256(request_id.encode()).hexdigest()
     return f"{profile}.{digest}"
@@ -181,7 +190,7 @@
         raise IntentUnreadable(str(exc)) from exc
 
 
-def after_read(wanted: Intent, held: Held | None) -> Decision:
+def after_read(wanted: Intent, held: StoredIntent | None) -> Decision:
     """Decide from what the platform holds under the key.
 
     Parameters
@@ -198,29 +207,31 @@
         return Refuse(status=422, outcome="not_run", reason="key_reused")
     if found.nonce == wanted.nonce and found.outcome is None:
         # Our own write, whose answer was lost: the nonce is ours alone.
-        return Go(intent=found)
+        return DispatchRun(intent=found)
     if found.outcome is not None:
         return _after_outcome(wanted, held)
     return AskSidecar(sidecar=found.sidecar, nonce=found.nonce)
 
 
-def _after_outcome(wanted: Intent, held: Held) -> Decision:
+def _after_outcome(wanted: Intent, held: StoredIntent) -> Decision:
     outcome = held.intent.outcome
     match outcome.verdict:
         case Verdict.ANSWERED:
-            return Answer(outcome=outcome)
+            return ReturnOutcome(outcome=outcome)
         case Verdict.RAN:
             return Refuse(status=502, outcome="failed", reason="answer_lost")
         case Verdict.NOT_RUN:
             return TakeOver(intent=wanted, version=held.version)
-        case Verdict.UNRESOLVED if outcome.reason == SIDECAR_GONE:
+        case Verdict.UNRESOLVED if outcome.reason == SIDECAR_UNREACHABLE:
             # It was perhaps only cut off; back in reach it knows the truth.
             return AskSidecar(sidecar=held.intent.sidecar, nonce=held.intent.nonce)
         case Verdict.UNRESOLVED:
             return Refuse(status=409, outcome="unknown", reason="awaits_operator")
 
 
-def after_tombstone(wanted: Intent, held: Held, state: RunState | None) -> Decision:
+def after_tombstone(
+    wanted: Intent, held: StoredIntent, state: RunState | None
+) -> Decision:
     """Decide from the sidecar's answer to `Tombstone`.
 
     Parameters
@@ -231,7 +242,7 @@
     found = held.intent
     match state:
         case RunState.RUNNING | RunState.FINISHED:
-            return Follow(sidecar=found.sidecar, nonce=found.nonce)
+            return ResumeRun(sidecar=found.sidecar, nonce=found.nonce)
         case RunState.TOMBSTONED:
             # Failure: two retries hold the promise and both run.  The update
             # names the version read, so only one of them gets the intent.
@@ -257,7 +268,7 @@
         Writes tried so far for this attempt.
     """
     if result is WriteResult.WRITTEN:
-        return Go(intent=wanted)
+        return DispatchRun(intent=wanted)
     if result is WriteResult.UNAVAILABLE:
         return without_platform(first=first)
     if write_attempts >= MAX_WRITE_ATTEMPTS:
@@ -288,7 +299,7 @@
     return msgspec.structs.replace(intent, outcome=Outcome(verdict=Verdict.NOT_RUN))
 
 
-def unresolved(held: Held, reason: str) -> Intent:
+def unresolved(held: StoredIntent, reason: str) -> Intent:
     """Return the intent to write at `held.version` to list it for operators."""
     outcome = Outcome(verdict=Verdict.UNRESOLVED, reason=reason)
     return msgspec.structs.replace(held.intent, outcome=outcome)
@@ -300,7 +311,7 @@
         return False
     outcome = found.outcome
     return outcome is None or (
-        outcome.verdict is Verdict.UNRESOLVED and outcome.reason == SIDECAR_GONE
+        outcome.verdict is Verdict.UNRESOLVED and outcome.reason == SIDECAR_UNREACHABLE
     )
 
 
--- a/src/ragwortkeel/runs/journal.py
+++ b/src/ragwortkeel/runs/journal.py
@@ -12,7 +12,7 @@
 from ragwortkeel.lifecycle import ChartName, Lifecycle
 from ragwortkeel.messages import RunReceipt, RunState
 
-KEPT_EPOCHS = 2
+ACCEPTED_EPOCHS = 2
 """Dispatches minted this many epochs ago are still taken, older ones never."""
 
 MAX_ENDED_RUNS = 50_000
@@ -106,7 +106,7 @@
         self._accounts = SidecarAccounts()
         self._accounts.open(seals=())
         self._pending_receipt_by_nonce: dict[str, _PendingReceipt] = {}
-        self._undecided: dict[str, float] = {}
+        self._undecided_since_by_nonce: dict[str, float] = {}
         self.epoch = 1
         self.floor = 1
 
@@ -116,7 +116,7 @@
         return len(self._running)
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether another receipt could not be kept.
 
         Failure: a long platform outage fills the memory, and a dropped
@@ -125,7 +125,7 @@
         """
         return (
             len(self._pending_receipt_by_nonce) + self.running >= MAX_PENDING_RECEIPTS
-            or len(self._undecided) >= MAX_UNDECIDED_RUNS
+            or len(self._undecided_since_by_nonce) >= MAX_UNDECIDED_RUNS
         )
 
     def state(self, nonce: str) -> RunState:
@@ -145,7 +145,7 @@
         entry = self._entry_by_nonce.get(nonce)
         return 0 if entry is None else entry.tokens
 
-    def find(self, profile: str, request_id: str) -> str | None:
+    def nonce_of_request(self, profile: str, request_id: str) -> str | None:
         """Return the nonce of the newest run of a request."""
         return self._nonce_by_request.get((profile, request_id))
 
@@ -212,7 +212,7 @@
         else:
             # Failure: a must-not-repeat run is forgotten before its intent has
             # the outcome; a retry asks, reads "never ran", and runs it again.
-            self._undecided[nonce] = now
+            self._undecided_since_by_nonce[nonce] = now
         return receipt
 
     def retract(self, nonce: str) -> None:
@@ -257,24 +257,24 @@
         """Whether a router incarnation is refused."""
         return not self._accounts.admits(router)
 
-    def outcome_durable(self, nonce: str) -> None:
+    def record_durable_outcome(self, nonce: str) -> None:
         """Let go of a must-not-repeat run whose intent holds its outcome.
 
         A retry that read the intent before that and gets a tombstone now still
         can't run: its conditional update names a version that has passed.
         """
-        if self._undecided.pop(nonce, None) is not None:
+        if self._undecided_since_by_nonce.pop(nonce, None) is not None:
             self._retain(nonce, self._entry_by_nonce[nonce])
 
     def undecided_before(self, since: float) -> tuple[Run, ...]:
         """Return must-not-repeat runs that ended by `since`, outcome not durable."""
         return tuple(
             self._entry_by_nonce[nonce].run
-            for nonce, ended in self._undecided.items()
+            for nonce, ended in self._undecided_since_by_nonce.items()
             if ended <= since
         )
 
-    def receipts_of(self, router: str) -> tuple[RunReceipt, ...]:
+    def receipts_for_router(self, router: str) -> tuple[RunReceipt, ...]:
         """Return a router's receipts that are not durable yet."""
         owed = self._pending_receipt_by_nonce.values()
         return tuple(o.receipt for o in owed if o.receipt.router == router)
@@ -289,21 +289,21 @@
         return tuple(due)
 
     @property
-    def undecided(self) -> int:
+    def undecided_runs(self) -> int:
         """Number of must-not-repeat runs whose outcome is not durable yet."""
-        return len(self._undecided)
+        return len(self._undecided_since_by_nonce)
 
     @property
-    def owed(self) -> int:
+    def pending_receipts(self) -> int:
         """Number of receipts that are not durable yet."""
         return len(self._pending_receipt_by_nonce)
 
-    def settle(self, nonces: tuple[str, ...]) -> None:
+    def discard_receipts(self, nonces: tuple[str, ...]) -> None:
         """Drop receipts that are durable."""
         for nonce in nonces:
             self._pending_receipt_by_nonce.pop(nonce, None)
 
-    def is_fresh(self, epoch: int) -> bool:
+    def accepts_epoch(self, epoch: int) -> bool:
         """Whether a dispatch minted in `epoch` may still be let in.
 
         Failure: a router is paused with a dispatch in hand and wakes hours
@@ -316,14 +316,14 @@
     def next_epoch(self) -> list[str]:
         """Begin the next epoch; return the nonces that were forgotten."""
         self.epoch += 1
-        self.floor = max(self.floor, self.epoch - KEPT_EPOCHS)
+        self.floor = max(self.floor, self.epoch - ACCEPTED_EPOCHS)
         return self._discard_below_floor()
 
     def _retain(self, nonce: str, entry: _Entry) -> None:
         entry.ended_epoch = self.epoch
         self._ended[nonce] = None
 
-    def relieve(self) -> list[str]:
+    def evict_ended(self) -> list[str]:
         """Move the floor up while too much is remembered; return what went."""
         forgotten = []
         while len(self._ended) > self._max_ended:
--- a/src/ragwortkeel/sidecar/core.py
+++ b/src/ragwortkeel/sidecar/core.py
@@ -117,7 +117,7 @@
             case Seal(router=router):
                 return self._sealing.seal(peer, router)
             case ReceiptsDurable(nonces=nonces):
-                self.journal.settle(nonces)
+                self.journal.discard_receipts(nonces)
             case OutcomeDurable(nonces=nonces):
                 self.on_outcomes_durable(nonces)
             case Heartbeat():
@@ -150,7 +150,7 @@
     def on_outcomes_durable(self, nonces: tuple[str, ...]) -> None:
         """Let go of must-not-repeat runs whose intents hold their outcomes."""
         for nonce in nonces:
-            self.journal.outcome_durable(nonce)
+            self.journal.record_durable_outcome(nonce)
             self.outlet.answers.unpin(nonce)
 
     def heartbeat(self) -> Heartbeat:
@@ -212,7 +212,7 @@
         # A refusal promises that the nonce never runs: a second copy of the
         # dispatch may come once the reason has passed.
         self.journal.tombstone(dispatch.nonce)
-        self.outlet.forget(self.journal.relieve())
+        self.outlet.forget(self.journal.evict_ended())
         newer: tuple[VersionedObject, ...] = ()
         if reason is RefusalReason.STALE_CONFIGURATION:
             newer = self.admission.newer_than(dispatch)
@@ -256,11 +256,11 @@
             # run of this nonce it can't know of.
             return TombstoneResult(nonce=nonce, state=RunState.UNSEEN)
         state = self.journal.tombstone(nonce)
-        self.outlet.forget(self.journal.relieve())
+        self.outlet.forget(self.journal.evict_ended())
         return TombstoneResult(nonce=nonce, state=state)
 
     def _locate(self, locate: Locate) -> Located:
-        nonce = self.journal.find(locate.profile, locate.request_id)
+        nonce = self.journal.nonce_of_request(locate.profile, locate.request_id)
         # A run that went on after tokens sent elsewhere holds only the end of
         # the answer; replayed, it would be shown as the whole of it.
         if nonce is None or not self.journal.run(nonce).replayable:
@@ -354,7 +354,7 @@
     def _on_declined(self, event: RunDeclined) -> list[Effect]:
         router = self.journal.run(event.nonce).router
         self.journal.retract(event.nonce)
-        self.outlet.forget(self.journal.relieve())
+        self.outlet.forget(self.journal.evict_ended())
         refused = Refused(
             nonce=event.nonce,
             reason=event.reason,
@@ -368,5 +368,5 @@
         run = self.journal.run(nonce)
         effects = self.outlet.end(message, pinned=not run.idempotent)
         effects += self._forget_run(nonce)
-        self.outlet.forget(self.journal.relieve())
+        self.outlet.forget(self.journal.evict_ended())
         return effects + self._sealing.run_ended(run.router)
--- a/src/ragwortkeel/sidecar/gate.py
+++ b/src/ragwortkeel/sidecar/gate.py
@@ -45,7 +45,11 @@
             return RefusalReason.STALE_EPOCH
         if not dispatch.idempotent and self._runs_already(dispatch):
             return RefusalReason.DUPLICATE
-        if self._journal.full or self._answers.crowded or self._isolation.taken:
+        if (
+            self._journal.is_full
+            or self._answers.is_nearly_full
+            or self._isolation.taken
+        ):
             return RefusalReason.OVERLOADED
         return self._admission.reason_to_refuse(dispatch, self._journal.running)
 
@@ -53,9 +57,9 @@
         if dispatch.idempotent and dispatch.epoch == 0:
             # A router that sends each dispatch only once needs no epoch here.
             return True
-        return self._journal.is_fresh(dispatch.epoch)
+        return self._journal.accepts_epoch(dispatch.epoch)
 
     def _runs_already(self, dispatch: Dispatch) -> bool:
         # The intent keeps two attempts apart; this holds even if it is lost.
-        found = self._journal.find(dispatch.profile, dispatch.request_id)
+        found = self._journal.nonce_of_request(dispatch.profile, dispatch.request_id)
         return found is not None
--- a/src/ragwortkeel/sidecar/outlet.py
+++ b/src/ragwortkeel/sidecar/outlet.py
@@ -72,14 +72,14 @@
         rv: list[AnyMessage] = [
             Started(nonce=nonce, status=answer.status, content_type=answer.content_type)
         ]
-        for start, data in answer.pieces(offset):
+        for start, data in answer.chunks(offset):
             rv.append(Chunk(nonce=nonce, offset=start, data=data))
         return rv if ended is None else [*rv, ended]
 
     def forget(self, nonces: list[str]) -> None:
         """Drop what is kept of these runs."""
         for nonce in nonces:
-            self.answers.drop(nonce)
+            self.answers.remove(nonce)
             self._ended_by_nonce.pop(nonce, None)
 
     def peer_lost(self, peer: Peer) -> None:
--- a/src/ragwortkeel/sidecar/recorder.py
+++ b/src/ragwortkeel/sidecar/recorder.py
@@ -93,7 +93,7 @@
                 continue
 
     async def _write_outcome(self, run: Run, outcome: intents.Outcome) -> None:
-        name = intents.name_of(run.profile, run.request_id)
+        name = intents.object_name(run.profile, run.request_id)
         while True:
             stored = await self._platform.get(INTENTS, name)
             if stored is None:
--- a/src/ragwortkeel/sidecar/sealing.py
+++ b/src/ragwortkeel/sidecar/sealing.py
@@ -49,5 +49,5 @@
             sidecar=self._incarnation,
             ran=report.ran,
             running=report.running,
-            receipts=self._journal.receipts_of(router)[:MAX_SEALED_RECEIPTS],
+            receipts=self._journal.receipts_for_router(router)[:MAX_SEALED_RECEIPTS],
         )
--- a/src/ragwortkeel/sidecar/sidecar.py
+++ b/src/ragwortkeel/sidecar/sidecar.py
@@ -214,7 +214,9 @@
         if self._clock() >= self._stop_by:
             return True
         journal = self._core.journal
-        return not (journal.running or journal.owed or journal.undecided)
+        return not (
+            journal.running or journal.pending_receipts or journal.undecided_runs
+        )
 
     async def _take(self, item: object) -> list[Effect]:
         now = self._clock()
@@ -320,12 +322,14 @@
     async def _leave(self) -> Leftover:
         journal = self._core.journal
         registered = self.admitted
-        if registered and not (journal.running or journal.owed or journal.undecided):
+        if registered and not (
+            journal.running or journal.pending_receipts or journal.undecided_runs
+        ):
             registered = not await self._registrar.deregister()
         return Leftover(
             running=journal.running,
-            receipts=journal.owed,
-            outcomes=journal.undecided,
+            receipts=journal.pending_receipts,
+            outcomes=journal.undecided_runs,
             registered=registered,
         )
 
--- a/tests/cli/test_cli_commands.py
+++ b/tests/cli/test_cli_commands.py
@@ -5,7 +5,7 @@
 
 from ragwortkeel.configuration import INTENTS, NODES, Node, Profile
 from ragwortkeel.exceptions import CommandLagging, PlatformUnavailable
-from ragwortkeel.runs.intent import Intent, Outcome, Verdict, encode, name_of
+from ragwortkeel.runs.intent import Intent, Outcome, Verdict, encode, object_name
 
 CREATE = (
     "profile create chat --customer coop-1 --service interactive "
@@ -187,7 +187,7 @@
                 router="r",
                 outcome=verdict and Outcome(verdict=verdict, reason="sidecar_gone"),
             )
-            name = name_of("filing", request_id)
+            name = object_name("filing", request_id)
             terminal.platform.put(INTENTS, name, encode(intent))
         return terminal
 
@@ -200,7 +200,7 @@
     )
     def test_resolved(self, three, word, verdict):
         assert three(f"resolve filing who-knows {word}")[0] == 0
-        intent = stored(three, INTENTS, name_of("filing", "who-knows"), Intent)
+        intent = stored(three, INTENTS, object_name("filing", "who-knows"), Intent)
         assert intent.outcome.verdict is verdict
         assert "nothing unresolved" in three("unresolved")[1]
 
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -92,7 +92,7 @@
     """A service refuses everybody for good after one slow minute."""
 
     async def scenario(places):
-        places._turns("app").taken(1000.0, 0.0)
+        places._turns("app").record_dequeue(1000.0, 0.0)
         placed = await acquire(places, "r0")
         first = await curio.spawn(acquire, places, "first", 5.0)
         while not len(places.room):
@@ -108,7 +108,7 @@
 
     def run(self, scenario, *, limit, processes):
         limits = AnnouncedLimits()
-        limits.answered("u0", limit, sent_at=0.0, now=monotonic())
+        limits.record_answer("u0", limit, sent_at=0.0, now=monotonic())
         rates = FleetRates(
             sharing=lambda: EqualShare(processes=processes),
             random=Random(3),
@@ -155,7 +155,7 @@
             return await acquire(places, "r0", seconds=1.0)
 
         limits = AnnouncedLimits()
-        limits.answered("u0", 0.0, sent_at=0.0, now=monotonic())
+        limits.record_answer("u0", 0.0, sent_at=0.0, now=monotonic())
         names = frozenset(f"p{number}" for number in range(68))
         chosen = [
             name
--- a/tests/ingress/test_placement.py
+++ b/tests/ingress/test_placement.py
@@ -335,7 +335,7 @@
     def limited(self, **limit_by_upstream):
         limits = AnnouncedLimits()
         for name, limit in limit_by_upstream.items():
-            limits.answered(name, limit, sent_at=0.0, now=0.0)
+            limits.record_answer(name, limit, sent_at=0.0, now=0.0)
         return limits
 
     def placed(self, placements, by_name, service, *, seconds=4.0):
--- a/tests/ingress/test_retry_limits.py
+++ b/tests/ingress/test_retry_limits.py
@@ -5,7 +5,7 @@
 from tests.ingress.in_process import plain, reset, run_ingress, stream_whole
 
 from ragwortkeel.ingress.worker import RETRY_RESERVE, RETRY_SHARE
-from ragwortkeel.policy.retries import FLEET_RESERVE
+from ragwortkeel.policy.retries import FLEET_RESERVE_RETRIES
 
 
 async def sheds(seen, sock):
@@ -98,4 +98,4 @@
     scripts = dict.fromkeys(("u1", "u2", "u3"), breaks)
     sent = starts * lookups
     repeats = run_ingress(scenario, scripts=scripts) - sent
-    assert repeats <= FLEET_RESERVE + sent * RETRY_SHARE
+    assert repeats <= FLEET_RESERVE_RETRIES + sent * RETRY_SHARE
--- a/tests/ingress/test_stated_limits.py
+++ b/tests/ingress/test_stated_limits.py
@@ -57,7 +57,7 @@
         stated = StatedLimits(header=HEADER, metrics=Metrics())
         stated.note("u1", head("1.5"), sent_at=0.0)
         stated.note("u1", head("many"), sent_at=1e12)
-        assert stated.limits.of("u1") == 1.5
+        assert stated.limits.limit_of("u1") == 1.5
 
     def test_a_later_instance_of_that_name_has_no_limit(self):
         """Guards against an upstream that is spared after its restart."""
@@ -65,9 +65,9 @@
         stated.note_instance(upstream("u1", born=1))
         stated.note("u1", head("1.5"), sent_at=0.0)
         stated.note_instance(upstream("u1", born=1))
-        assert stated.limits.of("u1") == 1.5
+        assert stated.limits.limit_of("u1") == 1.5
         stated.note_instance(upstream("u1", born=2))
-        assert stated.limits.of("u1") is None
+        assert stated.limits.limit_of("u1") is None
 
     @pytest.mark.parametrize("gone", [False, True])
     def test_the_metric_ends_with_the_limit(self, gone):
@@ -88,10 +88,10 @@
         peer = StatedLimits(header=HEADER, metrics=Metrics())
         teller.note("u1", head("1.5"), sent_at=0.0)
         peer.merge(teller.recent())
-        assert peer.limits.of("u1") == 1.5
+        assert peer.limits.limit_of("u1") == 1.5
         teller.note("u1", head(), sent_at=monotonic())
         peer.merge(teller.recent())
-        assert peer.limits.of("u1") is None
+        assert peer.limits.limit_of("u1") is None
 
     def test_what_a_peer_said_is_not_passed_on(self):
         """Guards against two processes that keep an old limit alive for each other."""
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -14,10 +14,10 @@
         "request_id": request_id,
         "profile": "chat",
         "customer": "coop",
-        "service": ServiceClass.INTERACTIVE,
+        "service_class": ServiceClass.INTERACTIVE,
         "back_ends": ("model",),
         "deadline": 20.0,
-        "first_token_by": 1.5,
+        "first_token_deadline": 1.5,
         "cost": 100,
         "fingerprint": f"body-{request_id}",
     }
@@ -28,9 +28,9 @@
     """Return a batch request with minutes of time."""
     defaults = {
         "profile": "review",
-        "service": ServiceClass.BATCH,
+        "service_class": ServiceClass.BATCH,
         "deadline": 300.0,
-        "first_token_by": 300.0,
+        "first_token_deadline": 300.0,
     }
     return request(request_id, **(defaults | changes))
 
@@ -39,9 +39,9 @@
     """Return a request that must not repeat."""
     defaults = {
         "profile": "filing",
-        "service": ServiceClass.MUST_NOT_REPEAT,
+        "service_class": ServiceClass.MUST_NOT_REPEAT,
         "deadline": 60.0,
-        "first_token_by": 60.0,
+        "first_token_deadline": 60.0,
     }
     return request(request_id, **(defaults | changes))
 
@@ -57,5 +57,5 @@
 def scheduler(count: int = 3, **settings: object) -> Scheduler:
     """Return a scheduler that knows `count` upstreams."""
     made = Scheduler(zone="a", random=Random(7), settings=SchedulerSettings(**settings))
-    made.upstreams_changed(upstreams(count), now=0.0)
+    made.set_upstreams(upstreams(count), now=0.0)
     return made
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -8,8 +8,8 @@
     MAX_RETRY_SECONDS,
     MIN_RETRY_SECONDS,
     CompletionIntervals,
+    DequeueIntervals,
     ServiceTimes,
-    Turns,
     queue_retry_delay,
 )
 from ragwortkeel.policy.facts import Reason
@@ -30,8 +30,8 @@
         ("made", "expected"),
         [
             (request("r"), (1.0, Reason.FIRST_TOKEN)),
-            (request("r", first_token_by=60.0), (20.0 - 6.0, Reason.DEADLINE)),
-            (batch("b", first_token_by=0.1), (300.0 - 6.0, Reason.DEADLINE)),
+            (request("r", first_token_deadline=60.0), (20.0 - 6.0, Reason.DEADLINE)),
+            (batch("b", first_token_deadline=0.1), (300.0 - 6.0, Reason.DEADLINE)),
         ],
     )
     def test_by_the_promise_that_binds(self, made, expected):
@@ -42,26 +42,26 @@
 class TestWaits:
     def test_places_by_littles_law(self):
         places = CompletionIntervals()
-        assert places.mean_seconds(("model",)) == 0.0
+        assert places.seconds_per_completion(("model",)) == 0.0
         for _ in range(4):
             places.record_start(("model",))
         places.record_duration(("model",), 8.0)
-        assert places.mean_seconds(("model",)) == 2.0
+        assert places.seconds_per_completion(("model",)) == 2.0
 
     def test_turns_follow_what_was_taken(self):
-        turns = Turns()
-        assert turns.seconds_each(3.0, idle=False, now=0.0) == 3.0
+        turns = DequeueIntervals()
+        assert turns.mean_seconds(3.0, idle=False, now=0.0) == 3.0
         for second in range(1, 60):
-            turns.taken(3.0, now=second * 0.5)
-        each = turns.seconds_each(3.0, idle=False, now=29.5)
+            turns.record_dequeue(3.0, now=second * 0.5)
+        each = turns.mean_seconds(3.0, idle=False, now=29.5)
         assert each == pytest.approx(0.5, abs=0.02)
 
     def test_stopped_queue_looks_slow_and_an_idle_one_does_not(self):
-        turns = Turns()
+        turns = DequeueIntervals()
         for second in range(1, 60):
-            turns.taken(0.5, now=second * 0.5)
-        assert turns.seconds_each(0.5, idle=False, now=89.5) > 5.0
-        assert turns.seconds_each(0.5, idle=True, now=89.5) < 0.6
+            turns.record_dequeue(0.5, now=second * 0.5)
+        assert turns.mean_seconds(0.5, idle=False, now=89.5) > 5.0
+        assert turns.mean_seconds(0.5, idle=True, now=89.5) < 0.6
 
 
 class TestRetryAfter:
--- a/tests/policy/test_announced_limits.py
+++ b/tests/policy/test_announced_limits.py
@@ -8,7 +8,7 @@
     CONFIRMATION_SECONDS,
     REPORTING_SECONDS,
     AnnouncedLimits,
-    Statement,
+    LimitAnnouncement,
 )
 from ragwortkeel.policy.fleet_rates import (
     DISCOVERY_SECONDS,
@@ -29,54 +29,56 @@
     def test_an_answer_to_an_older_request_does_not_end_a_limit(self):
         """Guards against a limit that ends with a stream that began before it."""
         limits = AnnouncedLimits()
-        limits.answered("u1", 1.2, sent_at=7.0, now=8.0)
-        assert not limits.answered("u1", None, sent_at=7.5, now=8.5)
-        assert limits.of("u1") == 1.2
+        limits.record_answer("u1", 1.2, sent_at=7.0, now=8.0)
+        assert not limits.record_answer("u1", None, sent_at=7.5, now=8.5)
+        assert limits.limit_of("u1") == 1.2
 
     def test_the_answer_to_a_later_request_ends_it(self):
         limits = AnnouncedLimits()
-        limits.answered("u1", 1.2, sent_at=7.0, now=8.0)
-        assert limits.answered("u1", None, sent_at=8.1, now=8.5)
-        assert limits.of("u1") is None
+        limits.record_answer("u1", 1.2, sent_at=7.0, now=8.0)
+        assert limits.record_answer("u1", None, sent_at=8.1, now=8.5)
+        assert limits.limit_of("u1") is None
 
     def test_a_limit_may_change_with_each_answer(self):
         limits = AnnouncedLimits()
         for at, limit in enumerate([1.2, 0.0, 40.0, 1.2]):
-            assert limits.answered("u1", limit, sent_at=at, now=at + 0.5)
-            assert limits.of("u1") == limit
+            assert limits.record_answer("u1", limit, sent_at=at, now=at + 0.5)
+            assert limits.limit_of("u1") == limit
 
     def test_what_a_peer_heard_before_does_not_bring_an_ended_limit_back(self):
         """Guards against a limit that peers tell each other for ever."""
         limits = AnnouncedLimits()
-        limits.answered("u1", 1.2, sent_at=7.0, now=8.0)
-        limits.answered("u1", None, sent_at=9.0, now=9.1)
-        assert not limits.take("u1", Statement(per_second=1.2, at=8.6))
+        limits.record_answer("u1", 1.2, sent_at=7.0, now=8.0)
+        limits.record_answer("u1", None, sent_at=9.0, now=9.1)
+        assert not limits.merge(
+            "u1", LimitAnnouncement(per_second=1.2, effective_at=8.6)
+        )
 
     def test_upstreams_that_never_named_one_leave_nothing(self):
         limits = AnnouncedLimits()
-        assert not limits.answered("u1", None, sent_at=1.0, now=1.0)
-        assert not limits.recent(1.0)
+        assert not limits.record_answer("u1", None, sent_at=1.0, now=1.0)
+        assert not limits.recent_own(1.0)
 
     def test_peers_hear_of_an_end_too(self):
         limits = AnnouncedLimits()
-        limits.answered("u1", 1.2, sent_at=7.0, now=8.0)
-        limits.answered("u1", None, sent_at=9.0, now=9.1)
-        assert limits.recent(9.2)["u1"].per_second is None
-        assert not limits.recent(9.0 + REPORTING_SECONDS)
+        limits.record_answer("u1", 1.2, sent_at=7.0, now=8.0)
+        limits.record_answer("u1", None, sent_at=9.0, now=9.1)
+        assert limits.recent_own(9.2)["u1"].per_second is None
+        assert not limits.recent_own(9.0 + REPORTING_SECONDS)
 
     def test_an_end_is_told_for_some_seconds_only(self):
         """Guards against reports that name every upstream that ever had a limit."""
         limits = AnnouncedLimits()
-        limits.answered("u1", 1.2, sent_at=7.0, now=8.0)
+        limits.record_answer("u1", 1.2, sent_at=7.0, now=8.0)
         for at in range(9, 30):
-            limits.answered("u1", None, sent_at=at, now=at + 0.1)
-        assert not limits.recent(30.0)
+            limits.record_answer("u1", None, sent_at=at, now=at + 0.1)
+        assert not limits.recent_own(30.0)
 
     def test_upstreams_that_are_gone_are_forgotten(self):
         limits = AnnouncedLimits()
-        limits.answered("u1", 1.2, sent_at=7.0, now=8.0)
-        limits.keep(["u2"])
-        assert limits.of("u1") is None
+        limits.record_answer("u1", 1.2, sent_at=7.0, now=8.0)
+        limits.retain(["u2"])
+        assert limits.limit_of("u1") is None
 
 
 def chosen_among(names):
@@ -94,13 +96,13 @@
     Before that all processes are idle for some seconds, but for one request each.
     """
     limits = AnnouncedLimits()
-    limits.take("u1", Statement(per_second=limit, at=1e9))
+    limits.merge("u1", LimitAnnouncement(per_second=limit, effective_at=1e9))
     rates = [
         FleetRates(sharing=sharing, random=Random(seed * 10_000 + i), started=0.0)
         for i, sharing in enumerate(sharings)
     ]
     begun = DISCOVERY_SECONDS + idle
-    bound = limits.rate("u1", begun)
+    bound = limits.fleet_rate("u1", begun)
     for process in rates:
         process.may_send("u1", bound, now=DISCOVERY_SECONDS)
     sent = []
@@ -108,7 +110,7 @@
         now = begun + number * step
         for process in rates:
             while process.may_send("u1", bound, now=now):
-                process.sent("u1")
+                process.record_sent("u1")
                 sent.append(now)
     return sent
 
@@ -153,12 +155,12 @@
     def test_a_large_limit_is_not_for_a_few_processes(self):
         """Guards against an upstream that most processes may not use any more."""
         limits = AnnouncedLimits()
-        limits.take("u1", Statement(per_second=20.0, at=0.0))
-        assert limits.rate("u1", 1.0).senders >= 30
+        limits.merge("u1", LimitAnnouncement(per_second=20.0, effective_at=0.0))
+        assert limits.fleet_rate("u1", 1.0).senders >= 30
 
     def test_an_unconfirmed_limit_is_known_as_such(self):
         """Guards against a limit that only processes which are gone could end."""
         limits = AnnouncedLimits()
-        limits.take("u1", Statement(per_second=1.2, at=0.0))
-        assert limits.rate("u1", CONFIRMATION_SECONDS - 0.1).known_to_all
-        assert not limits.rate("u1", CONFIRMATION_SECONDS).known_to_all
+        limits.merge("u1", LimitAnnouncement(per_second=1.2, effective_at=0.0))
+        assert limits.fleet_rate("u1", CONFIRMATION_SECONDS - 0.1).known_to_all
+        assert not limits.fleet_rate("u1", CONFIRMATION_SECONDS).known_to_all
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -25,28 +25,28 @@
     )
     def test_after_so_many_failures(self, failure, needed):
         ejections = Ejections()
-        outcomes = [ejections.failed("m0", failure, 0.0) for _ in range(needed)]
+        outcomes = [ejections.record_failure("m0", failure, 0.0) for _ in range(needed)]
         assert outcomes == [False] * (needed - 1) + [True]
         assert "m0" not in ejections.usable(NAMES, 0.5)
 
     @pytest.mark.parametrize("failure", [Failure.OVERLOADED, Failure.TURNED_AWAY])
     def test_turning_away_is_not_failing(self, failure):
         ejections = Ejections()
-        assert not any(ejections.failed("m0", failure, 0.0) for _ in range(9))
+        assert not any(ejections.record_failure("m0", failure, 0.0) for _ in range(9))
         assert ejections.health("m0") == Healthy()
 
     def test_success_between_errors_starts_the_count_again(self):
         ejections = Ejections()
         for _ in range(5):
-            ejections.failed("m0", Failure.ERROR, 0.0)
-            ejections.failed("m0", Failure.ERROR, 0.0)
-            ejections.succeeded("m0")
+            ejections.record_failure("m0", Failure.ERROR, 0.0)
+            ejections.record_failure("m0", Failure.ERROR, 0.0)
+            ejections.record_success("m0")
         assert ejections.health("m0") == Healthy()
 
     def test_requests_that_fail_together_eject_once(self):
         ejections = Ejections()
         for _ in range(20):
-            ejections.failed("m0", Failure.CRASHED, 0.0)
+            ejections.record_failure("m0", Failure.CRASHED, 0.0)
         assert ejections.health("m0") == Ejected(
             until=FIRST_BACKOFF_SECONDS, ejections=1
         )
@@ -61,29 +61,29 @@
         names = [f"m{i}" for i in range(count)]
         ejections = Ejections()
         for index in failing:
-            ejections.failed(names[index % count], Failure.UNREACHABLE, 0.0)
+            ejections.record_failure(names[index % count], Failure.UNREACHABLE, 0.0)
         assert len(ejections.usable(names, 0.5)) >= ceil(MIN_USABLE_FRACTION * count)
 
 
 class TestProbing:
     def ejected(self):
         ejections = Ejections()
-        ejections.failed("m0", Failure.CRASHED, 0.0)
+        ejections.record_failure("m0", Failure.CRASHED, 0.0)
         return ejections
 
     def test_one_probe_at_a_time(self):
         ejections = self.ejected()
         assert ejections.usable(NAMES, FIRST_BACKOFF_SECONDS)["m0"]
-        ejections.assigned("m0", FIRST_BACKOFF_SECONDS)
+        ejections.record_assignment("m0", FIRST_BACKOFF_SECONDS)
         assert "m0" not in ejections.usable(NAMES, FIRST_BACKOFF_SECONDS)
-        assert ejections.succeeded("m0")
+        assert ejections.record_success("m0")
         assert ejections.usable(NAMES, FIRST_BACKOFF_SECONDS)["m0"] is False
 
     def test_probe_without_verdict_is_tried_again(self):
         """The probe's caller hangs up: the upstream must not be lost for it."""
         ejections = self.ejected()
-        ejections.assigned("m0", 2.0)
-        ejections.given_up("m0", 3.0)
+        ejections.record_assignment("m0", 2.0)
+        ejections.record_no_verdict("m0", 3.0)
         assert ejections.usable(NAMES, 3.0)["m0"]
 
     def test_pause_doubles_up_to_the_longest(self):
@@ -91,9 +91,9 @@
         pauses = []
         for _ in range(10):
             until = ejections.health("m0").until
-            ejections.assigned("m0", until)
+            ejections.record_assignment("m0", until)
             assert isinstance(ejections.health("m0"), Probing)
-            ejections.failed("m0", Failure.UNREACHABLE, until)
+            ejections.record_failure("m0", Failure.UNREACHABLE, until)
             pauses.append(ejections.health("m0").until - until)
         assert pauses[:3] == [2.0, 4.0, 8.0]
         assert pauses[-1] == MAX_BACKOFF_SECONDS
--- a/tests/policy/test_fleet_rates.py
+++ b/tests/policy/test_fleet_rates.py
@@ -45,7 +45,7 @@
         now = begun + number * step
         for process in processes:
             if process.may_send(upstream, RATE, now=now):
-                process.sent(upstream)
+                process.record_sent(upstream)
                 sent.append(now)
     return sent
 
@@ -82,7 +82,7 @@
         halves = names[:15], names[15:]
         sharings = [
             lambda own=own, half=half: sharing_among(
-                own=own, others=frozenset(half) - {own}, holders=len(names)
+                own=own, others=frozenset(half) - {own}, ledger_processes=len(names)
             )
             for half in halves
             for own in half
@@ -109,12 +109,12 @@
 class TestShares:
     def test_who_has_heard_of_all_holders_knows_who_is_chosen(self):
         others = frozenset(fleet(4))
-        assert sharing_among(own="own", others=others, holders=5) == ChosenSenders(
-            own="own", names=others
-        )
-        assert sharing_among(own="own", others=others, holders=6) == EqualShare(
-            processes=6
-        )
+        assert sharing_among(
+            own="own", others=others, ledger_processes=5
+        ) == ChosenSenders(own="own", names=others)
+        assert sharing_among(
+            own="own", others=others, ledger_processes=6
+        ) == EqualShare(processes=6)
 
     def test_chosen_ones_have_the_whole_rate_and_others_nothing(self):
         names = fleet(30)
@@ -137,5 +137,5 @@
         )
         alone.may_send("u1", RATE, now=4.0)
         assert alone.may_send("u1", RATE, now=60.0)
-        alone.sent("u1")
+        alone.record_sent("u1")
         assert not alone.may_send("u1", RATE, now=60.0)
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -4,7 +4,7 @@
 
 from ragwortkeel.policy.limits import (
     DECREASE_FACTOR,
-    FIRST_LIMIT,
+    INITIAL_LIMIT_REQUESTS,
     MAX_LIMIT_REQUESTS,
     MIN_LIMIT_REQUESTS,
     MIN_SLOW_SAMPLES,
@@ -31,13 +31,13 @@
         [(FAST, True), (BATCH, True), (SLOW, False), (QUEUED, False)],
     )
     def test_by_what_first_tokens_tell(self, sample, grows):
-        assert (feed(AdaptiveLimit(), sample, 10) > FIRST_LIMIT) is grows
+        assert (feed(AdaptiveLimit(), sample, 10) > INITIAL_LIMIT_REQUESTS) is grows
 
     def test_unused_limit_does_not_grow(self):
-        assert feed(AdaptiveLimit(), FAST, 30, running=2) == FIRST_LIMIT
+        assert feed(AdaptiveLimit(), FAST, 30, running=2) == INITIAL_LIMIT_REQUESTS
 
     def test_cut_starts_from_what_was_in_use(self):
-        limit = AdaptiveLimit(first=100)
+        limit = AdaptiveLimit(initial_limit=100)
         feed(limit, SLOW, 1.5, running=10)
         assert limit.limit == int(10 * DECREASE_FACTOR)
 
@@ -46,14 +46,14 @@
         limit = AdaptiveLimit()
         for second in range(MIN_SLOW_SAMPLES):
             limit.observe(SLOW, running=16, now=float(second))
-        assert limit.limit < FIRST_LIMIT
+        assert limit.limit < INITIAL_LIMIT_REQUESTS
 
     def test_one_slow_answer_moves_nothing_down(self):
         limit = AdaptiveLimit()
         for tick in range(60):
             sample = SLOW if tick % 10 == 0 else FAST
             limit.observe(sample, running=16, now=tick / 10)
-        assert limit.limit >= FIRST_LIMIT
+        assert limit.limit >= INITIAL_LIMIT_REQUESTS
 
     @given(st.lists(st.sampled_from([FAST, SLOW, BATCH, QUEUED]), max_size=200))
     def test_bounded_in_height_and_speed(self, samples):
--- a/tests/policy/test_quarantine.py
+++ b/tests/policy/test_quarantine.py
@@ -28,36 +28,36 @@
         ones, then alone.  From then on it is refused.
         """
         quarantine = Quarantine()
-        quarantine.crashed(crash("c1", "poison", "a", "b"), 0.0)
+        quarantine.record_crash(crash("c1", "poison", "a", "b"), 0.0)
         assert quarantine.verdict("poison") is Verdict.SUSPECT
-        quarantine.crashed(crash("c2", "poison", "c"), 1.0)
+        quarantine.record_crash(crash("c2", "poison", "c"), 1.0)
         assert quarantine.verdict("poison") is Verdict.ALONE
-        quarantine.crashed(crash("c3", "poison", alone=True), 2.0)
+        quarantine.record_crash(crash("c3", "poison", alone=True), 2.0)
         assert quarantine.verdict("poison") is Verdict.REFUSE
 
     def test_innocents_are_not_refused(self):
         """Farmers' chats ran beside the crashing dossier, one of them twice."""
         quarantine = Quarantine()
-        quarantine.crashed(crash("c1", "poison", "chat", "unlucky"), 0.0)
-        quarantine.crashed(crash("c2", "poison", "unlucky"), 1.0)
+        quarantine.record_crash(crash("c1", "poison", "chat", "unlucky"), 0.0)
+        quarantine.record_crash(crash("c2", "poison", "unlucky"), 1.0)
         assert quarantine.verdict("chat") is Verdict.SUSPECT
         assert quarantine.verdict("unlucky") is Verdict.ALONE
-        assert quarantine.finished("unlucky")
+        assert quarantine.record_finish("unlucky")
         assert quarantine.verdict("unlucky") is Verdict.CLEAR
-        assert not quarantine.crashed(crash("c2", "unlucky"), 3.0)
+        assert not quarantine.record_crash(crash("c2", "unlucky"), 3.0)
         assert quarantine.verdict("unlucky") is Verdict.CLEAR
 
     def test_third_crash_refuses_though_nobody_told_it_was_alone(self):
         """The router that ran the suspect alone dies before it can tell."""
         quarantine = Quarantine()
         for crash_id in ("c1", "c2", "c3"):
-            quarantine.crashed(crash(crash_id, "poison"), 0.0)
+            quarantine.record_crash(crash(crash_id, "poison"), 0.0)
         assert quarantine.verdict("poison") is Verdict.REFUSE
 
     def test_crashed_alone_is_not_cleared(self):
         quarantine = Quarantine()
-        quarantine.crashed(crash("c1", "poison", alone=True), 0.0)
-        assert not quarantine.finished("poison")
+        quarantine.record_crash(crash("c1", "poison", alone=True), 0.0)
+        assert not quarantine.record_finish("poison")
         assert quarantine.verdict("poison") is Verdict.REFUSE
 
 
@@ -75,30 +75,30 @@
         random.shuffle(again)
         one, other = Quarantine(), Quarantine()
         for each in crashes:
-            one.crashed(each, 0.0)
+            one.record_crash(each, 0.0)
         for each in again:
-            other.crashed(each, 0.0)
+            other.record_crash(each, 0.0)
         for name in "xyz":
             assert one.verdict(name) is other.verdict(name)
 
     def test_only_news_is_passed_on(self):
         quarantine = Quarantine()
-        assert quarantine.crashed(crash("c1", "a"), 0.0)
-        assert not quarantine.crashed(crash("c1", "a"), 1.0)
-        assert quarantine.crashed(crash("c1", "a", "b"), 2.0)
+        assert quarantine.record_crash(crash("c1", "a"), 0.0)
+        assert not quarantine.record_crash(crash("c1", "a"), 1.0)
+        assert quarantine.record_crash(crash("c1", "a", "b"), 2.0)
 
 
 class TestMemory:
     @pytest.mark.parametrize("keep", [1, 3])
     def test_bounded(self, keep):
-        quarantine = Quarantine(keep=keep)
+        quarantine = Quarantine(max_fingerprints=keep)
         for i in range(10):
-            quarantine.crashed(crash("c", f"f{i}"), float(i))
+            quarantine.record_crash(crash("c", f"f{i}"), float(i))
         kept = [i for i in range(10) if quarantine.verdict(f"f{i}") != Verdict.CLEAR]
         assert kept == list(range(10 - keep, 10))
 
     def test_forgotten_after_a_day(self):
         quarantine = Quarantine()
-        quarantine.crashed(crash("c1", "poison", alone=True), 0.0)
-        quarantine.crashed(crash("c2", "other"), RETENTION_SECONDS + 1)
+        quarantine.record_crash(crash("c1", "poison", alone=True), 0.0)
+        quarantine.record_crash(crash("c2", "other"), RETENTION_SECONDS + 1)
         assert quarantine.verdict("poison") is Verdict.CLEAR
--- a/tests/policy/test_queueing.py
+++ b/tests/policy/test_queueing.py
@@ -70,7 +70,7 @@
         for i in range(100):
             queue.push(waiting(f"i{i}", cost=100))
             queue.push(waiting(f"b{i}", made=batch, cost=1000))
-        taken = Counter(each.service for each in drain(queue, 22))
+        taken = Counter(each.service_class for each in drain(queue, 22))
         assert taken == {ServiceClass.INTERACTIVE: 20, ServiceClass.BATCH: 2}
 
     def test_class_without_room_is_passed_over(self):
@@ -103,7 +103,7 @@
             f"r{self.number}",
             self.now + slack,
             customer=customer,
-            service=service,
+            service_class=service,
             cost=cost,
         )
         self.inside[new.request.request_id] = new
@@ -114,7 +114,7 @@
     @rule(services=st.sets(st.sampled_from(list(ServiceClass))))
     def take(self, services):
         first = self.queue.peek(services)
-        there = [w for w in self.inside.values() if w.request.service in services]
+        there = [w for w in self.inside.values() if w.request.service_class in services]
         assert bool(first) == bool(there)
         if first:
             self.queue.pop(first)
@@ -140,7 +140,9 @@
         starts = [w.latest_start for w in self.inside.values()]
         assert self.queue.next_expiry_at() == min(starts, default=None)
         for service in ServiceClass:
-            there = [w for w in self.inside.values() if w.request.service is service]
+            there = [
+                w for w in self.inside.values() if w.request.service_class is service
+            ]
             assert self.queue.length(service) == len(there) <= 5
 
 
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -8,12 +8,12 @@
 from ragwortkeel.ingress.worker import RETRY_RESERVE as INGRESS_RESERVE
 from ragwortkeel.ingress.worker import RETRY_SHARE as INGRESS_SHARE
 from ragwortkeel.policy.retries import (
-    FLEET_RESERVE,
+    FLEET_RESERVE_RETRIES,
     RESERVE_RETRIES,
     RETRY_FRACTION,
     RetryBudget,
     RetryBudgets,
-    reserve_of_one,
+    process_reserve,
 )
 
 PROCESSES = 3
@@ -23,7 +23,7 @@
 def quiet_for_long(budget):
     """Let a budget save up all that it may."""
     for _ in range(1000):
-        budget.earn()
+        budget.record_first_attempt()
     return budget
 
 
@@ -34,15 +34,15 @@
         firsts = retries = 0
         for first in steps:
             if first:
-                budget.earn()
+                budget.record_first_attempt()
                 firsts += 1
-            elif budget.take():
+            elif budget.try_spend():
                 retries += 1
         assert retries <= RESERVE_RETRIES + RETRY_FRACTION * firsts + 1e-6
 
     def test_quiet_time_saves_up_no_more_than_the_reserve(self):
         budget = quiet_for_long(RetryBudget())
-        assert sum(budget.take() for _ in range(100)) == RESERVE_RETRIES
+        assert sum(budget.try_spend() for _ in range(100)) == RESERVE_RETRIES
 
 
 class TestReserveOfAFleet:
@@ -57,15 +57,15 @@
         """
         budgets = [quiet_for_long(RetryBudget()) for _ in range(processes)]
         for budget in budgets:
-            budget.keep(reserve_of_one(processes=processes))
-        retries = sum(budget.take() for budget in budgets for _ in range(20))
-        assert retries <= max(FLEET_RESERVE, processes)
+            budget.set_reserve(process_reserve(processes=processes))
+        retries = sum(budget.try_spend() for budget in budgets for _ in range(20))
+        assert retries <= max(FLEET_RESERVE_RETRIES, processes)
         assert retries >= processes
 
     def test_a_smaller_reserve_takes_back_what_was_saved_up(self):
         budget = quiet_for_long(RetryBudget(reserve=6.0))
-        budget.keep(1.0)
-        assert [budget.take(), budget.take()] == [True, False]
+        budget.set_reserve(1.0)
+        assert [budget.try_spend(), budget.try_spend()] == [True, False]
 
 
 WINDOW_SECONDS = 10
@@ -92,7 +92,7 @@
 
     def _started(self):
         budgets = RetryBudgets(share=INGRESS_SHARE, reserve=INGRESS_RESERVE)
-        budgets.keep(reserve_of_one(processes=PROCESSES, most=INGRESS_RESERVE))
+        budgets.set_reserve(process_reserve(processes=PROCESSES, most=INGRESS_RESERVE))
         return budgets
 
     @rule(
@@ -102,12 +102,12 @@
     )
     def serve(self, process, service, requests):
         """Let a process send requests that all upstreams turn away."""
-        budget = self.budgets[process].of(service)
+        budget = self.budgets[process].get(service)
         for _ in range(requests):
-            budget.earn()
+            budget.record_first_attempt()
             self.firsts_by_service[service][self.second] += 1
             for _ in range(2):
-                if budget.take():
+                if budget.try_spend():
                     self.repeats_by_service[service][self.second] += 1
 
     @rule(
@@ -118,7 +118,7 @@
     def serve_well(self, process, service, requests):
         """Let a process send requests that all succeed."""
         for _ in range(requests):
-            self.budgets[process].of(service).earn()
+            self.budgets[process].get(service).record_first_attempt()
         self.firsts_by_service[service][self.second] += requests
 
     @rule(process=st.integers(0, PROCESSES - 1), requests=st.integers(1, 60))
--- a/tests/policy/test_returns.py
+++ b/tests/policy/test_returns.py
@@ -2,16 +2,16 @@
 
 from random import Random
 
-from ragwortkeel.policy.returns import (
+from ragwortkeel.policy.retry_delays import (
     MAX_DELAY_SECONDS,
     MIN_DELAY_SECONDS,
-    return_after,
+    retry_delay,
 )
 
 
 def returns(seconds, count=200):
     random = Random(7)
-    return [return_after(seconds, random) for _ in range(count)]
+    return [retry_delay(seconds, random) for _ in range(count)]
 
 
 def test_nobody_is_called_back_before_there_is_something_for_them():
--- a/tests/policy/test_scheduler.py
+++ b/tests/policy/test_scheduler.py
@@ -17,8 +17,8 @@
 def learn(made, seconds=1.0, first_token=0.2):
     """Let the scheduler see one request through, so that it has estimates."""
     made.offer(request("learn"), now=0.0)
-    made.first_token("learn", now=first_token)
-    made.finished("learn", now=seconds)
+    made.record_first_token("learn", now=first_token)
+    made.record_finish("learn", now=seconds)
 
 
 class TestOffering:
@@ -31,16 +31,16 @@
         assert refusal.retry_after_seconds > 0
 
     def test_full_means_queue_and_then_dispatch_on_a_free_place(self):
-        made = scheduler(1, first_limit=1)
+        made = scheduler(1, initial_limit=1)
         made.offer(request("r1"), now=0.0)
         assert isinstance(made.offer(request("r2"), now=0.1), Queued)
-        assert made.next(now=0.2) == ()
-        made.finished("r1", now=0.5)
-        (assignment,) = made.next(now=0.5)
+        assert made.next_decisions(now=0.2) == ()
+        made.record_finish("r1", now=0.5)
+        (assignment,) = made.next_decisions(now=0.5)
         assert assignment.request.request_id == "r2"
 
     def test_batch_leaves_places_for_interactive(self):
-        made = scheduler(1, first_limit=10, batch_fraction=0.8)
+        made = scheduler(1, initial_limit=10, batch_fraction=0.8)
         answers = [made.offer(batch(f"b{i}"), now=0.0) for i in range(12)]
         assert sum(isinstance(each, Assignment) for each in answers) == 8
         assert isinstance(made.offer(request("chat"), now=0.0), Assignment)
@@ -50,42 +50,44 @@
     """Nothing that is given up on is held back."""
 
     def test_wait_too_long_is_refused_when_offered(self):
-        made = scheduler(1, first_limit=1)
+        made = scheduler(1, initial_limit=1)
         learn(made, seconds=2.0)
-        made.offer(request("r1", deadline=30.0, first_token_by=30.0), now=1.0)
-        refusal = made.offer(request("r2", first_token_by=2.5), now=1.0)
+        made.offer(request("r1", deadline=30.0, first_token_deadline=30.0), now=1.0)
+        refusal = made.offer(request("r2", first_token_deadline=2.5), now=1.0)
         assert isinstance(refusal, Refusal)
         assert refusal.reason is Reason.FIRST_TOKEN
         assert refusal.retry_after_seconds > 0
         assert not refusal.may_have_run
 
     def test_queued_request_is_refused_the_moment_it_cannot_make_it(self):
-        made = scheduler(1, first_limit=1)
-        made.offer(request("r1", deadline=90.0, first_token_by=90.0), now=0.0)
-        assert isinstance(made.offer(request("r2", first_token_by=1.5), 0.0), Queued)
-        assert made.next_wake() == 1.5
-        assert made.next(now=1.5) == ()
-        (refusal,) = made.next(now=1.5001)
+        made = scheduler(1, initial_limit=1)
+        made.offer(request("r1", deadline=90.0, first_token_deadline=90.0), now=0.0)
+        assert isinstance(
+            made.offer(request("r2", first_token_deadline=1.5), 0.0), Queued
+        )
+        assert made.next_wake_at() == 1.5
+        assert made.next_decisions(now=1.5) == ()
+        (refusal,) = made.next_decisions(now=1.5001)
         assert refusal.request.request_id == "r2"
-        assert made.next_wake() is None
+        assert made.next_wake_at() is None
 
     def test_displaced_request_is_answered_by_the_same_next(self):
         """A large customer's flood fills the queue; a small one comes."""
-        made = scheduler(1, first_limit=1, max_queued_requests=4)
+        made = scheduler(1, initial_limit=1, max_queued_requests=4)
         made.offer(batch("first"), now=0.0)
         for i in range(4):
             made.offer(batch(f"flood{i}", customer="large"), now=0.0)
         assert isinstance(made.offer(batch("s", customer="small"), now=0.0), Queued)
-        (refusal,) = made.next(now=0.0)
+        (refusal,) = made.next_decisions(now=0.0)
         assert refusal.request.customer == "large"
         assert refusal.reason is Reason.FAIR_SHARE
 
     def test_upstreams_gone_refuses_what_waits(self):
-        made = scheduler(1, first_limit=1)
+        made = scheduler(1, initial_limit=1)
         made.offer(request("r1"), now=0.0)
         made.offer(request("r2"), now=0.0)
-        made.upstreams_changed([], now=0.1)
-        (refusal,) = made.next(now=0.1)
+        made.set_upstreams([], now=0.1)
+        (refusal,) = made.next_decisions(now=0.1)
         assert refusal.reason is Reason.NO_UPSTREAM
 
 
@@ -93,14 +95,14 @@
     def test_retry_goes_elsewhere(self):
         made = scheduler()
         first = made.offer(request("r1"), now=0.0)
-        second = made.failed("r1", Failure.UNREACHABLE, now=0.1)
+        second = made.record_failure("r1", Failure.UNREACHABLE, now=0.1)
         assert second.attempt == 2
         assert second.upstream != first.upstream
 
     def test_what_must_not_repeat_is_not_retried_once_it_may_have_run(self):
         made = scheduler()
         made.offer(filing("f1"), now=0.0)
-        refusal = made.failed("f1", Failure.UNREACHABLE, now=0.1)
+        refusal = made.record_failure("f1", Failure.UNREACHABLE, now=0.1)
         assert refusal.reason is Reason.MUST_NOT_REPEAT
         assert refusal.may_have_run
 
@@ -108,7 +110,7 @@
     def test_what_did_not_run_goes_elsewhere_though_it_must_not_repeat(self, failure):
         made = scheduler()
         first = made.offer(filing("f1"), now=0.0)
-        second = made.failed("f1", failure, now=0.1)
+        second = made.record_failure("f1", failure, now=0.1)
         assert isinstance(second, Assignment)
         assert second.upstream != first.upstream
 
@@ -116,7 +118,8 @@
         made = scheduler(9)
         made.offer(request("r1"), now=0.0)
         answers = [
-            made.failed("r1", Failure.ERROR, now=0.1) for _ in range(MAX_ATTEMPTS)
+            made.record_failure("r1", Failure.ERROR, now=0.1)
+            for _ in range(MAX_ATTEMPTS)
         ]
         assert answers[-1].reason is Reason.ATTEMPTS
 
@@ -125,7 +128,9 @@
         made = scheduler(9)
         for i in range(100):
             made.offer(request(f"r{i}"), now=0.0)
-        answers = [made.failed(f"r{i}", Failure.ERROR, now=0.1) for i in range(100)]
+        answers = [
+            made.record_failure(f"r{i}", Failure.ERROR, now=0.1) for i in range(100)
+        ]
         spent = [a for a in answers if isinstance(a, Refusal)]
         assert sum(isinstance(a, Assignment | Queued) for a in answers) <= 15
         assert {refusal.reason for refusal in spent} == {Reason.RETRY_BUDGET}
@@ -134,16 +139,16 @@
         """Guards against a retry budget over all back ends of a router."""
         made = scheduler(9)
         apps = [UpstreamFacts(name=f"a{i}", back_end="app", zone="a") for i in range(3)]
-        made.upstreams_changed([*upstreams(9), *apps], now=0.0)
+        made.set_upstreams([*upstreams(9), *apps], now=0.0)
         retries = 0
         for i in range(40):
             for j in range(3):
                 made.offer(request(f"r{i}-{j}"), now=float(i))
-                made.finished(f"r{i}-{j}", now=float(i))
+                made.record_finish(f"r{i}-{j}", now=float(i))
             made.offer(request(f"a{i}", back_ends=("app",), deadline=99.0), float(i))
-            answer = made.failed(f"a{i}", Failure.ERROR, now=float(i))
+            answer = made.record_failure(f"a{i}", Failure.ERROR, now=float(i))
             retries += not isinstance(answer, Refusal)
-            made.left(f"a{i}", now=float(i))
+            made.record_disconnect(f"a{i}", now=float(i))
         assert 0 < retries <= RESERVE_RETRIES + 40 * RETRY_FRACTION
 
     def test_refused_in_the_queue_after_a_failed_attempt_is_not_called_unrun(self):
@@ -152,13 +157,17 @@
         The request waits and then can no longer make it.  Refused as not run,
         its caller would ask again for what may have run.
         """
-        made = scheduler(2, first_limit=1)
+        made = scheduler(2, initial_limit=1)
         made.offer(request("r1"), now=0.0)
         made.offer(request("r2"), now=0.0)
-        made.report(LoadReport(upstream="m0", running=5, waiting=0, limit=1), now=0.0)
-        made.report(LoadReport(upstream="m1", running=5, waiting=0, limit=1), now=0.0)
-        assert isinstance(made.failed("r1", Failure.ERROR, now=0.1), Queued)
-        (refusal,) = made.next(now=2.0)
+        made.record_load(
+            LoadReport(upstream="m0", running=5, waiting=0, limit=1), now=0.0
+        )
+        made.record_load(
+            LoadReport(upstream="m1", running=5, waiting=0, limit=1), now=0.0
+        )
+        assert isinstance(made.record_failure("r1", Failure.ERROR, now=0.1), Queued)
+        (refusal,) = made.next_decisions(now=2.0)
         assert refusal.may_have_run
 
     def test_retry_without_room_elsewhere_does_not_hold_up_others(self):
@@ -170,19 +179,19 @@
         first = made.offer(request("r1"), now=0.0)
         other = "m1" if first.upstream == "m0" else "m0"
         full = LoadReport(upstream=other, running=16, waiting=0, limit=16)
-        made.report(full, now=0.1)
-        assert isinstance(made.failed("r1", Failure.ERROR, now=0.2), Queued)
-        made.left("r1", now=0.2)
+        made.record_load(full, now=0.1)
+        assert isinstance(made.record_failure("r1", Failure.ERROR, now=0.2), Queued)
+        made.record_disconnect("r1", now=0.2)
         assert made.offer(request("r2"), now=0.2).upstream == first.upstream
 
     def test_left_caller_frees_its_place(self):
-        made = scheduler(1, first_limit=1)
+        made = scheduler(1, initial_limit=1)
         made.offer(request("r1"), now=0.0)
         made.offer(request("r2"), now=0.0)
-        assert made.left("r1", now=0.1) == "m0"
-        assert [a.request.request_id for a in made.next(now=0.1)] == ["r2"]
-        assert made.left("r2", now=0.2) == "m0"
-        assert made.failed("r2", Failure.ERROR, now=0.3) is None
+        assert made.record_disconnect("r1", now=0.1) == "m0"
+        assert [a.request.request_id for a in made.next_decisions(now=0.1)] == ["r2"]
+        assert made.record_disconnect("r2", now=0.2) == "m0"
+        assert made.record_failure("r2", Failure.ERROR, now=0.3) is None
 
 
 class TestProbes:
@@ -194,8 +203,8 @@
         """
         made = scheduler(2)
         lost = made.offer(request("r1"), now=0.0).upstream
-        made.failed("r1", Failure.CRASHED, now=0.0)
-        made.left("r1", now=0.0)
+        made.record_failure("r1", Failure.CRASHED, now=0.0)
+        made.record_disconnect("r1", now=0.0)
         later = 2.0
         filed = [made.offer(filing(f"f{i}"), now=later).upstream for i in range(6)]
         assert lost not in filed
@@ -208,29 +217,37 @@
         made = scheduler(1)
         for i in range(3):
             made.offer(request(f"own{i}"), now=0.0)
-        made.report(LoadReport(upstream="m0", running=12, waiting=0, limit=16), now=0.1)
+        made.record_load(
+            LoadReport(upstream="m0", running=12, waiting=0, limit=16), now=0.1
+        )
         answers = [made.offer(request(f"r{i}"), now=0.1) for i in range(4)]
         assert [type(a) for a in answers] == [Assignment, Queued, Queued, Queued]
 
     def test_started_router_finds_a_place_on_busy_upstreams(self):
         made = scheduler(1)
-        made.report(LoadReport(upstream="m0", running=12, waiting=0, limit=16), now=0.0)
+        made.record_load(
+            LoadReport(upstream="m0", running=12, waiting=0, limit=16), now=0.0
+        )
         assert isinstance(made.offer(request("r1"), now=0.0), Assignment)
 
     def test_reported_limit_binds(self):
         made = scheduler(1)
-        made.report(LoadReport(upstream="m0", running=0, waiting=0, limit=2), now=0.0)
+        made.record_load(
+            LoadReport(upstream="m0", running=0, waiting=0, limit=2), now=0.0
+        )
         answers = [made.offer(request(f"r{i}"), now=0.0) for i in range(3)]
         assert [type(a) for a in answers] == [Assignment, Assignment, Queued]
 
     def test_others_work_counts(self):
-        made = scheduler(1, first_limit=4)
-        made.report(LoadReport(upstream="m0", running=3, waiting=1, limit=0), now=0.0)
+        made = scheduler(1, initial_limit=4)
+        made.record_load(
+            LoadReport(upstream="m0", running=3, waiting=1, limit=0), now=0.0
+        )
         assert isinstance(made.offer(request("r1"), now=0.0), Queued)
 
     def test_joining_upstream_starts_small(self):
-        made = scheduler(2, first_limit=10)
-        made.upstreams_changed(upstreams(3), now=1.0)
+        made = scheduler(2, initial_limit=10)
+        made.set_upstreams(upstreams(3), now=1.0)
         answers = [made.offer(request(f"r{i}"), now=1.0) for i in range(21)]
         taken = [a.upstream for a in answers if isinstance(a, Assignment)]
         assert taken.count("m2") == 1
@@ -239,7 +256,7 @@
 class TestQuarantine:
     def crash(self, made, crash_id, *names):
         prints = frozenset(f"body-{name}" for name in names)
-        made.crashed(Crash(crash_id=crash_id, fingerprints=prints), now=0.0)
+        made.record_crash(Crash(crash_id=crash_id, fingerprints=prints), now=0.0)
 
     def test_suspects_of_one_crash_are_kept_apart(self):
         made = scheduler(3)
@@ -248,13 +265,13 @@
         assert len(set(places)) == 3
 
     def test_suspected_while_it_waits_is_not_dispatched(self):
-        made = scheduler(1, first_limit=1)
+        made = scheduler(1, initial_limit=1)
         made.offer(request("r1"), now=0.0)
         made.offer(request("poison"), now=0.0)
         alone = frozenset(["body-poison"])
-        made.crashed(Crash(crash_id="c", fingerprints=alone, alone=True), now=0.1)
-        made.finished("r1", now=0.2)
-        (refusal,) = made.next(now=0.2)
+        made.record_crash(Crash(crash_id="c", fingerprints=alone, alone=True), now=0.1)
+        made.record_finish("r1", now=0.2)
+        (refusal,) = made.next_decisions(now=0.2)
         assert refusal.reason is Reason.QUARANTINED
 
     def test_runs_alone_then_refused(self):
@@ -262,15 +279,15 @@
         self.crash(made, "c1", "poison")
         self.crash(made, "c2", "poison")
         assert isinstance(made.offer(request("poison"), now=0.0), Queued)
-        (alone,) = made.next(now=0.0)
+        (alone,) = made.next_decisions(now=0.0)
         assert alone.alone
         others = [made.offer(request(f"r{i}"), now=0.0).upstream for i in range(5)]
         assert alone.upstream not in others
-        made.crashed(
+        made.record_crash(
             Crash(crash_id="c3", fingerprints=frozenset(["body-poison"]), alone=True),
             now=0.5,
         )
-        refusal = made.failed("poison", Failure.CRASHED, now=0.5)
+        refusal = made.record_failure("poison", Failure.CRASHED, now=0.5)
         assert refusal.reason is Reason.QUARANTINED
         again = made.offer(request("new-key", fingerprint="body-poison"), now=0.6)
         assert again.reason is Reason.QUARANTINED
--- a/tests/policy/test_shifting.py
+++ b/tests/policy/test_shifting.py
@@ -1,6 +1,6 @@
 import pytest
 
-from ragwortkeel.policy.shifting import (
+from ragwortkeel.policy.slow_start import (
     RISE_FRACTION_PER_SECOND,
     START_FRACTION,
     SlowStart,
--- a/tests/policy/test_timeouts.py
+++ b/tests/policy/test_timeouts.py
@@ -8,14 +8,14 @@
 
 
 def after(*seconds):
-    timeout = AnswerTimeout(longest=LONGEST)
+    timeout = AnswerTimeout(max_seconds=LONGEST)
     for one in seconds:
-        timeout.answered(one)
+        timeout.record_answer(one)
     return timeout
 
 
 def test_before_any_answer_nothing_is_assumed():
-    assert AnswerTimeout(longest=LONGEST).seconds == LONGEST
+    assert AnswerTimeout(max_seconds=LONGEST).seconds == LONGEST
 
 
 def test_a_quick_service_that_is_cut_off_is_given_up_soon():
@@ -25,8 +25,8 @@
 
 def test_a_service_that_has_become_slow_is_waited_for_after_two_tries():
     timeout = after(*[0.004] * 20)
-    timeout.timed_out()
-    timeout.timed_out()
+    timeout.record_timeout()
+    timeout.record_timeout()
     assert timeout.seconds == LONGEST
 
 
@@ -34,7 +34,7 @@
     timeout = after(*[0.24] * 5)
     assert timeout.seconds == LONGEST
     for _ in range(30):
-        timeout.answered(0.004)
+        timeout.record_answer(0.004)
     assert timeout.seconds < LONGEST / 2
 
 
@@ -42,5 +42,5 @@
 def test_it_never_exceeds_the_longest(failures):
     timeout = after(0.1)
     for _ in range(failures):
-        timeout.timed_out()
+        timeout.record_timeout()
     assert timeout.seconds <= LONGEST
--- a/tests/router/test_filings.py
+++ b/tests/router/test_filings.py
@@ -42,10 +42,10 @@
     request_id="claims/k",
     profile="claims",
     customer="c",
-    service=ServiceClass.MUST_NOT_REPEAT,
+    service_class=ServiceClass.MUST_NOT_REPEAT,
     back_ends=("filing",),
     deadline=100.0,
-    first_token_by=100.0,
+    first_token_deadline=100.0,
     cost=1,
 )
 
--- a/tests/runs/test_answer.py
+++ b/tests/runs/test_answer.py
@@ -24,7 +24,7 @@
         assembly.add(0, data[:cut])
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(module, "REPLAY_CHUNK_BYTES", 16)
-            for offset, piece in store_with(data=data).get("n").pieces(cut):
+            for offset, piece in store_with(data=data).get("n").chunks(cut):
                 assembly.add(offset, piece)
         assert assembly.length == len(data)
 
@@ -55,8 +55,8 @@
     def test_unpinned_answers_make_room_again(self):
         store = store_with(data=b"abcdefgh", max_bytes=10)
         store.finish("n", pinned=True)
-        assert store.crowded
+        assert store.is_nearly_full
         store.unpin("n")
-        assert not store.crowded
-        store.drop("n")
+        assert not store.is_nearly_full
+        store.remove("n")
         assert store.size == 0
--- a/tests/runs/test_assembly.py
+++ b/tests/runs/test_assembly.py
@@ -30,10 +30,10 @@
         for offset, data in chunks:
             released += assembly.add(offset, data)
             assert answer.startswith(released)
-            assert assembly.whole == (end_first and released == answer)
+            assert assembly.is_complete == (end_first and released == answer)
         assembly.finish(len(answer))
         assert released == answer
-        assert assembly.whole
+        assert assembly.is_complete
 
     @given(scrambled(), st.data())
     def test_lost_chunks_are_a_gap_that_a_replay_fills(self, case, data):
@@ -42,11 +42,11 @@
         assembly = Assembly()
         released = b"".join(assembly.add(offset, piece) for offset, piece in kept)
         assembly.finish(len(answer))
-        assert assembly.whole == (released == answer)
-        assert assembly.has_gap == (not assembly.whole)
+        assert assembly.is_complete == (released == answer)
+        assert assembly.has_gap == (not assembly.is_complete)
         released += assembly.add(len(released), answer[len(released) :])
         assert released == answer
-        assert assembly.whole
+        assert assembly.is_complete
 
 
 class TestContradictions:
--- a/tests/runs/test_intent.py
+++ b/tests/runs/test_intent.py
@@ -5,21 +5,21 @@
 
 from ragwortkeel.messages import RefusalReason, RunState
 from ragwortkeel.runs import intent as intents
-from ragwortkeel.runs.filing import Filing, Read, Release
+from ragwortkeel.runs.filing import Filing, ReadIntent, WriteNotRun
 from ragwortkeel.runs.intent import (
     MAX_STORED_ANSWER_BYTES,
     MAX_WRITE_ATTEMPTS,
-    SIDECAR_GONE,
-    Answer,
+    SIDECAR_UNREACHABLE,
     AskSidecar,
     Create,
-    Follow,
-    Go,
-    Held,
+    DispatchRun,
     Intent,
     IntentUnreadable,
     Outcome,
     Refuse,
+    ResumeRun,
+    ReturnOutcome,
+    StoredIntent,
     TakeOver,
     Verdict,
     WriteResult,
@@ -38,7 +38,7 @@
 
 
 def held(outcome=None, **changes):
-    return Held(intent=replace(THEIRS, outcome=outcome, **changes), version=7)
+    return StoredIntent(intent=replace(THEIRS, outcome=outcome, **changes), version=7)
 
 
 class TestAfterRead:
@@ -47,14 +47,14 @@
         [
             (None, Create),
             (held(fingerprint="other"), Refuse),
-            (held(nonce="mine"), Go),
+            (held(nonce="mine"), DispatchRun),
             (held(), AskSidecar),
-            (held(Outcome(verdict=Verdict.ANSWERED)), Answer),
+            (held(Outcome(verdict=Verdict.ANSWERED)), ReturnOutcome),
             (held(Outcome(verdict=Verdict.RAN)), Refuse),
             (held(Outcome(verdict=Verdict.NOT_RUN)), TakeOver),
             (held(Outcome(verdict=Verdict.UNRESOLVED, reason="crashed")), Refuse),
             (
-                held(Outcome(verdict=Verdict.UNRESOLVED, reason=SIDECAR_GONE)),
+                held(Outcome(verdict=Verdict.UNRESOLVED, reason=SIDECAR_UNREACHABLE)),
                 AskSidecar,
             ),
         ],
@@ -71,8 +71,8 @@
     @pytest.mark.parametrize(
         ("state", "step"),
         [
-            (RunState.RUNNING, Follow),
-            (RunState.FINISHED, Follow),
+            (RunState.RUNNING, ResumeRun),
+            (RunState.FINISHED, ResumeRun),
             (RunState.TOMBSTONED, TakeOver),
             (RunState.FAILED, Refuse),
             (RunState.UNSEEN, Refuse),
@@ -107,9 +107,9 @@
     @pytest.mark.parametrize(
         ("result", "step"),
         [
-            (WriteResult.WRITTEN, Go),
-            (WriteResult.CONFLICT, Read),
-            (WriteResult.OPEN, Read),
+            (WriteResult.WRITTEN, DispatchRun),
+            (WriteResult.CONFLICT, ReadIntent),
+            (WriteResult.OPEN, ReadIntent),
             (WriteResult.UNAVAILABLE, Refuse),
         ],
     )
@@ -143,7 +143,7 @@
     def test_not_run_is_written_before_it_is_said(self, result, outcome):
         filing = self.sent()
         filing.on_refused(RefusalReason.DRAINING, None)
-        assert isinstance(filing.step, Release)
+        assert isinstance(filing.step, WriteNotRun)
         assert filing.step.intent.outcome.verdict is Verdict.NOT_RUN
         filing.on_release(result)
         assert filing.step.outcome == outcome
@@ -171,7 +171,7 @@
         finds the platform gone; `not_run` would be a lie.
         """
         filing = self.sent(first=True)
-        filing.on_lost(replace(WANTED, nonce="other"))
+        filing.on_disconnected(replace(WANTED, nonce="other"))
         filing.on_tombstone(RunState.TOMBSTONED)
         assert filing.step.version == 8
         filing.on_write(WriteResult.UNAVAILABLE)
@@ -202,6 +202,6 @@
 
     @pytest.mark.parametrize("key", ["k", "../x y/é", "k" * 5_000])
     def test_any_key_makes_a_legal_name(self, key):
-        name = intents.name_of("claims", key)
+        name = intents.object_name("claims", key)
         assert name.startswith("claims.")
         assert len(name) == len("claims.") + 64
--- a/tests/runs/test_journal.py
+++ b/tests/runs/test_journal.py
@@ -6,7 +6,7 @@
 
 from ragwortkeel.exceptions import LifecycleError
 from ragwortkeel.messages import RunState
-from ragwortkeel.runs.journal import KEPT_EPOCHS, Journal, Run, UnknownRun
+from ragwortkeel.runs.journal import ACCEPTED_EPOCHS, Journal, Run, UnknownRun
 
 
 def a_run(nonce="n", router="a", profile="p", *, reservation=10, idempotent=True):
@@ -70,19 +70,22 @@
         minted = journal.epoch
         journal.tombstone("n")
         while journal.state("n") is RunState.TOMBSTONED:
-            assert journal.is_fresh(minted) or journal.epoch > minted + KEPT_EPOCHS
+            assert (
+                journal.accepts_epoch(minted)
+                or journal.epoch > minted + ACCEPTED_EPOCHS
+            )
             journal.next_epoch()
-        assert not journal.is_fresh(minted)
+        assert not journal.accepts_epoch(minted)
 
     def test_flood_moves_the_floor_instead_of_breaking_promises(self):
         journal = Journal(sidecar="s", max_ended=50)
         minted = journal.epoch
         for index in range(200):
             journal.tombstone(f"n{index}")
-            journal.relieve()
+            journal.evict_ended()
             forgotten = journal.state("n0") is RunState.UNSEEN
-            assert not (forgotten and journal.is_fresh(minted))
-        assert journal.is_fresh(journal.epoch)
+            assert not (forgotten and journal.accepts_epoch(minted))
+        assert journal.accepts_epoch(journal.epoch)
 
 
 class TestMustNotRepeat:
@@ -94,11 +97,11 @@
         """
         journal.admit(a_run(idempotent=False))
         end(journal, "n")
-        for _ in range(10 * KEPT_EPOCHS):
+        for _ in range(10 * ACCEPTED_EPOCHS):
             journal.next_epoch()
         assert journal.tombstone("n") is RunState.FINISHED
-        journal.outcome_durable("n")
-        for _ in range(KEPT_EPOCHS + 1):
+        journal.record_durable_outcome("n")
+        for _ in range(ACCEPTED_EPOCHS + 1):
             journal.next_epoch()
         assert journal.state("n") is RunState.UNSEEN
 
@@ -138,9 +141,9 @@
         journal.admit(a_run())
         assert end(journal, "n", 4).tokens == 4
         assert end(journal, "n", 7) is None
-        assert [r.tokens for r in journal.receipts_of("a")] == [4]
-        journal.settle(("n", "stranger"))
-        assert journal.owed == 0
+        assert [r.tokens for r in journal.receipts_for_router("a")] == [4]
+        journal.discard_receipts(("n", "stranger"))
+        assert journal.pending_receipts == 0
 
     def test_charge_never_exceeds_the_reservation(self, journal):
         journal.admit(a_run(reservation=10))
@@ -152,11 +155,11 @@
         monkeypatch.setattr("ragwortkeel.runs.journal.MAX_PENDING_RECEIPTS", 2)
         journal = Journal(sidecar="s")
         for nonce in "xy":
-            assert not journal.full
+            assert not journal.is_full
             journal.admit(a_run(nonce))
             end(journal, nonce)
-        assert journal.full
-        assert journal.owed == 2
+        assert journal.is_full
+        assert journal.pending_receipts == 2
 
     def test_unknown_run_is_an_error(self, journal):
         journal.tombstone("n")
--- a/tests/sidecar/runs_world.py
+++ b/tests/sidecar/runs_world.py
@@ -23,17 +23,17 @@
 )
 from ragwortkeel.runs import intent as intents
 from ragwortkeel.runs.assembly import Assembly
-from ragwortkeel.runs.filing import Filing, Read, Release
+from ragwortkeel.runs.filing import Filing, ReadIntent, WriteNotRun
 from ragwortkeel.runs.intent import (
-    Answer,
     AskSidecar,
     Create,
-    Follow,
-    Go,
-    Held,
+    DispatchRun,
     Intent,
     Outcome,
     Refuse,
+    ResumeRun,
+    ReturnOutcome,
+    StoredIntent,
     TakeOver,
     Verdict,
     WriteResult,
@@ -113,7 +113,7 @@
         if name not in self.objects:
             return None
         version, value = self.objects[name]
-        return Held(intent=intents.decode(value), version=version)
+        return StoredIntent(intent=intents.decode(value), version=version)
 
     def write(self, name, intent, version):
         """Write at `version`, 0 for a create; return the new version or None."""
@@ -200,9 +200,9 @@
     def step(self, attempt, mode):
         """Carry out one step; `mode` is ok, lost (the answer) or down."""
         filing = attempt.filing
-        name = intents.name_of("claims", attempt.request_id)
+        name = intents.object_name("claims", attempt.request_id)
         match filing.step:
-            case Read():
+            case ReadIntent():
                 if mode == "ok":
                     filing.on_read(self.read(name))
                 else:
@@ -213,15 +213,15 @@
             case TakeOver(intent=intent, version=at):
                 result, version = self._write(name, intent, at, mode)
                 filing.on_write(result, version)
-            case Release(intent=intent, version=at):
+            case WriteNotRun(intent=intent, version=at):
                 result, _ = self._write(name, intent, at, mode)
                 filing.on_release(result)
             case AskSidecar(sidecar=sidecar, nonce=nonce):
                 ask = Tombstone(nonce=nonce, sidecar=sidecar)
                 self.send(int(sidecar[1]), str(attempt.serial), ask)
-            case Go(intent=intent):
+            case DispatchRun(intent=intent):
                 self.dispatch(attempt, intent)
-            case Follow(sidecar=sidecar, nonce=nonce):
+            case ResumeRun(sidecar=sidecar, nonce=nonce):
                 attempt.reading = nonce
                 ask = Resume(nonce=nonce, offset=attempt.assembly.length)
                 self.send(int(sidecar[1]), str(attempt.serial), ask)
@@ -270,7 +270,7 @@
                 if isinstance(step, AskSidecar) and step.nonce == nonce:
                     filing.on_tombstone(state)
             case Refused(nonce=nonce, reason=reason):
-                if isinstance(step, Go) and step.intent.nonce == nonce:
+                if isinstance(step, DispatchRun) and step.intent.nonce == nonce:
                     filing.on_refused(reason, self._other(attempt))
             case Chunk() | Finished() | Failed() if message.nonce == attempt.reading:
                 self._read_answer(attempt, message)
@@ -293,7 +293,7 @@
                 attempt.head = message
             case Failed():
                 self.show(attempt, self._unknown("run_failed"))
-        if attempt.head is None or not attempt.assembly.whole:
+        if attempt.head is None or not attempt.assembly.is_complete:
             return
         head = attempt.head
         answered = Outcome(
@@ -310,12 +310,12 @@
         filing = attempt.filing
         if isinstance(filing.step, AskSidecar):
             filing.on_tombstone(None)
-        elif isinstance(filing.step, Go) and attempt.dispatch is not None:
+        elif isinstance(filing.step, DispatchRun) and attempt.dispatch is not None:
             attempt.renewed += 1
-            filing.on_lost(self.intent(attempt, slot, attempt.renewed))
+            filing.on_disconnected(self.intent(attempt, slot, attempt.renewed))
             attempt.assembly, attempt.body, attempt.head = Assembly(), b"", None
             attempt.reading = ""
-        elif isinstance(filing.step, Follow):
+        elif isinstance(filing.step, ResumeRun):
             self.show(attempt, self._unknown("sidecar_gone"))
         self.conclude(attempt)
 
@@ -328,10 +328,10 @@
         filing = attempt.filing
         if not isinstance(filing.step, Create | TakeOver):
             return
-        held = filing.held
+        held = filing.stored
         base = held.intent if held else filing.wanted
         fresh = replace(base, nonce=f"away-{attempt.serial}-{attempt.renewed}")
-        name = intents.name_of("claims", attempt.request_id)
+        name = intents.object_name("claims", attempt.request_id)
         released = intents.after_refusal(fresh)
         result, _ = self._write(name, released, held.version if held else 0, mode)
         is_sure = result is WriteResult.WRITTEN
@@ -343,11 +343,11 @@
             case Refuse() as refuse:
                 self.show(attempt, refuse)
                 if refuse.list_for_operators:
-                    held = attempt.filing.held
+                    held = attempt.filing.stored
                     listed = intents.unresolved(held, refuse.reason)
-                    name = intents.name_of("claims", attempt.request_id)
+                    name = intents.object_name("claims", attempt.request_id)
                     self.write(name, listed, held.version)
-            case Answer(outcome=outcome):
+            case ReturnOutcome(outcome=outcome):
                 self.show(attempt, outcome)
 
     def _unknown(self, reason):
@@ -411,7 +411,7 @@
                     core.on_message("", core.incarnation, done, 0.0)
 
     def _settle(self, run, outcome):
-        name = intents.name_of(run.profile, run.request_id)
+        name = intents.object_name(run.profile, run.request_id)
         held = self.read(name)
         if held is not None and intents.may_settle(held.intent, run.nonce):
             settled = intents.with_outcome(held.intent, outcome)
--- a/tests/sidecar/test_core.py
+++ b/tests/sidecar/test_core.py
@@ -32,7 +32,7 @@
     TombstoneResult,
     VersionedObject,
 )
-from ragwortkeel.runs.journal import KEPT_EPOCHS
+from ragwortkeel.runs.journal import ACCEPTED_EPOCHS
 from ragwortkeel.sidecar.admission import Admission
 from ragwortkeel.sidecar.core import SidecarCore
 from ragwortkeel.sidecar.crashes import PEER_SECONDS
@@ -107,7 +107,7 @@
 
 
 def aged(bench):
-    for _ in range(KEPT_EPOCHS + 1):
+    for _ in range(ACCEPTED_EPOCHS + 1):
         bench.core.on_epoch(0.0)
 
 
@@ -167,7 +167,7 @@
     def test_old_epoch_is_told_the_new_one(self, bench):
         aged(bench)
         _, heartbeat = bench.hear(dispatch())
-        assert heartbeat.epoch == KEPT_EPOCHS + 2
+        assert heartbeat.epoch == ACCEPTED_EPOCHS + 2
 
     def test_returned_upstream_takes_work_again_older_news_changes_nothing(self, bench):
         learn = bench.core.admission.learn
@@ -231,7 +231,7 @@
         if known:
             bench.hear(dispatch())
             bench.answer()
-            bench.core.outlet.answers.drop("n1")
+            bench.core.outlet.answers.remove("n1")
         (failed,) = bench.hear(Resume(nonce="n1", offset=0))
         assert failed.reason == FailureReason.ANSWER_LOST
         assert failed.may_have_run
@@ -263,7 +263,7 @@
         (refused,) = bench.engine(RunDeclined(nonce="n1", reason=reason))
         assert refused.reason is reason
         assert bench.core.journal.state("n1") is RunState.TOMBSTONED
-        assert bench.core.journal.owed == 0
+        assert bench.core.journal.pending_receipts == 0
         assert bench.hear(Locate(profile="chat", request_id="r1"))[0].nonce == ""
 
     def test_broken_run_is_failed_and_not_billed(self, bench):
@@ -273,7 +273,7 @@
         assert isinstance(seen, CrashSeen)
         assert isinstance(failed, Failed)
         assert failed.may_have_run
-        (receipt,) = bench.core.journal.receipts_of("a")
+        (receipt,) = bench.core.journal.receipts_for_router("a")
         assert (receipt.tokens, receipt.billable) == (6, False)
 
     def test_answer_of_a_filing_is_kept_until_its_outcome_is_durable(self, bench):
--- a/tests/sidecar/test_duties.py
+++ b/tests/sidecar/test_duties.py
@@ -69,7 +69,7 @@
     def test_outcome_tells_what_is_known(self, end, lost, verdict):
         core = core_after(end)
         if lost:
-            core.outlet.answers.drop("n1")
+            core.outlet.answers.remove("n1")
         assert next_job(core, 1e9).outcome.verdict is verdict
 
 
--- a/tests/sidecar/test_limiting.py
+++ b/tests/sidecar/test_limiting.py
@@ -1,6 +1,6 @@
 """The sidecar's adaptive limit: fed by first pieces, told to routers."""
 
-from ragwortkeel.policy.limits import FIRST_LIMIT
+from ragwortkeel.policy.limits import INITIAL_LIMIT_REQUESTS
 from ragwortkeel.sidecar.limiting import OVERSHOOT_RUNS, Limiting
 
 
@@ -23,12 +23,12 @@
         """
         limiting = Limiting()
         play(limiting, seconds=2.0, promised=1.5, runs=40)
-        assert limiting.limit < FIRST_LIMIT
+        assert limiting.limit < INITIAL_LIMIT_REQUESTS
 
     def test_kept_promises_raise_it(self):
         limiting = Limiting()
         play(limiting, seconds=0.1, promised=1.5, runs=40)
-        assert limiting.limit > FIRST_LIMIT
+        assert limiting.limit > INITIAL_LIMIT_REQUESTS
 
     def test_only_the_first_piece_counts(self):
         limiting = Limiting()
@@ -36,7 +36,7 @@
         limiting.answered("a", running=1, queued=False, now=0.1)
         for second in range(1, 60):
             limiting.answered("a", running=1, queued=False, now=float(second))
-        assert limiting.limit == FIRST_LIMIT
+        assert limiting.limit == INITIAL_LIMIT_REQUESTS
 
     def test_dispatches_in_flight_to_it_are_not_refused_at_the_limit_itself(self):
         limiting = Limiting()
--- a/tests/sidecar/test_recorder.py
+++ b/tests/sidecar/test_recorder.py
@@ -9,7 +9,7 @@
 from ragwortkeel.configuration import INTENTS, RECEIPTS
 from ragwortkeel.messages import OutcomeDurable, ReceiptsDurable, RunReceipt
 from ragwortkeel.runs import intent as intents
-from ragwortkeel.runs.intent import SIDECAR_GONE, Intent, Outcome, Verdict
+from ragwortkeel.runs.intent import SIDECAR_UNREACHABLE, Intent, Outcome, Verdict
 from ragwortkeel.runs.journal import Run
 from ragwortkeel.sidecar.recorder import (
     Recorder,
@@ -28,7 +28,7 @@
     upstream="u1",
     router="a",
 )
-NAME = intents.name_of("claims", "k")
+NAME = intents.object_name("claims", "k")
 RAN = Run(
     nonce="n",
     router="a",
@@ -84,7 +84,7 @@
             (INTENT, {}, OutcomeDurable, Verdict.ANSWERED),
             (INTENT, {"lost": 1}, OutcomeDurable, Verdict.ANSWERED),
             (INTENT, {"down": True}, WriteFailed, None),
-            (listed(SIDECAR_GONE), {}, OutcomeDurable, Verdict.ANSWERED),
+            (listed(SIDECAR_UNREACHABLE), {}, OutcomeDurable, Verdict.ANSWERED),
             (listed("crashed"), {}, OutcomeDurable, Verdict.UNRESOLVED),
             (replace(INTENT, nonce="other"), {}, OutcomeDurable, None),
             (None, {}, OutcomeDurable, None),
--- a/tests/sidecar/test_runs_machine.py
+++ b/tests/sidecar/test_runs_machine.py
@@ -5,8 +5,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from runs_world import World
 
-from ragwortkeel.runs.filing import Follow
-from ragwortkeel.runs.intent import AskSidecar, Go
+from ragwortkeel.runs.filing import ResumeRun
+from ragwortkeel.runs.intent import AskSidecar, DispatchRun
 
 WEIGHTS = {
     "submit_and_go": 6,
@@ -100,7 +100,7 @@
             if attempt.shown is not None:
                 return
             world.step(attempt, "ok")
-            if isinstance(step, Go | Follow):
+            if isinstance(step, DispatchRun | ResumeRun):
                 return
             if isinstance(step, AskSidecar):
                 world.deliver(-1, keep=False)
--- a/tests/sidecar/test_sidecar.py
+++ b/tests/sidecar/test_sidecar.py
@@ -31,7 +31,7 @@
     Sealed,
     Started,
 )
-from ragwortkeel.policy.limits import FIRST_LIMIT
+from ragwortkeel.policy.limits import INITIAL_LIMIT_REQUESTS
 from ragwortkeel.runs import intent as intents
 from ragwortkeel.runs.intent import Intent, Verdict
 from ragwortkeel.sidecar import duties
@@ -89,7 +89,7 @@
                         if isinstance(message, Heartbeat) and message.waiting == 3:
                             return message.limit
 
-        assert run(main) == FIRST_LIMIT
+        assert run(main) == INITIAL_LIMIT_REQUESTS
 
     def test_cancelled_run_is_told_to_the_engine_and_costs_what_it_says(self):
         async def main():
@@ -142,7 +142,7 @@
 
         async def main():
             platform = LocalPlatform()
-            name = intents.name_of("chat", "r1")
+            name = intents.object_name("chat", "r1")
             intent = Intent(
                 profile="chat",
                 request_id="r1",
