--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -3,11 +3,11 @@
 from hypothesis import strategies as st
 
 from ragwortkeel.policy.limits import (
-    DECREASE,
-    FEWEST_SLOW,
-    FIRST_LIMIT,
-    MAX_LIMIT,
-    MIN_LIMIT,
+    DECREASE_FACTOR,
+    INITIAL_LIMIT_REQUESTS,
+    MAX_LIMIT_REQUESTS,
+    MIN_LIMIT_REQUESTS,
+    MIN_SLOW_SAMPLES,
     AdaptiveLimit,
     Sample,
 )
@@ -31,29 +31,29 @@
         [(FAST, True), (BATCH, True), (SLOW, False), (QUEUED, False)],
     )
     def test_by_what_first_tokens_tell(self, sample, grows):
-        assert (feed(AdaptiveLimit(), sample, 10) > FIRST_LIMIT) is grows
+        assert (feed(AdaptiveLimit(), sample, 10) > INITIAL_LIMIT_REQUESTS) is grows
 
     def test_unused_limit_does_not_grow(self):
-        assert feed(AdaptiveLimit(), FAST, 30, running=2) == FIRST_LIMIT
+        assert feed(AdaptiveLimit(), FAST, 30, running=2) == INITIAL_LIMIT_REQUESTS
 
     def test_cut_starts_from_what_was_in_use(self):
-        limit = AdaptiveLimit(first=100)
+        limit = AdaptiveLimit(initial_limit=100)
         feed(limit, SLOW, 1.5, running=10)
-        assert limit.limit == int(10 * DECREASE)
+        assert limit.limit == int(10 * DECREASE_FACTOR)
 
     def test_slow_upstream_needs_few_samples(self):
         """An engine at a quarter of its speed answers a few times a second."""
         limit = AdaptiveLimit()
-        for second in range(FEWEST_SLOW):
+        for second in range(MIN_SLOW_SAMPLES):
             limit.observe(SLOW, running=16, now=float(second))
-        assert limit.limit < FIRST_LIMIT
+        assert limit.limit < INITIAL_LIMIT_REQUESTS
 
     def test_one_slow_answer_moves_nothing_down(self):
         limit = AdaptiveLimit()
         for tick in range(60):
             sample = SLOW if tick % 10 == 0 else FAST
             limit.observe(sample, running=16, now=tick / 10)
-        assert limit.limit >= FIRST_LIMIT
+        assert limit.limit >= INITIAL_LIMIT_REQUESTS
 
     @given(st.lists(st.sampled_from([FAST, SLOW, BATCH, QUEUED]), max_size=200))
     def test_bounded_in_height_and_speed(self, samples):
@@ -64,6 +64,6 @@
             limit.observe(sample, running=before, now=tick / 20)
             if limit.limit != before:
                 steps.add(int(tick / 20))
-            assert MIN_LIMIT <= limit.limit <= MAX_LIMIT
+            assert MIN_LIMIT_REQUESTS <= limit.limit <= MAX_LIMIT_REQUESTS
             assert 0.9 * before - 1 <= limit.limit <= 1.1 * before + 1
         assert len(steps) <= len(samples) / 20 + 1
