--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -356,15 +356,15 @@
         "handed",
         "the version of the last try never goes back",
         "ingress/ledger_store.py",
-        "self._tried_version = max(self._tried_version, version)",
-        "self._tried_version = version",
+        "self._newest_version_tried = max(self._newest_version_tried, version)",
+        "self._newest_version_tried = version",
     ),
     _guard(
         "prepaid",
         "a late renewal is not withdrawn",
         "ingress/ledger_store.py",
-        "self.outran = version > self._tried_version",
-        "self.outran = True",
+        "self.writes_superseded = version > self._newest_version_tried",
+        "self.writes_superseded = True",
     ),
     _guard(
         "prepaid",
@@ -377,8 +377,8 @@
         "prepaid",
         "the clocks of more than half of the fleet",
         "ingress/fleet_time.py",
-        "if heard < LEAST_PEERS or 2 * (heard + 1) <= self._others() + 1:",
-        "if not heard:",
+        "if answers < MIN_PEERS or 2 * (answers + 1) <= self._peer_count() + 1:",
+        "if not answers:",
     ),
 )
 
--- a/src/ragwortkeel/ingress/budget_keeper.py
+++ b/src/ragwortkeel/ingress/budget_keeper.py
@@ -19,13 +19,13 @@
 from ragwortkeel.messages import LoanRequest, TokenLoan
 from ragwortkeel.platform import Platform
 
-LACK_WAIT_SECONDS = 0.7
+RENEWAL_WAIT_SECONDS = 0.7
 """How long a request waits for tokens that the platform may give: it answers in
 4 ms, on slow days in 250.  Where all processes are cut off from it, the writer finds
 out after 0.25 s, who handed over to it after 0.2 s more, and then peers carry the
 calls; a refusal would bring the caller back later than that, and only once."""
 
-LACK_WAIT_SHARE = 0.2
+RENEWAL_WAIT_FRACTION = 0.2
 """Of the time that a caller has left, if that is longer: with a slow platform behind a
 cut a renewal takes a second and more, and a caller with ten is better served late than
 sent away."""
@@ -34,14 +34,14 @@
 """How long it waits for a loan: peers answer in 2 ms, and whoever has tokens
 answers at once."""
 
-RETURN_WAIT_SECONDS = 0.12
+RECALL_WAIT_SECONDS = 0.12
 """How long it waits for tokens that a peer gives back to the ledger: two renewals,
 15 ms each, and a second try of both."""
 
 SETTLING_SECONDS = 0.7
 """In which a good part of the running requests end and settle: most take 0.1 to 2 s."""
 
-FRESH_SECONDS = 2.5
+MAX_LEDGER_AGE_SECONDS = 2.5
 """A ledger read so lately tells what is left of a budget."""
 
 
@@ -93,8 +93,8 @@
             self.renewals.grow()
             hold = account.reserve(tokens)
         if hold is None:
-            wait = max(LACK_WAIT_SECONDS, LACK_WAIT_SHARE * seconds_left)
-            hold = await self._reserve_late(account, customer, tokens, wait)
+            wait = max(RENEWAL_WAIT_SECONDS, RENEWAL_WAIT_FRACTION * seconds_left)
+            hold = await self._reserve_after_wait(account, customer, tokens, wait)
         return hold
 
     def settle(self, hold: Hold, *, spent: int) -> None:
@@ -104,7 +104,7 @@
     def is_exhausted(self, customer: Customer, tokens: int) -> bool:
         """Whether the budget surely can't cover a request of this size."""
         account = self.allowances.account(customer.name)
-        if monotonic() - account.read_at > FRESH_SECONDS:
+        if monotonic() - account.read_at > MAX_LEDGER_AGE_SECONDS:
             return False
         ledger = account.ledger
         return ledger.prepaid - ledger.total_spent < tokens
@@ -135,7 +135,7 @@
             unspent=account.ledger.prepaid - account.ledger.total_spent,
             in_ledger=account.ledger.rest,
             held_elsewhere=account.held_elsewhere,
-            ledger_age=round(age, 2) if self.renewals.merged else None,
+            ledger_age=round(age, 2) if self.renewals.predecessors_charged else None,
             reachable=self.renewals.reachable,
         )
 
@@ -156,7 +156,7 @@
         """
         self.renewals.grow()
         account = self.allowances.account(request.customer)
-        asker = SliceNeed(
+        borrower = SliceNeed(
             holding=request.holding,
             demand=request.demand,
             largest_request=request.largest_request,
@@ -165,26 +165,24 @@
             spread=Spread.WIDE,
         )
         if self.renewals.reachable:
-            returned = await self._return(account, account.spare(asker, monotonic()))
+            returned = await self._recall(account, account.spare(borrower, monotonic()))
             if returned:
                 log_info("slice_recalled", customer=request.customer, tokens=returned)
                 return TokenLoan(customer=request.customer, returned=returned)
-        tokens = account.lend(asker, monotonic())
+        tokens = account.lend(borrower, monotonic())
         if tokens:
             log_info("loan_granted", customer=request.customer, tokens=tokens)
         return TokenLoan(customer=request.customer, tokens=tokens)
 
-    async def _return(self, account: Account, tokens: int) -> int:
+    async def _recall(self, account: Account, tokens: int) -> int:
         """Give tokens back by a renewal; return how many, 0 if that fails."""
         if not tokens:
             return 0
         account.recall(tokens)
-        waits_until = monotonic() + RETURN_WAIT_SECONDS
-        while (
-            account.returning and self.renewals.reachable and monotonic() < waits_until
-        ):
+        deadline = monotonic() + RECALL_WAIT_SECONDS
+        while account.returning and self.renewals.reachable and monotonic() < deadline:
             await self.renewals.wake()
-            await self.renewals.next_change(waits_until)
+            await self.renewals.wait_for_change(deadline)
         if account.returning:
             account.recall(0)
             return 0
@@ -197,13 +195,13 @@
             await self.renewals.wake()
         await self.renewals.changed()
 
-    async def _reserve_late(
+    async def _reserve_after_wait(
         self, account: Account, customer: Customer, tokens: int, wait: float
     ) -> Hold | None:
         account.waiting += tokens
         try:
             if self.renewals.reachable:
-                hold = await self._wait_for_platform(account, tokens, wait)
+                hold = await self._wait_for_renewal(account, tokens, wait)
                 if hold is not None or self.is_exhausted(customer, tokens):
                     return hold
             await self._ask_peers(customer.name, account)
@@ -211,7 +209,7 @@
         finally:
             account.waiting -= tokens
 
-    async def _wait_for_platform(
+    async def _wait_for_renewal(
         self, account: Account, tokens: int, seconds: float
     ) -> Hold | None:
         """Wait for tokens; return sooner once the platform has none left.
@@ -220,26 +218,28 @@
         waits asks for the next.
         """
         begun = monotonic()
-        waits_until = begun + seconds
-        while self.renewals.reachable and monotonic() < waits_until:
+        deadline = begun + seconds
+        while self.renewals.reachable and monotonic() < deadline:
             await self.renewals.wake()
-            hold = await self._wait(account, tokens, waits_until)
+            hold = await self._reserve_after_change(account, tokens, deadline)
             if hold is not None:
                 return hold
-            lacks = account.held < tokens
-            if lacks and account.read_at >= begun and not account.ledger.rest:
+            is_short = account.held < tokens
+            if is_short and account.read_at >= begun and not account.ledger.rest:
                 return None
         return None
 
     async def _wait_for_loan(self, account: Account, tokens: int) -> Hold | None:
-        seconds = RETURN_WAIT_SECONDS if self.renewals.reachable else LOAN_WAIT_SECONDS
-        waits_until = monotonic() + seconds
+        seconds = RECALL_WAIT_SECONDS if self.renewals.reachable else LOAN_WAIT_SECONDS
+        deadline = monotonic() + seconds
         hold = None
-        while hold is None and monotonic() < waits_until:
-            hold = await self._wait(account, tokens, waits_until)
+        while hold is None and monotonic() < deadline:
+            hold = await self._reserve_after_change(account, tokens, deadline)
         return hold
 
-    async def _wait(self, account: Account, tokens: int, until: float) -> Hold | None:
+    async def _reserve_after_change(
+        self, account: Account, tokens: int, until: float
+    ) -> Hold | None:
         """Wait for the next renewal or loan, and try to set the tokens aside."""
-        await self.renewals.next_change(until)
+        await self.renewals.wait_for_change(until)
         return account.reserve(tokens)
--- a/src/ragwortkeel/ingress/fleet_time.py
+++ b/src/ragwortkeel/ingress/fleet_time.py
@@ -14,7 +14,7 @@
 from ragwortkeel.budget.clocks import Reading, read_clocks
 from ragwortkeel.messages import ClockAnswer
 
-LEAST_PEERS = 3
+MIN_PEERS = 3
 """Fewer clocks may all be off by the same jump."""
 
 
@@ -47,7 +47,7 @@
     """
 
     def __init__(self, *, others: Callable[[], int]) -> None:
-        self._others = others
+        self._peer_count = others
         self._offset_by_peer: dict[str, _Offset] = {}
 
     def answered(self, peer: str, answer: ClockAnswer, boot: float) -> None:
@@ -58,13 +58,13 @@
 
     def reading(self) -> Reading:
         """Return what all clocks show now, with the bounds if they are known."""
-        return self.bounded(read_clocks())
+        return self.with_bounds(read_clocks())
 
-    def bounded(self, reading: Reading) -> Reading:
+    def with_bounds(self, reading: Reading) -> Reading:
         """Return the reading with the bounds if enough peers have answered."""
         offsets = self._offset_by_peer.values()
-        heard = len(offsets)
-        if heard < LEAST_PEERS or 2 * (heard + 1) <= self._others() + 1:
+        answers = len(offsets)
+        if answers < MIN_PEERS or 2 * (answers + 1) <= self._peer_count() + 1:
             return reading
         lowest = min(offset.lowest for offset in offsets)
         highest = max(offset.highest for offset in offsets)
--- a/src/ragwortkeel/ingress/ledger_store.py
+++ b/src/ragwortkeel/ingress/ledger_store.py
@@ -31,40 +31,42 @@
     """
 
     def __init__(self, *, platform: Platform) -> None:
-        self.outran = False
+        self.writes_superseded = False
         self.in_doubt = False
         self._platform = platform
-        self._read: Stored | None = None
-        self._found: Stored | None = None
-        self._written: Stored | None = None
-        self._written_shard = Shard()
-        self._tried_version = 0
+        self._base: Stored | None = None
+        self._conflicting: Stored | None = None
+        self._own_write: Stored | None = None
+        self._own_shard = Shard()
+        self._newest_version_tried = 0
 
-    def forget_refusal(self) -> None:
+    def discard_conflict(self) -> None:
         """Drop what a refused write brought along, which is old after a while.
 
         A process that others write for may not read for minutes; with ledgers of so
         long ago each write of it is refused.
         """
-        self._found = None
+        self._conflicting = None
 
-    async def read(self, *, stale: bool = True, trusts_own: bool = False) -> Shard:
+    async def read(self, *, stale: bool = True, use_own_write: bool = False) -> Shard:
         """Return the ledgers, the newest known or, without `stale`, the newest.
 
         With `trusts_own` they are those of the own last write, without a call: for a
         process that writes for all others, so that nobody else has written since.
         """
-        own = self._written if trusts_own and self._found is None else None
-        self._read = own or await self._latest(stale=stale)
-        version = self._read.version if self._read is not None else 0
-        self.outran = version > self._tried_version
-        if self.outran:
+        own_write = (
+            self._own_write if use_own_write and self._conflicting is None else None
+        )
+        self._base = own_write or await self._read_newest(stale=stale)
+        version = self._base.version if self._base is not None else 0
+        self.writes_superseded = version > self._newest_version_tried
+        if self.writes_superseded:
             self.in_doubt = False
-        if self._read is None:
+        if self._base is None:
             return Shard()
-        if self._read is self._written:
-            return self._written_shard
-        return decode_shard(self._read.value)
+        if self._base is self._own_write:
+            return self._own_shard
+        return decode_shard(self._base.value)
 
     async def write(self, shard: Shard) -> None:
         """Replace the ledgers that were read last.
@@ -77,40 +79,40 @@
             As `Platform` says.
         """
         value = encode_shard(shard)
-        version = self._read.version if self._read is not None else 0
+        version = self._base.version if self._base is not None else 0
         # Never back: an earlier write that named a later version may still be done.
-        self._tried_version = max(self._tried_version, version)
+        self._newest_version_tried = max(self._newest_version_tried, version)
         try:
-            version = await self._write(value)
+            version = await self._store(value)
         except VersionConflict as exc:
-            self._found = exc.current
+            self._conflicting = exc.current
             raise
         except (AlreadyExists, ObjectNotFound):
-            self._written = None
+            self._own_write = None
             raise
         except OutcomeUnknown:
-            self._written = None
+            self._own_write = None
             self.in_doubt = True
             raise
         self.in_doubt = False
-        self._written = Stored(
+        self._own_write = Stored(
             kind=SHARDS_KIND, name=SHARD_NAME, value=value, version=version
         )
-        self._written_shard = shard
+        self._own_shard = shard
 
-    async def _latest(self, *, stale: bool) -> Stored | None:
-        found, self._found = self._found, None
+    async def _read_newest(self, *, stale: bool) -> Stored | None:
+        found, self._conflicting = self._conflicting, None
         if found is not None and stale:
             return found
         stored = await self._platform.get(SHARDS_KIND, SHARD_NAME, stale=stale)
-        known = self._written
+        known = self._own_write
         if known is not None and (stored is None or stored.version < known.version):
             return known
         return stored
 
-    async def _write(self, value: bytes) -> int:
-        if self._read is None:
+    async def _store(self, value: bytes) -> int:
+        if self._base is None:
             return await self._platform.create(SHARDS_KIND, SHARD_NAME, value)
         return await self._platform.update(
-            SHARDS_KIND, SHARD_NAME, value, self._read.version
+            SHARDS_KIND, SHARD_NAME, value, self._base.version
         )
--- a/src/ragwortkeel/ingress/load_reports.py
+++ b/src/ragwortkeel/ingress/load_reports.py
@@ -20,10 +20,10 @@
 IDLE_REPORT_SECONDS = 5.0
 """A peer that was sent an empty report is sent the next one after so long."""
 
-SHORTEST_HOLD_SECONDS = 2.0
+MIN_HOLD_SECONDS = 2.0
 """Of a report in a small fleet: several of its sender's."""
 
-HELD_ROUNDS = 2.5
+HOLD_ROUNDS = 2.5
 """A report holds until the second next of its sender should have come."""
 
 
@@ -34,15 +34,15 @@
 
 def hold_seconds(peers: int) -> float:
     """Return how long a report counts in a fleet where each has so many peers."""
-    return max(SHORTEST_HOLD_SECONDS, HELD_ROUNDS * round_seconds(peers))
+    return max(MIN_HOLD_SECONDS, HOLD_ROUNDS * round_seconds(peers))
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Idle:
+class _IdleReport:
     writing_step: int
     upstreams_revision: int
     evacuations_revision: int
-    at: float
+    sent_at: float
 
 
 class LoadReports:
@@ -59,36 +59,36 @@
     """
 
     def __init__(self) -> None:
-        self._idle_by_peer: dict[str, _Idle] = {}
+        self._idle_report_by_peer: dict[str, _IdleReport] = {}
 
     def due(self, peer: str, state: IngressState, now: float) -> bool:
         """Whether to send the report at this second; it then counts as sent."""
-        if _says_anything(state):
-            self._idle_by_peer.pop(peer, None)
+        if _has_content(state):
+            self._idle_report_by_peer.pop(peer, None)
             return True
-        idle = _Idle(
+        idle = _IdleReport(
             writing_step=state.writing_step,
             upstreams_revision=state.upstreams_revision,
             evacuations_revision=state.evacuations_revision,
-            at=now,
+            sent_at=now,
         )
-        last = self._idle_by_peer.get(peer)
-        same = last is not None and replace(last, at=now) == idle
-        if same and now - last.at < IDLE_REPORT_SECONDS:
+        previous = self._idle_report_by_peer.get(peer)
+        is_unchanged = previous is not None and replace(previous, sent_at=now) == idle
+        if is_unchanged and now - previous.sent_at < IDLE_REPORT_SECONDS:
             return False
-        self._idle_by_peer[peer] = idle
+        self._idle_report_by_peer[peer] = idle
         return True
 
     def forget(self, peer: str) -> None:
         """Report to a peer anew, however idle: it is heard again."""
-        self._idle_by_peer.pop(peer, None)
+        self._idle_report_by_peer.pop(peer, None)
 
 
-def _says_anything(state: IngressState) -> bool:
-    news = (
+def _has_content(state: IngressState) -> bool:
+    details = (
         state.parts_by_upstream,
         state.addresses,
         state.relays,
         state.limit_by_upstream,
     )
-    return bool(state.load_by_upstream) or any(news)
+    return bool(state.load_by_upstream) or any(details)
--- a/src/ragwortkeel/ingress/relaying.py
+++ b/src/ragwortkeel/ingress/relaying.py
@@ -37,18 +37,18 @@
 )
 from ragwortkeel.platform import Change, Changes, Instance, Listing, Platform, Stored
 
-ANSWER_SECONDS = 0.9
+ANSWER_TIMEOUT_SECONDS = 0.9
 """For a relayed call beside its own wait: the relay's call of the platform times
 out after 0.6 s, and the way there and back takes a few milliseconds."""
 
-LOOK_SECONDS = 1.0
+PROBE_SECONDS = 1.0
 """How often the straight way is looked at while it is gone; a call that is paid
 for each time."""
 
 AVOID_SECONDS = 2.0
 """A relay that does not reach the platform itself is left alone for so long."""
 
-TRIED_RELAYS = 2
+MAX_RELAYS_TRIED = 2
 """For one call; when two don't reach the platform, it is likely down for all."""
 
 _ERROR_BY_CLASS: dict[type[ClientError], PlatformError] = {
@@ -92,8 +92,8 @@
         self._answer_by_id: dict[int, PlatformAnswer | None] = {}
         self._arrived_by_id: dict[int, curio.Event] = {}
         self._avoided_until: dict[str, float] = {}
-        self._away = False
-        self._look_at = 0.0
+        self._direct_failed = False
+        self._probe_at = 0.0
 
     async def get(self, kind: str, name: str, *, stale: bool = False) -> Stored | None:
         """Return the object, or None where there is none; stale only straight."""
@@ -103,7 +103,7 @@
             kind=kind,
             name=name,
         )
-        return _stored(answer.objects[0]) if answer.objects else None
+        return _decode_stored(answer.objects[0]) if answer.objects else None
 
     async def list(self, kind: str, prefix: str = "") -> Listing:
         """Return all objects of a kind whose names start with `prefix`."""
@@ -113,7 +113,7 @@
             kind=kind,
             name=prefix,
         )
-        by_name = {one.name: _stored(one) for one in answer.objects}
+        by_name = {one.name: _decode_stored(one) for one in answer.objects}
         return Listing(by_name=by_name, revision=answer.version)
 
     async def create(self, kind: str, name: str, value: bytes) -> int:
@@ -169,86 +169,88 @@
     async def run(self) -> None:
         """Look for the straight way while it is gone, until cancelled."""
         while True:
-            await curio.sleep(LOOK_SECONDS)
-            if self._away:
-                await self._look()
+            await curio.sleep(PROBE_SECONDS)
+            if self._direct_failed:
+                await self._probe_direct()
 
-    async def _look(self) -> None:
+    async def _probe_direct(self) -> None:
         try:
             # Any answer will do; there is no such object.
             await self._direct.get("looks", "look")
         except PlatformUnavailable:
             return
-        self._away = False
+        self._direct_failed = False
         log_info("dependency_regained", dependency="platform", way="direct")
 
     async def _call(
         self, direct: Callable[[], Awaitable[PlatformAnswer]], **fields
     ) -> PlatformAnswer:
-        if not self._away or not self._relays():
+        if not self._direct_failed or not self._relays():
             try:
                 return await direct()
             except OutcomeUnknown as exc:
                 # A write without an answer is mostly a cut.  Whoever repeats it looks
                 # first, and that look would hang as long as the write did.
-                self._lost(str(exc))
+                self._record_direct_failure(str(exc))
                 raise
             except PlatformUnavailable as exc:
-                self._lost(str(exc))
-        return await self._relayed(PlatformCall(call_id=next(self._ids), **fields))
+                self._record_direct_failure(str(exc))
+        return await self._call_through_peers(
+            PlatformCall(call_id=next(self._ids), **fields)
+        )
 
-    def _lost(self, error: str) -> None:
-        if not self._away:
-            self._away = True
+    def _record_direct_failure(self, error: str) -> None:
+        if not self._direct_failed:
+            self._direct_failed = True
             log_warning(
                 "dependency_lost", dependency="platform", way="direct", error=error
             )
 
-    async def _relayed(self, call: PlatformCall) -> PlatformAnswer:
+    async def _call_through_peers(self, call: PlatformCall) -> PlatformAnswer:
         now = monotonic()
         relays = [
             relay
             for relay in self._relays()
             if self._avoided_until.get(relay.name, 0.0) <= now
         ]
-        for relay in relays[:TRIED_RELAYS]:
-            answer = await self._ask(relay, call)
+        for relay in relays[:MAX_RELAYS_TRIED]:
+            answer = await self._call_through(relay, call)
             if answer.error is not PlatformError.UNAVAILABLE:
-                return _raised(answer)
+                return _raise_error(answer)
             self._avoided_until[relay.name] = monotonic() + AVOID_SECONDS
         raise PlatformUnavailable("neither straight nor through a peer")
 
-    async def _ask(self, relay: Relay, call: PlatformCall) -> PlatformAnswer:
+    async def _call_through(self, relay: Relay, call: PlatformCall) -> PlatformAnswer:
         """Return the relay's answer, or the outcome that its silence leaves."""
         arrived = self._arrived_by_id[call.call_id] = curio.Event()
         try:
             await relay.send(call)
-            async with curio.ignore_after(ANSWER_SECONDS + call.seconds):
+            async with curio.ignore_after(ANSWER_TIMEOUT_SECONDS + call.seconds):
                 await arrived.wait()
         except LinkLost:
-            return _failed(call, PlatformError.UNAVAILABLE)
+            return _error_answer(call, PlatformError.UNAVAILABLE)
         finally:
             del self._arrived_by_id[call.call_id]
             answer = self._answer_by_id.pop(call.call_id, None)
         if answer is not None:
             return answer
         if call.operation in _READS:
-            return _failed(call, PlatformError.UNAVAILABLE)
-        return _failed(call, PlatformError.UNKNOWN)
+            return _error_answer(call, PlatformError.UNAVAILABLE)
+        return _error_answer(call, PlatformError.UNKNOWN)
 
 
 async def carry_out(platform: Platform, call: PlatformCall) -> PlatformAnswer:
     """Make a peer's call and return its answer; never raises a platform error."""
     try:
-        answer = await _carried_out(platform, call)
+        answer = await _execute(platform, call)
     except VersionConflict as exc:
-        objects = () if exc.current is None else (_versioned(exc.current),)
+        objects = () if exc.current is None else (_encode_stored(exc.current),)
         return PlatformAnswer(
             call_id=call.call_id, error=PlatformError.CONFLICT, objects=objects
         )
     except ClientError as exc:
         error = _ERROR_BY_CLASS.get(type(exc), PlatformError.UNAVAILABLE)
-        return _failed(call, error)
+        return _error_answer(call, error)
     return PlatformAnswer(
         call_id=call.call_id,
         objects=answer.objects,
@@ -257,7 +259,7 @@
     )
 
 
-async def _carried_out(platform: Platform, call: PlatformCall) -> PlatformAnswer:
+async def _execute(platform: Platform, call: PlatformCall) -> PlatformAnswer:
     match call.operation:
         case PlatformOperation.GET:
             return await _get(platform, call.kind, call.name)
@@ -277,13 +279,13 @@
     platform: Platform, kind: str, name: str, *, stale: bool = False
 ) -> PlatformAnswer:
     stored = await platform.get(kind, name, stale=stale)
-    objects = () if stored is None else (_versioned(stored),)
+    objects = () if stored is None else (_encode_stored(stored),)
     return PlatformAnswer(call_id=0, objects=objects)
 
 
 async def _list(platform: Platform, kind: str, prefix: str) -> PlatformAnswer:
     listing = await platform.list(kind, prefix)
-    objects = tuple(_versioned(stored) for stored in listing.by_name.values())
+    objects = tuple(_encode_stored(stored) for stored in listing.by_name.values())
     return PlatformAnswer(call_id=0, objects=objects, version=listing.revision)
 
 
@@ -313,7 +315,7 @@
     return PlatformAnswer(call_id=0, version=written)
 
 
-def _versioned(stored: Stored) -> VersionedObject:
+def _encode_stored(stored: Stored) -> VersionedObject:
     return VersionedObject(
         kind=stored.kind, name=stored.name, version=stored.version, value=stored.value
     )
@@ -322,13 +324,13 @@
 def versioned_change(kind: str, change: Change) -> VersionedObject:
     """Return a change as it goes over a link."""
     if change.stored is not None:
-        return _versioned(change.stored)
+        return _encode_stored(change.stored)
     return VersionedObject(
         kind=kind, name=change.name, version=change.version, value=b"", gone=True
     )
 
 
-def _stored(found: VersionedObject) -> Stored:
+def _decode_stored(found: VersionedObject) -> Stored:
     return Stored(
         kind=found.kind, name=found.name, value=found.value, version=found.version
     )
@@ -339,17 +341,17 @@
     return Change(
         name=found.name,
         version=found.version,
-        stored=None if found.gone else _stored(found),
+        stored=None if found.gone else _decode_stored(found),
     )
 
 
-def _failed(call: PlatformCall, error: PlatformError) -> PlatformAnswer:
+def _error_answer(call: PlatformCall, error: PlatformError) -> PlatformAnswer:
     return PlatformAnswer(call_id=call.call_id, error=error)
 
 
-def _raised(answer: PlatformAnswer) -> PlatformAnswer:
+def _raise_error(answer: PlatformAnswer) -> PlatformAnswer:
     if answer.error is PlatformError.CONFLICT:
-        current = _stored(answer.objects[0]) if answer.objects else None
+        current = _decode_stored(answer.objects[0]) if answer.objects else None
         raise VersionConflict("through a peer", current=current)
     cls = _CLASS_BY_ERROR.get(answer.error)
     if cls is not None:
--- a/src/ragwortkeel/ingress/renewals.py
+++ b/src/ragwortkeel/ingress/renewals.py
@@ -64,49 +64,49 @@
 would grow with the requests; against their objectives of 0.3 s and more it is
 little."""
 
-LONGEST_HAND_OVER_SECONDS = 1.0
+MAX_DELEGATION_SECONDS = 1.0
 """How long callers' waiting tokens are left to the process that writes for all, at the
 most; less while its answers are quick, see `policy.timeouts`."""
 
-HAND_OVER_SECONDS = 0.04
+INITIAL_DELEGATION_SECONDS = 0.04
 """What the first answers are taken to need: a batch, a write and the way."""
 
-STEP_SHARE = 0.6
+RANK_DELAY_FRACTION = 0.6
 """Of the wait for an answer, by which each further process of the order stands in
 later."""
 
-IDLE_TICK_SECONDS = 2.0
+IDLE_RENEWAL_SECONDS = 2.0
 """A process with nothing to renew is written for so often."""
 
-JOIN_SECONDS = 0.3
+START_PEER_WAIT_SECONDS = 0.3
 """How long a start waits for its peers before it writes by itself."""
 
-STAND_IN_LOOK_SECONDS = 0.1
+DELEGATION_RETRY_SECONDS = 0.1
 """How often a process that nobody answered tries again to hand its renewals over."""
 
-WRITE_WEIGHT = 0.3
+WRITE_MEAN_WEIGHT = 0.3
 """Of the newest write in the mean time of a write: a link that has become slow shows
 after three."""
 
-LONGEST_WRITE_SECONDS = 1.0
+MAX_WRITE_SECONDS = 1.0
 """A write counts for so long at the most; a longer one was an outage."""
 
-GRANTS_SECONDS = 0.05
+GRANT_RETRY_SECONDS = 0.05
 """Pause between writes while a customer has no grant here: callers may wait."""
 
-TRIES = 8
+MAX_WRITE_ATTEMPTS = 8
 """Of one write, while others come first; then it pauses, for a random time."""
 
-TRIES_BESIDE_OTHERS = 2
+MAX_ATTEMPTS_WITH_OTHER_WRITER = 2
 """The same where a peer could write for this process: a refusal shows that one does,
 and a slow process that goes on trying is outrun for seconds."""
 
-CLOCKS_WAIT_SECONDS = 1.5
+START_CLOCK_WAIT_SECONDS = 1.5
 """How long a start after a loss of power waits for the clocks of its peers, which
 may start at the same time: it takes them a second.  Without them up to three
 seconds of demand are charged for nothing."""
 
-_CAME_FIRST = (VersionConflict, AlreadyExists, ObjectNotFound)
+_CONFLICTS = (VersionConflict, AlreadyExists, ObjectNotFound)
 
 
 class Group(Protocol):
@@ -121,7 +121,7 @@
     async def call_renewals(self) -> int:
         """Ask all for their renewals; return how many were asked."""
 
-    async def hand_over(self, handed: HandedRenewals) -> str | None:
+    async def hand_over(self, delegated: HandedRenewals) -> str | None:
         """Send renewals to the first of all; return to whom, None if not sent."""
 
     async def responds(self, address: str) -> bool:
@@ -164,38 +164,38 @@
     ) -> None:
         self.reachable = True
         self.read_at = float("-inf")
-        self.merged = False
+        self.predecessors_charged = False
         self._allowances = allowances
         self._clocks = clocks
-        self._group = group
+        self._peers = group
         self._ledgers = LedgerStore(platform=platform)
         self._random = Random(allowances.holder)
         self._table: RoutingTable | None = None
-        self._merges_by = monotonic() + CLOCKS_WAIT_SECONDS
-        self._joins_by = monotonic() + JOIN_SECONDS
-        self._stand_in = StandIn(random=self._random)
-        self._hand_over_timeout = AnswerTimeout(longest=LONGEST_HAND_OVER_SECONDS)
-        self._hand_over_timeout.answered(HAND_OVER_SECONDS)
+        self._clocks_awaited_until = monotonic() + START_CLOCK_WAIT_SECONDS
+        self._peers_awaited_until = monotonic() + START_PEER_WAIT_SECONDS
+        self._fallback = StandIn(random=self._random)
+        self._delegation_timeout = AnswerTimeout(longest=MAX_DELEGATION_SECONDS)
+        self._delegation_timeout.answered(INITIAL_DELEGATION_SECONDS)
         self._renewed_at = float("-inf")
-        self._called_at = float("-inf")
-        self._waits_until = 0.0
+        self._collected_at = float("-inf")
+        self._backoff_until = 0.0
         self._refusals = 0
-        self._write_seconds = 0.0
-        self._wrote_last = False
+        self._mean_write_seconds = 0.0
+        self._wrote_newest = False
         self._closing = False
         self._tries = Tries()
-        self._starts: set[float] = set()
-        self._seen: Shard | None = None
-        self._handed_by_holder: dict[str, HandedRenewals] = {}
-        self._asked = 0
-        self._woken = curio.Event()
+        self._start_boots: set[float] = set()
+        self._start_shard: Shard | None = None
+        self._delegated_by_holder: dict[str, HandedRenewals] = {}
+        self._requested_count = 0
+        self._write_requested = curio.Event()
         self._gathered = curio.Event()
         self._changed = curio.Event()
 
     @property
     def writing_step(self) -> int:
         """How slowly this process writes, for the order of all."""
-        return step_of(self._write_seconds, reachable=self.reachable)
+        return step_of(self._mean_write_seconds, reachable=self.reachable)
 
     def configure(self, table: RoutingTable) -> None:
         """Take over the budgets of a configuration at the next renewal."""
@@ -217,9 +217,9 @@
 
     async def wake(self) -> None:
         """Renew now: callers wait for tokens."""
-        await self._woken.set()
+        await self._write_requested.set()
 
-    async def next_change(self, until: float) -> None:
+    async def wait_for_change(self, until: float) -> None:
         """Wait for the next renewal or loan, or until a monotonic second."""
         self._changed.clear()
         async with curio.ignore_after(max(0.0, until - monotonic())):
@@ -232,14 +232,14 @@
     async def run(self) -> None:
         """Renew slices until cancelled."""
         while True:
-            urgent = await self._due()
-            if self._has_a_writer():
-                outcome = await self._written_by_another()
+            urgent = await self._wait_until_due()
+            if self._has_preferred_writer():
+                outcome = await self._try_delegation()
                 if outcome is not WriteOutcome.UNKNOWN:
                     continue
-                if not self._may_stand_in():
+                if not self._may_write_as_fallback():
                     if urgent:
-                        await self._woken.set()
+                        await self._write_requested.set()
                     continue
             await self._write_for_all(calls=not urgent)
 
@@ -247,7 +247,7 @@
         """Give all slices back; a request that is still open is charged at its most."""
         self._closing = True
         self._allowances.cut_open()
-        for refusals in range(TRIES):
+        for refusals in range(MAX_WRITE_ATTEMPTS):
             try:
                 shard = await self._ledgers.read(stale=False)
                 self._allowances.resolve(shard)
@@ -268,28 +268,28 @@
 
     def called(self) -> HandedRenewals | None:
         """Return what a peer that is about to write should take along."""
-        if not self._may_hand_over():
+        if not self._may_delegate():
             return None
         reading = self._clocks()
-        handed = self._handed(reading, urgent=False)
-        recent = monotonic() - self._renewed_at < IDLE_TICK_SECONDS
-        if self.merged and recent and not handed.renewal_by_customer:
-            self._called_at = monotonic()
+        delegated = self._delegated_renewals(reading, urgent=False)
+        recent = monotonic() - self._renewed_at < IDLE_RENEWAL_SECONDS
+        if self.predecessors_charged and recent and not delegated.renewal_by_customer:
+            self._collected_at = monotonic()
             return None
         self._tries.begin(reading, handed=True)
-        return handed
+        return delegated
 
-    async def heard(self, handed: HandedRenewals) -> None:
+    async def heard(self, delegated: HandedRenewals) -> None:
         """Take in a peer's renewals for the next write."""
-        if not self.reachable and monotonic() < self._waits_until:
-            answer = not_done(handed, WriteOutcome.UNREACHABLE)
-            await self._group.answer(handed.holder, answer)
+        if not self.reachable and monotonic() < self._backoff_until:
+            answer = not_done(delegated, WriteOutcome.UNREACHABLE)
+            await self._peers.answer(delegated.holder, answer)
             return
-        self._handed_by_holder[handed.holder] = handed
-        if len(self._handed_by_holder) >= self._asked:
+        self._delegated_by_holder[delegated.holder] = delegated
+        if len(self._delegated_by_holder) >= self._requested_count:
             await self._gathered.set()
-        if handed.urgent:
-            await self._woken.set()
+        if delegated.urgent:
+            await self._write_requested.set()
 
     async def written(self, answer: RenewalsWritten) -> None:
         """Take in what became of renewals that were handed over."""
@@ -298,34 +298,34 @@
                 return
             case WriteOutcome.NOT_DONE:
                 self._tries.failed(answer.boot)
-                self._withdraw()
+                self._withdraw_renewals()
                 # A start may be void for what it has not seen of other starts.
-                self._seen = None
+                self._start_shard = None
             case WriteOutcome.UNREACHABLE:
                 self._tries.failed(answer.boot)
-                self._withdraw()
-                self._note_reachable(False, "said a peer that writes for this one")
-                self._waits_until = monotonic() + RETRY_SECONDS
+                self._withdraw_renewals()
+                self._set_reachable(False, "said a peer that writes for this one")
+                self._backoff_until = monotonic() + RETRY_SECONDS
             case WriteOutcome.DONE:
-                self._take(answer)
+                self._apply_outcome(answer)
         await self._changed.set()
 
-    def _take(self, answer: RenewalsWritten) -> None:
+    def _apply_outcome(self, answer: RenewalsWritten) -> None:
         now = monotonic()
-        handed = self._tries.handed(answer.boot)
-        if handed is not None:
-            self._allowances.renewed_after(now - handed.monotonic)
-            self.read_at = handed.monotonic
+        delegated = self._tries.handed(answer.boot)
+        if delegated is not None:
+            self._allowances.renewed_after(now - delegated.monotonic)
+            self.read_at = delegated.monotonic
         self._allowances.written(answer)
-        if handed is not None:
-            self._allowances.note_read(answer.summary_by_customer, handed.monotonic)
-        if not self.merged and answer.boot in self._starts:
-            self.merged = True
-            self._log_predecessors(self._seen)
+        if delegated is not None:
+            self._allowances.note_read(answer.summary_by_customer, delegated.monotonic)
+        if not self.predecessors_charged and answer.boot in self._start_boots:
+            self.predecessors_charged = True
+            self._log_predecessors(self._start_shard)
         self._tries.done(answer.boot)
-        self._wrote_last = False
-        self._note_reachable(True, "")
-        self._called_at = now
+        self._wrote_newest = False
+        self._set_reachable(True, "")
+        self._collected_at = now
         if answer.revision >= self._revision:
             self._renewed_at = now
 
@@ -335,128 +335,138 @@
     def _revision(self) -> int:
         return self._table.configuration.revision if self._table else 0
 
-    def _may_hand_over(self) -> bool:
+    def _may_delegate(self) -> bool:
         """Whether a write by a peer does all that one by this process would."""
         if self._table is None or self._closing:
             return False
-        if self.merged:
+        if self.predecessors_charged:
             return True
         # A start has to have seen the ledgers, and to know the time if it may.
-        return self._seen is not None and self._may_merge(self._seen, self._clocks())
+        return self._start_shard is not None and self._may_charge_predecessors(
+            self._start_shard, self._clocks()
+        )
 
-    def _due_in(self) -> float:
+    def _seconds_until_due(self) -> float:
         now = monotonic()
         if self._table is None or self._closing:
             return RETRY_SECONDS
         pause = TICK_SECONDS
-        if self._may_hand_over():
-            step = STEP_SHARE * self._hand_over_timeout.seconds
-            pause = patience(self._group.place(), step_seconds=step)
+        if self._may_delegate():
+            step = RANK_DELAY_FRACTION * self._delegation_timeout.seconds
+            pause = patience(self._peers.place(), step_seconds=step)
         elif self._awaits_peers(now):
-            return min(GRANTS_SECONDS, self._joins_by - now)
-        elif self._allowances.lacks_grants(_prepaid(self._table)):
-            pause = GRANTS_SECONDS
-        renewed_at = max(self._renewed_at, self._called_at)
-        return max(renewed_at + pause, self._waits_until) - now
+            return min(GRANT_RETRY_SECONDS, self._peers_awaited_until - now)
+        elif self._allowances.lacks_grants(_prepaid_by_customer(self._table)):
+            pause = GRANT_RETRY_SECONDS
+        renewed_at = max(self._renewed_at, self._collected_at)
+        return max(renewed_at + pause, self._backoff_until) - now
 
     def _awaits_peers(self, now: float) -> bool:
         """Whether this process has just started and may soon hear its peers."""
-        unheard = not self._group.place() and self._group.processes() > 1
-        return not self.merged and unheard and now < self._joins_by
+        no_peer_reachable = not self._peers.place() and self._peers.processes() > 1
+        return (
+            not self.predecessors_charged
+            and no_peer_reachable
+            and now < self._peers_awaited_until
+        )
 
-    async def _due(self) -> bool:
+    async def _wait_until_due(self) -> bool:
         """Wait until this process has to write; return whether callers wait."""
-        while (seconds := self._due_in()) > 0:
+        while (seconds := self._seconds_until_due()) > 0:
             async with curio.ignore_after(seconds):
-                await self._woken.wait()
-            if self._woken.is_set() and self._table is not None:
-                backoff = max(0.0, self._waits_until - monotonic())
+                await self._write_requested.wait()
+            if self._write_requested.is_set() and self._table is not None:
+                backoff = max(0.0, self._backoff_until - monotonic())
                 await curio.sleep(backoff)
                 break
-        urgent = self._woken.is_set()
-        self._woken.clear()
+        urgent = self._write_requested.is_set()
+        self._write_requested.clear()
         return urgent
 
     # Handing over.
 
-    def _handed(self, reading: Reading, *, urgent: bool) -> HandedRenewals:
+    def _delegated_renewals(self, reading: Reading, *, urgent: bool) -> HandedRenewals:
         start = None
-        if not self.merged:
-            start = self._allowances.start(self._seen)
-            self._starts.add(reading.boot)
+        if not self.predecessors_charged:
+            start = self._allowances.start(self._start_shard)
+            self._start_boots.add(reading.boot)
         return self._allowances.handed(reading, urgent=urgent, start=start)
 
-    def _has_a_writer(self) -> bool:
+    def _has_preferred_writer(self) -> bool:
         """Whether another process is to write for this one.
 
         Not where peers have handed their renewals over to this process.
         """
-        return not self._handed_by_holder and self._group.place() > 0
+        return not self._delegated_by_holder and self._peers.place() > 0
 
-    async def _written_by_another(self) -> WriteOutcome:
+    async def _try_delegation(self) -> WriteOutcome:
         """Let the first of all write; return what became of it."""
-        if not self.merged and self._seen is None and not await self._read_ledgers():
+        if (
+            not self.predecessors_charged
+            and self._start_shard is None
+            and not await self._read_ledgers()
+        ):
             return WriteOutcome.UNREACHABLE
-        if not self._may_hand_over():
-            await curio.sleep(GRANTS_SECONDS)
+        if not self._may_delegate():
+            await curio.sleep(GRANT_RETRY_SECONDS)
             return WriteOutcome.UNKNOWN
-        outcome = await self._hand_over()
+        outcome = await self._delegate()
         if outcome is not WriteOutcome.UNKNOWN:
-            self._stand_in.answered()
+            self._fallback.answered()
         return outcome
 
-    def _may_stand_in(self) -> bool:
-        processes = self._group.processes()
-        return self._stand_in.may_write(processes=processes, now=monotonic())
+    def _may_write_as_fallback(self) -> bool:
+        processes = self._peers.processes()
+        return self._fallback.may_write(processes=processes, now=monotonic())
 
     async def _read_ledgers(self) -> bool:
         """Read the ledgers, which a start has to know; return whether it could."""
         try:
-            self._seen = await self._ledgers.read(stale=False)
+            self._start_shard = await self._ledgers.read(stale=False)
         except PlatformUnavailable as exc:
-            self._note_reachable(False, str(exc))
-            self._waits_until = monotonic() + RETRY_SECONDS
+            self._set_reachable(False, str(exc))
+            self._backoff_until = monotonic() + RETRY_SECONDS
             return False
         except LedgerError as exc:
             log_error("renewal_failed", error=repr(exc))
-            self._waits_until = monotonic() + RETRY_SECONDS
+            self._backoff_until = monotonic() + RETRY_SECONDS
             return False
-        self._allowances.resolve(self._seen)
+        self._allowances.resolve(self._start_shard)
         return True
 
-    async def _hand_over(self) -> WriteOutcome:
+    async def _delegate(self) -> WriteOutcome:
         """Let the first of all write; return what became of it, if it answered."""
         reading = self._clocks()
-        handed = self._handed(reading, urgent=True)
+        delegated = self._delegated_renewals(reading, urgent=True)
         self._tries.begin(reading, handed=True)
         boot, begun = reading.boot, monotonic()
-        writer = await self._group.hand_over(handed)
+        writer = await self._peers.hand_over(delegated)
         if writer is None:
             self._tries.failed(boot)
-            await curio.sleep(STAND_IN_LOOK_SECONDS)
+            await curio.sleep(DELEGATION_RETRY_SECONDS)
             return WriteOutcome.UNKNOWN
-        patience = self._hand_over_timeout.seconds
-        answered = await self._answered_by(boot, begun + patience)
-        if not answered and await self._group.responds(writer):
+        patience = self._delegation_timeout.seconds
+        answered = await self._wait_for_outcome(boot, begun + patience)
+        if not answered and await self._peers.responds(writer):
             # It writes, and the platform or the way there is slow.  Another process
             # would be no quicker, and its write would void this one's.
-            patience = LONGEST_HAND_OVER_SECONDS
-            answered = await self._answered_by(boot, begun + patience)
+            patience = MAX_DELEGATION_SECONDS
+            answered = await self._wait_for_outcome(boot, begun + patience)
         if answered:
-            self._hand_over_timeout.answered(monotonic() - begun)
+            self._delegation_timeout.answered(monotonic() - begun)
             return WriteOutcome.DONE
         log_info("renewals_unanswered", writer=writer, seconds=round(patience, 3))
-        self._hand_over_timeout.timed_out()
-        self._group.avoid(writer)
+        self._delegation_timeout.timed_out()
+        self._peers.avoid(writer)
         return WriteOutcome.UNKNOWN
 
-    async def _answered_by(self, boot: float, until: float) -> bool:
+    async def _wait_for_outcome(self, boot: float, until: float) -> bool:
         """Wait for the answer to a hand-over, at most until a monotonic second."""
         while self._tries.handed(boot) and monotonic() < until:
-            await self.next_change(until)
+            await self.wait_for_change(until)
         return not self._tries.handed(boot)
 
-    def _withdraw(self) -> None:
+    def _withdraw_renewals(self) -> None:
         """Take back what certainly was not written and never will be.
 
         Tokens on their way back are still here then: callers need them in an outage.
@@ -470,128 +480,132 @@
 
     async def _write_for_all(self, *, calls: bool) -> None:
         begun = monotonic()
-        if calls and self.reachable and self._may_hand_over():
-            await self._gather()
+        if calls and self.reachable and self._may_delegate():
+            await self._gather_renewals()
         elif not calls:
             await curio.sleep(BATCH_SECONDS)
-            self._woken.clear()
-        handed_by_holder, self._handed_by_holder = self._handed_by_holder, {}
-        outcome, shard, refused = await self._write(handed_by_holder)
-        took = monotonic() - begun
+            self._write_requested.clear()
+        delegated_by_holder, self._delegated_by_holder = self._delegated_by_holder, {}
+        outcome, shard, refused = await self._try_write(delegated_by_holder)
+        seconds = monotonic() - begun
         log_debug(
             "ledgers_written",
             outcome=outcome,
-            handed=len(handed_by_holder),
+            handed=len(delegated_by_holder),
             refused=len(refused),
-            took=round(took, 3),
+            took=round(seconds, 3),
         )
         if outcome is WriteOutcome.DONE:
-            self._allowances.renewed_after(took)
+            self._allowances.renewed_after(seconds)
         if outcome is WriteOutcome.DONE and calls:
             # Writes for waiting callers don't put off the one for all, and its own
             # time counts as pause: others write where it comes later than theirs.
             self._renewed_at = begun
         await self._changed.set()
-        await self._tell(outcome, shard, handed_by_holder, refused)
+        await self._report_outcomes(outcome, shard, delegated_by_holder, refused)
 
-    async def _gather(self) -> None:
+    async def _gather_renewals(self) -> None:
         self._gathered.clear()
-        self._asked = await self._group.call_renewals()
-        if self._asked:
+        self._requested_count = await self._peers.call_renewals()
+        if self._requested_count:
             async with curio.ignore_after(GATHER_SECONDS):
                 await self._gathered.wait()
-        self._asked = 0
+        self._requested_count = 0
 
-    async def _tell(
+    async def _report_outcomes(
         self,
         outcome: WriteOutcome,
         shard: Shard,
-        handed_by_holder: dict[str, HandedRenewals],
+        delegated_by_holder: dict[str, HandedRenewals],
         refused: set[str],
     ) -> None:
         done = outcome is WriteOutcome.DONE
         summaries = {}
         if done:
-            written = handed_by_holder.values()
+            written = delegated_by_holder.values()
             names = {name for one in written for name in customers_seen_by(one, shard)}
             summaries = shard.summaries(names)
-        for holder, handed in handed_by_holder.items():
+        for holder, delegated in delegated_by_holder.items():
             if holder in refused:
-                answer = not_done(handed, WriteOutcome.NOT_DONE)
+                answer = not_done(delegated, WriteOutcome.NOT_DONE)
             elif done:
-                answer = answered(shard, handed, summaries)
+                answer = answered(shard, delegated, summaries)
             else:
-                answer = not_done(handed, outcome)
-            await self._group.answer(holder, answer)
+                answer = not_done(delegated, outcome)
+            await self._peers.answer(holder, answer)
 
-    async def _write(
-        self, handed_by_holder: dict[str, HandedRenewals]
+    async def _try_write(
+        self, delegated_by_holder: dict[str, HandedRenewals]
     ) -> tuple[WriteOutcome, Shard, set[str]]:
         """Write; return the outcome, the ledgers and whose renewals are void."""
         try:
-            shard, refused = await self._write_until_first(handed_by_holder)
+            shard, refused = await self._write_with_retries(delegated_by_holder)
         except PlatformUnavailable as exc:
-            self._withdraw()
-            self._note_reachable(False, str(exc))
-            self._waits_until = monotonic() + RETRY_SECONDS
+            self._withdraw_renewals()
+            self._set_reachable(False, str(exc))
+            self._backoff_until = monotonic() + RETRY_SECONDS
             return WriteOutcome.UNREACHABLE, Shard(), set()
         except OutcomeUnknown as exc:
             # The ledger itself tells what holds, so look again at once.
             log_info("renewal_repeated", error=repr(exc))
-            await self._woken.set()
+            await self._write_requested.set()
             return WriteOutcome.UNKNOWN, Shard(), set()
-        except _CAME_FIRST as exc:
-            self._wrote_last = False
+        except _CONFLICTS as exc:
+            self._wrote_newest = False
             log_info("renewal_repeated", error=repr(exc), refusals=self._refusals)
             pause = pause_after_refusals(self._refusals, self._random)
-            self._waits_until = monotonic() + pause
+            self._backoff_until = monotonic() + pause
             return WriteOutcome.NOT_DONE, Shard(), set()
         except (LedgerError, RouterSealed) as exc:
             log_error("renewal_failed", error=repr(exc))
-            self._waits_until = monotonic() + RETRY_SECONDS
+            self._backoff_until = monotonic() + RETRY_SECONDS
             return WriteOutcome.NOT_DONE, Shard(), set()
-        self._note_reachable(True, "")
+        self._set_reachable(True, "")
         return WriteOutcome.DONE, shard, refused
 
-    async def _write_until_first(
-        self, handed_by_holder: dict[str, HandedRenewals]
+    async def _write_with_retries(
+        self, delegated_by_holder: dict[str, HandedRenewals]
     ) -> tuple[Shard, set[str]]:
         """Write, from what each refusal brings along, until nobody comes first.
 
         A refused write means that another was done, so a crowd gets through one by
         one; a pause here would only make what the refusal brought old.
         """
-        self._ledgers.forget_refusal()
-        beside_others = self._may_hand_over() and self._group.place() > 0
-        tries = TRIES_BESIDE_OTHERS if beside_others else TRIES
+        self._ledgers.discard_conflict()
+        has_other_writer = self._may_delegate() and self._peers.place() > 0
+        tries = (
+            MAX_ATTEMPTS_WITH_OTHER_WRITER if has_other_writer else MAX_WRITE_ATTEMPTS
+        )
         for _ in range(tries - 1):
             try:
-                return await self._write_once(handed_by_holder)
-            except _CAME_FIRST:
-                self._wrote_last = False
+                return await self._write_once(delegated_by_holder)
+            except _CONFLICTS:
+                self._wrote_newest = False
                 self._refusals += 1
-        return await self._write_once(handed_by_holder)
+        return await self._write_once(delegated_by_holder)
 
     async def _write_once(
-        self, handed_by_holder: dict[str, HandedRenewals]
+        self, delegated_by_holder: dict[str, HandedRenewals]
     ) -> tuple[Shard, set[str]]:
         allowances = self._allowances
-        shard = await self._ledgers.read(trusts_own=self._wrote_last)
+        shard = await self._ledgers.read(use_own_write=self._wrote_newest)
         allowances.resolve(shard)
-        self._seen = None if self.merged else shard
-        if self._ledgers.outran:
+        self._start_shard = None if self.predecessors_charged else shard
+        if self._ledgers.writes_superseded:
             self._tries.own_failed()
             if not self._tries.any_handed:
                 # One made from an older ledger asks for what is no longer there.
                 allowances.withdraw()
         reading = self._clocks()
-        renewed = shard.provisioned(_prepaid(self._table), self._revision)
-        merges = not self.merged and self._may_merge(renewed, reading)
+        renewed = shard.provisioned(_prepaid_by_customer(self._table), self._revision)
+        charges = not self.predecessors_charged and self._may_charge_predecessors(
+            renewed, reading
+        )
         before = renewed
-        if merges:
+        if charges:
             renewed = allowances.merged(renewed)
         renewed = allowances.renewed(renewed, reading)
-        renewed, refused = joined_by_all(renewed, handed_by_holder)
+        renewed, refused = joined_by_all(renewed, delegated_by_holder)
         self._tries.begin(reading, handed=False)
         begun = monotonic()
         try:
@@ -602,26 +616,31 @@
             self._tries.failed(reading.boot)
             raise
         finally:
-            self._wrote_in(monotonic() - begun)
+            self._record_write(monotonic() - begun)
         allowances.resolve(renewed)
-        if merges:
+        if charges:
             self._log_predecessors(before)
-        self.merged = self.merged or merges
+        self.predecessors_charged = self.predecessors_charged or charges
         self._tries.done(reading.boot)
-        self._wrote_last = True
+        self._wrote_newest = True
         self._refusals = 0
         self.read_at = reading.monotonic
         allowances.note_read(renewed.ledger_by_customer, reading.monotonic)
         return renewed, refused
 
-    def _wrote_in(self, seconds: float) -> None:
-        seconds = min(seconds, LONGEST_WRITE_SECONDS)
-        self._write_seconds += (seconds - self._write_seconds) * WRITE_WEIGHT
+    def _record_write(self, seconds: float) -> None:
+        seconds = min(seconds, MAX_WRITE_SECONDS)
+        self._mean_write_seconds += (
+            seconds - self._mean_write_seconds
+        ) * WRITE_MEAN_WEIGHT
 
-    def _may_merge(self, shard: Shard, reading: Reading) -> bool:
+    def _may_charge_predecessors(self, shard: Shard, reading: Reading) -> bool:
         """Whether to charge predecessors now, or wait for the peers' clocks."""
         self._allowances.know_time(reading)
-        return monotonic() >= self._merges_by or not self._allowances.lacks_time(shard)
+        return (
+            monotonic() >= self._clocks_awaited_until
+            or not self._allowances.lacks_time(shard)
+        )
 
     def _log_predecessors(self, shard: Shard) -> None:
         merged = self._allowances.merged(shard)
@@ -638,7 +657,7 @@
                 prepaid=sum(one.prepaid for one in shard.ledger_by_customer.values()),
             )
 
-    def _note_reachable(self, reachable: bool, error: str) -> None:
+    def _set_reachable(self, reachable: bool, error: str) -> None:
         if reachable == self.reachable:
             return
         self.reachable = reachable
@@ -653,7 +672,7 @@
     return sum(ledger.prepaid - ledger.total_spent for ledger in ledgers)
 
 
-def _prepaid(table: RoutingTable) -> dict[str, int]:
+def _prepaid_by_customer(table: RoutingTable) -> dict[str, int]:
     return {
         name: customer.prepaid
         for name, customer in table.customer_by_name.items()
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -25,7 +25,7 @@
 PROBE_SECONDS = 0.1
 """How long a process has to echo a heartbeat; over a busy link it takes 20 ms."""
 
-PROBE_LOOK_SECONDS = 0.01
+PROBE_CHECK_SECONDS = 0.01
 
 
 class Writers:
@@ -59,11 +59,11 @@
     ) -> None:
         self._address = address
         self._links = links
-        self._processes = processes
+        self._process_count = processes
         self._reply = reply
         self._identity_by_node: dict[str, str] = {}
         self._own_step = own_step
-        self._leaves = leaves
+        self._is_leaving = leaves
         self._address_by_node: dict[str, str] = {}
         self._step_by_address: dict[str, int] = {}
         self._leaving: set[str] = set()
@@ -84,11 +84,11 @@
 
     def processes(self) -> int:
         """Return how many processes renew slices, heard now or not."""
-        return self._processes()
+        return self._process_count()
 
     def first(self, count: int) -> list[str]:
         """Return the addresses of the first others in order."""
-        in_order = sorted(self._others(), key=lambda writer: writer.rank)
+        in_order = sorted(self._eligible_peers(), key=lambda writer: writer.rank)
         return [writer.name for writer in in_order[:count]]
 
     def note_leaving(self, address: str, *, leaving: bool) -> None:
@@ -110,10 +110,10 @@
 
     def place(self) -> int:
         """Return how many processes before this one in order are heard."""
-        others = self._others()
-        if self._leaves():
-            return len(others)
-        return place_in_order(self._own(), others)
+        peers = self._eligible_peers()
+        if self._is_leaving():
+            return len(peers)
+        return place_in_order(self._own_writer(), peers)
 
     async def call_renewals(self) -> int:
         """Ask all processes that renew slices; return how many were asked."""
@@ -130,9 +130,9 @@
         str or None
             The address that they were sent to.
         """
-        writers = self._others()
-        if not self._leaves():
-            writers.append(self._own())
+        writers = self._eligible_peers()
+        if not self._is_leaving():
+            writers.append(self._own_writer())
         first = first_in_order(writers)
         if first is None or first.name == self._address:
             return None
@@ -146,7 +146,7 @@
         if link is None or not await link.try_send(Heartbeat()):
             return False
         while monotonic() < asked_at + PROBE_SECONDS:
-            await curio.sleep(PROBE_LOOK_SECONDS)
+            await curio.sleep(PROBE_CHECK_SECONDS)
             if link.heard_at > asked_at:
                 return True
         return False
@@ -168,10 +168,10 @@
         elif node in self._identity_by_node:
             await self._reply(self._identity_by_node[node], answer)
 
-    def _own(self) -> Writer:
+    def _own_writer(self) -> Writer:
         return Writer(name=self._address, step=self._own_step())
 
-    def _others(self) -> list[Writer]:
+    def _eligible_peers(self) -> list[Writer]:
         """Return who else may write for all: not who leaves or was mute just now."""
         now = monotonic()
         return [
--- a/tests/ingress/test_budgets.py
+++ b/tests/ingress/test_budgets.py
@@ -23,8 +23,8 @@
 @pytest.fixture
 def patient(monkeypatch):
     """Let requests wait for tokens for as long as a busy machine needs."""
-    monkeypatch.setattr(budget_keeper, "LACK_WAIT_SECONDS", 5.0)
-    monkeypatch.setattr(budget_keeper, "RETURN_WAIT_SECONDS", 5.0)
+    monkeypatch.setattr(budget_keeper, "RENEWAL_WAIT_SECONDS", 5.0)
+    monkeypatch.setattr(budget_keeper, "RECALL_WAIT_SECONDS", 5.0)
 
 
 class TestSpending:
--- a/tests/ingress/test_ledger_store.py
+++ b/tests/ingress/test_ledger_store.py
@@ -37,7 +37,7 @@
             reads = platform.counts.reads
             found = await other.read()
             assert platform.counts.reads == reads
-            return found, other.outran
+            return found, other.writes_superseded
 
         assert with_two(scenario) == (shard(2), True)
 
@@ -73,10 +73,10 @@
                 await one.write(shard(2))
             platform.update = update
             await one.read()
-            before = one.in_doubt, one.outran
+            before = one.in_doubt, one.writes_superseded
             await other.write(shard(3))
             await one.read()
-            return before, (one.in_doubt, one.outran)
+            return before, (one.in_doubt, one.writes_superseded)
 
         assert with_two(scenario) == ((True, False), (False, True))
 
@@ -122,6 +122,6 @@
         with pytest.raises(VersionConflict):
             await one.write(shard(4))
         await one.read()
-        return one.outran
+        return one.writes_superseded
 
     assert not with_two(scenario)
--- a/tests/ingress/test_relaying.py
+++ b/tests/ingress/test_relaying.py
@@ -129,7 +129,7 @@
 
         The peer had written, and its answer was lost on the way back.
         """
-        monkeypatch.setattr(relaying, "ANSWER_SECONDS", 0.05)
+        monkeypatch.setattr(relaying, "ANSWER_TIMEOUT_SECONDS", 0.05)
 
         async def scenario(client, whole, direct, links):
             with pytest.raises(OutcomeUnknown):
@@ -157,7 +157,7 @@
         relayed(scenario, cut_off_too, cut_off_too)
 
     def test_the_straight_way_is_taken_again_once_it_is_back(self, monkeypatch):
-        monkeypatch.setattr(relaying, "LOOK_SECONDS", 0.02)
+        monkeypatch.setattr(relaying, "PROBE_SECONDS", 0.02)
 
         async def scenario(client, whole, direct, links):
             looking = await curio.spawn(client.run, daemon=True)
--- a/tests/ingress/test_renewals.py
+++ b/tests/ingress/test_renewals.py
@@ -85,7 +85,7 @@
 
     async def start(self):
         self.task = await curio.spawn(self.renewals.run, daemon=True)
-        while not self.renewals.merged:
+        while not self.renewals.predecessors_charged:
             await curio.sleep(0.005)
 
     async def served(self, tokens):
@@ -333,7 +333,7 @@
         processes = []
         for index in range(count):
             one = Process(platform, name=str(index), place=0)
-            one.group = one.renewals._group = SharedGroup(processes, index)
+            one.group = one.renewals._peers = SharedGroup(processes, index)
             processes.append(one)
         tasks = [await curio.spawn(one.start) for one in processes]
         async with curio.timeout_after(PATIENCE):
