--- a/src/ragwortkeel/ingress/budget_keeper.py
+++ b/src/ragwortkeel/ingress/budget_keeper.py
@@ -1,7 +1,7 @@
-"""Reserves and settles the tokens of requests, from slices, renewals and loans.
+"""Reservation and settlement of requests' tokens, from slices, renewals and loans.
 
-A request that lacks tokens asks for a renewal, waits a moment for what the platform
-or a peer gives, and is refused at once when neither can.
+A request that lacks tokens requests a renewal and waits for tokens from the platform or
+a peer.  It is refused once neither can provide them.
 """
 
 from collections.abc import Awaitable, Callable
@@ -20,29 +20,35 @@
 from ragwortkeel.platform import Platform
 
 RENEWAL_WAIT_SECONDS = 0.7
-"""How long a request waits for tokens that the platform may give: it answers in
-4 ms, on slow days in 250.  Where all processes are cut off from it, the writer finds
-out after 0.25 s, who handed over to it after 0.2 s more, and then peers carry the
-calls; a refusal would bring the caller back later than that, and only once."""
+"""How long a request waits at least for a renewal.
+
+The platform answers in 4 ms, or in 250 ms while it is slow.  When all processes are
+disconnected from it, the writer detects that after 0.25 s and the processes that
+delegated to it 0.2 s later; then relays carry the calls.  After a refusal the caller
+would retry later than that, and only once.
+"""
 
 RENEWAL_WAIT_FRACTION = 0.2
-"""Of the time that a caller has left, if that is longer: with a slow platform behind a
-cut a renewal takes a second and more, and a caller with ten is better served late than
-sent away."""
+"""Fraction of the caller's remaining time that a request waits, if that is longer.
+
+Through a relay to a slow platform a renewal takes 1 s and more; a caller with 10 s
+left is better served late than refused.
+"""
 
 LOAN_WAIT_SECONDS = 0.06
-"""How long it waits for a loan: peers answer in 2 ms, and whoever has tokens
-answers at once."""
+"""How long a request waits for a loan.  Peers with tokens answer within 2 ms."""
 
 RECALL_WAIT_SECONDS = 0.12
-"""How long it waits for tokens that a peer gives back to the ledger: two renewals,
-15 ms each, and a second try of both."""
+"""How long a request waits for tokens that a peer returns to the ledger.
+
+That takes two renewals of 15 ms each, and a second attempt at both.
+"""
 
 SETTLING_SECONDS = 0.7
-"""In which a good part of the running requests end and settle: most take 0.1 to 2 s."""
+"""Time until many of the running requests are settled: most take 0.1 to 2 s."""
 
 MAX_LEDGER_AGE_SECONDS = 2.5
-"""A ledger read so lately tells what is left of a budget."""
+"""Greatest age of a ledger that still decides whether a budget is exhausted."""
 
 
 class BudgetKeeper:
@@ -51,13 +57,13 @@
     Parameters
     ----------
     platform : Platform
-        Where the ledgers lie.
+        Stores the ledgers.
     ask_peers : callable
-        Asks the other processes for a loan of tokens for a customer.
+        Requests a loan of tokens for a customer from peers.
     group : Group
         The processes that write renewals for each other.
     clocks : callable
-        Returns a reading of all clocks, with what the fleet knows of the time.
+        Returns a reading of all clocks, with the bounds of fleet time.
     """
 
     def __init__(
@@ -76,15 +82,15 @@
         self._ask_peers = ask_peers
 
     def configure(self, table: RoutingTable) -> None:
-        """Take over the budgets of a configuration at the next renewal."""
+        """Set the configuration whose budgets the next renewal applies."""
         self.renewals.configure(table)
 
     async def reserve(
         self, customer: Customer, tokens: int, *, seconds_left: float = 0.0
     ) -> Hold | None:
-        """Set tokens aside, or return None where they are not to be had now.
+        """Reserve tokens, or return None if they are not available in time.
 
-        `seconds_left` is how long the caller waits for its whole answer.
+        `seconds_left` is the time until the caller's deadline.
         """
         account = self.allowances.account(customer.name)
         self.allowances.asked(customer.name, tokens, monotonic())
@@ -98,11 +104,11 @@
         return hold
 
     def settle(self, hold: Hold, *, spent: int) -> None:
-        """Replace what was set aside by what the request took."""
+        """Replace a reservation by the tokens that the request spent."""
         self.allowances.account(hold.customer).settle(hold, spent=spent)
 
     def is_exhausted(self, customer: Customer, tokens: int) -> bool:
-        """Whether the budget surely can't cover a request of this size."""
+        """Return whether the budget certainly can't cover a request of this size."""
         account = self.allowances.account(customer.name)
         if monotonic() - account.read_at > MAX_LEDGER_AGE_SECONDS:
             return False
@@ -110,17 +116,17 @@
         return ledger.prepaid - ledger.total_spent < tokens
 
     def seconds_to_tokens(self) -> float:
-        """Return when a caller who lacks tokens may find some, in seconds.
+        """Return the seconds until tokens may be available for a refused caller.
 
-        In an outage that is when the caps begin to grow; else requests that run now
-        give back what they don't take.
+        In an outage that is when the caps begin to grow.  Otherwise running requests
+        return the tokens that they don't spend.
         """
         if not self.renewals.reachable:
             return self.renewals.seconds_to_growth
         return SETTLING_SECONDS
 
     def log_lack(self, request_id: str, customer: Customer, tokens: int) -> None:
-        """Log what a refusal for lack of tokens was decided by."""
+        """Log the figures behind a refusal for lack of tokens."""
         account = self.allowances.account(customer.name)
         age = monotonic() - account.read_at
         log_info(
@@ -144,15 +150,14 @@
         await self.renewals.run()
 
     async def close(self) -> bool:
-        """Give all slices back; a request that is still open is charged at its most."""
+        """Return all slices; a request that is still open is charged its maximum."""
         return await self.renewals.close()
 
     async def lend(self, request: LoanRequest) -> TokenLoan:
-        """Help a peer that lacks tokens.
+        """Return or lend tokens for a peer that lacks them.
 
-        They go back to the ledger while that is reachable.  A loan is stranded
-        with a borrower that dies and fits only into the cap here, so it is for
-        outages.
+        While the ledger is reachable the tokens are returned to it.  A loan is for
+        outages: it is limited by the cap here, and lost if the borrower crashes.
         """
         self.renewals.grow()
         account = self.allowances.account(request.customer)
@@ -175,7 +180,7 @@
         return TokenLoan(customer=request.customer, tokens=tokens)
 
     async def _recall(self, account: Account, tokens: int) -> int:
-        """Give tokens back by a renewal; return how many, 0 if that fails."""
+        """Return tokens to the ledger by a renewal; return how many, 0 on failure."""
         if not tokens:
             return 0
         account.recall(tokens)
@@ -189,7 +194,7 @@
         return tokens
 
     async def borrowed(self, loan: TokenLoan) -> None:
-        """Take in what a peer did for the requests that wait here."""
+        """Receive a peer's loan, or its notice of tokens returned to the ledger."""
         self.allowances.account(loan.customer).borrow(loan.tokens)
         if loan.returned:
             await self.renewals.wake()
@@ -212,10 +217,10 @@
     async def _wait_for_renewal(
         self, account: Account, tokens: int, seconds: float
     ) -> Hold | None:
-        """Wait for tokens; return sooner once the platform has none left.
+        """Wait for tokens of a renewal, at most until the ledger has none left.
 
-        Another request may take the room of a renewal first, so one that still
-        waits asks for the next.
+        Another request may reserve the tokens of a renewal first, so a request that
+        still waits requests another one.
         """
         begun = monotonic()
         deadline = begun + seconds
@@ -240,6 +245,6 @@
     async def _reserve_after_change(
         self, account: Account, tokens: int, until: float
     ) -> Hold | None:
-        """Wait for the next renewal or loan, and try to set the tokens aside."""
+        """Wait for the next renewal or loan, then try to reserve the tokens."""
         await self.renewals.wait_for_change(until)
         return account.reserve(tokens)
--- a/src/ragwortkeel/ingress/fleet_time.py
+++ b/src/ragwortkeel/ingress/fleet_time.py
@@ -1,11 +1,11 @@
-"""The time of day as the whole fleet knows it, between two bounds.
-
-After a loss of power only the time of day tells how long ago a process wrote last,
-and that of one instance may just have been set back or ahead by seconds.  Failure:
-a dead process's spend is bounded too low and its customer gets more than it paid
-for, or, with an allowance for any jump, far too high and callers are refused.  So
-each process asks its peers for their time.  Of more than half of a fleet's clocks
-one at least is right, hence the right time lies between the lowest and the highest.
+"""Fleet time: lower and upper bounds of the time of day, from the peers' clocks.
+
+After a loss of power only the time of day shows how long ago a process wrote last, and
+the clock of one instance may just have been set back or ahead by seconds.  The bound of
+a crashed process's spend would be too low, so that its customer gets more than it paid
+for.  With an allowance for any jump it would be far too high, and callers are refused.
+So each process requests its peers' time of day.  More than half of the clocks of a
+fleet include a right one, hence the right time lies between the lowest and the highest.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 from ragwortkeel.messages import ClockAnswer
 
 MIN_PEERS = 3
-"""Fewer clocks may all be off by the same jump."""
+"""Least number of peers' clocks; fewer may all be wrong by the same jump."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -27,17 +27,16 @@
 
 
 class FleetTime:
-    """What this process knows of its peers' clocks.
+    """The offsets of peers' clocks to the boot clock of this instance.
 
-    A peer's answer is between its question and its arrival by the boot clock here,
-    so one that was delayed, or read late by a process that stood still, only makes
-    the bounds wider.  An old answer stays good: what is kept is the offset to a
-    clock that never jumps.
+    A peer reads its clock between the request and the arrival of its answer here, so an
+    answer that was delayed, or read late by a suspended process, only widens the
+    bounds.  An old answer stays valid: the boot clock never jumps.
 
     Parameters
     ----------
     others : callable
-        Returns how many other processes the fleet has.
+        Returns the number of other processes of the fleet.
 
     Examples
     --------
@@ -51,13 +50,13 @@
         self._offset_by_peer: dict[str, _Offset] = {}
 
     def answered(self, peer: str, answer: ClockAnswer, boot: float) -> None:
-        """Take in a peer's answer that arrived at `boot` by the boot clock."""
+        """Receive a peer's answer that arrived at `boot` seconds of the boot clock."""
         self._offset_by_peer[peer] = _Offset(
             lowest=answer.wall - boot, highest=answer.wall - answer.asked_at
         )
 
     def reading(self) -> Reading:
-        """Return what all clocks show now, with the bounds if they are known."""
+        """Return a reading of all clocks now, with the bounds if they are known."""
         return self.with_bounds(read_clocks())
 
     def with_bounds(self, reading: Reading) -> Reading:
--- a/src/ragwortkeel/ingress/ledger_store.py
+++ b/src/ragwortkeel/ingress/ledger_store.py
@@ -1,8 +1,8 @@
 """The object of the platform that holds all customers' ledgers.
 
-Many processes write it in turn, and each call is paid for.  A read that may be some
-seconds old costs the platform a tenth of one that may not; it nearly always shows the
-newest, and where not, the refusal of the write brings that along.
+Many processes write it, and each call is paid for.  A read that may be some seconds
+stale costs the platform a tenth of one that may not.  It nearly always returns the
+newest version; otherwise the refusal of the following write returns it.
 """
 
 from ragwortkeel.budget.shards import SHARDS_KIND, Shard, decode_shard, encode_shard
@@ -15,7 +15,7 @@
 from ragwortkeel.platform import Platform, Stored
 
 SHARD_NAME = "shard-0"
-"""One object holds a few hundred customers' ledgers in under a megabyte."""
+"""Name of the object: it holds a few hundred customers' ledgers in under 1 MB."""
 
 
 class LedgerStore:
@@ -23,11 +23,11 @@
 
     Attributes
     ----------
-    outran : bool
-        Whether the ledgers read last are of a later version than each write so far
-        named: one that is still on its way will be refused.
+    writes_superseded : bool
+        Whether the ledgers read last are of a later version than any that an own write
+        was conditional on: a write that is still in transit will be refused.
     in_doubt : bool
-        Whether a write may have been done, or may still be.
+        Whether a write with an unknown outcome may have succeeded or may still.
     """
 
     def __init__(self, *, platform: Platform) -> None:
@@ -41,18 +41,19 @@
         self._newest_version_tried = 0
 
     def discard_conflict(self) -> None:
-        """Drop what a refused write brought along, which is old after a while.
+        """Discard the ledgers that came with a refused write.
 
-        A process that others write for may not read for minutes; with ledgers of so
-        long ago each write of it is refused.
+        A process whose peers write for it may not read for minutes.  A write that
+        started from ledgers of that age would be refused.
         """
         self._conflicting = None
 
     async def read(self, *, stale: bool = True, use_own_write: bool = False) -> Shard:
-        """Return the ledgers, the newest known or, without `stale`, the newest.
+        """Return the ledgers, possibly outdated ones if `stale` is true.
 
-        With `trusts_own` they are those of the own last write, without a call: for a
-        process that writes for all others, so that nobody else has written since.
+        With `use_own_write` they are those of the last own write, without a call.  That
+        suits a process that writes for all others, so that none of them has written
+        since.
         """
         own_write = (
             self._own_write if use_own_write and self._conflicting is None else None
@@ -69,18 +70,19 @@
         return decode_shard(self._base.value)
 
     async def write(self, shard: Shard) -> None:
-        """Replace the ledgers that were read last.
+        """Replace the ledgers, on the condition that they are those read last.
 
         Raises
         ------
         VersionConflict, AlreadyExists, ObjectNotFound
             Another process wrote first.
         OutcomeUnknown, PlatformUnavailable
-            As `Platform` says.
+            The same as for `Platform.update`.
         """
         value = encode_shard(shard)
         version = self._base.version if self._base is not None else 0
-        # Never back: an earlier write that named a later version may still be done.
+        # It never decreases: an earlier write, conditional on a later version, may
+        # still succeed.
         self._newest_version_tried = max(self._newest_version_tried, version)
         try:
             version = await self._store(value)
--- a/src/ragwortkeel/ingress/load_reports.py
+++ b/src/ragwortkeel/ingress/load_reports.py
@@ -1,9 +1,9 @@
-"""How often peers are sent this process's loads, and how long loads they sent hold.
+"""How often a process reports its loads to peers, and how long a report is valid.
 
-Pattern of load: every process reports to every other.  The reports of one process stay
-at `PEERS_AT_FULL_RATE` each `REPORT_SECONDS` however many peers there are, so with more
-peers each is sent fewer, and a report has to hold for longer.  A process without any
-request has nothing to report, and most of a large fleet's reports would say so.
+Every process reports to every other.  A process sends `PEERS_AT_FULL_RATE` reports each
+`REPORT_SECONDS`, however many peers there are.  With more peers each of them receives
+reports less often, so a report has to be valid for longer.  Processes without any
+request, most of a large fleet, send empty reports only rarely.
 """
 
 from dataclasses import dataclass, replace
@@ -12,28 +12,28 @@
 from ragwortkeel.messages import IngressState
 
 REPORT_SECONDS = 0.2
-"""Between the reports to one group of peers and to the next."""
+"""Interval between the reports to one group of peers and to the next."""
 
 PEERS_AT_FULL_RATE = 8
-"""Peers in a group."""
+"""Number of peers in a group."""
 
 IDLE_REPORT_SECONDS = 5.0
-"""A peer that was sent an empty report is sent the next one after so long."""
+"""Interval between empty reports to a peer."""
 
 MIN_HOLD_SECONDS = 2.0
-"""Of a report in a small fleet: several of its sender's."""
+"""Shortest validity of a report: several report intervals in a small fleet."""
 
 HOLD_ROUNDS = 2.5
-"""A report holds until the second next of its sender should have come."""
+"""Validity of a report in rounds of its sender, so that one report may be lost."""
 
 
 def round_seconds(peers: int) -> float:
-    """Return how long it takes to send a report to so many peers."""
+    """Return the duration of a round of reports to so many peers, in seconds."""
     return REPORT_SECONDS * max(1, ceil(peers / PEERS_AT_FULL_RATE))
 
 
 def hold_seconds(peers: int) -> float:
-    """Return how long a report counts in a fleet where each has so many peers."""
+    """Return how long a report is valid if each process has so many peers."""
     return max(MIN_HOLD_SECONDS, HOLD_ROUNDS * round_seconds(peers))
 
 
@@ -46,7 +46,7 @@
 
 
 class LoadReports:
-    """Tells which peers a report is due to.
+    """Decides which peers a report is due for.
 
     Examples
     --------
@@ -62,7 +62,7 @@
         self._idle_report_by_peer: dict[str, _IdleReport] = {}
 
     def due(self, peer: str, state: IngressState, now: float) -> bool:
-        """Whether to send the report at this second; it then counts as sent."""
+        """Return whether to send the report now; a due one is recorded as sent."""
         if _has_content(state):
             self._idle_report_by_peer.pop(peer, None)
             return True
@@ -80,7 +80,7 @@
         return True
 
     def forget(self, peer: str) -> None:
-        """Report to a peer anew, however idle: it is heard again."""
+        """Discard the last report to a peer: its link is up again, so report anew."""
         self._idle_report_by_peer.pop(peer, None)
 
 
--- a/src/ragwortkeel/ingress/relaying.py
+++ b/src/ragwortkeel/ingress/relaying.py
@@ -1,13 +1,14 @@
-"""A way to the platform round a cut: calls that a peer makes for this process.
+"""Calls of the platform through a peer, while this process can't reach it.
 
-Failure: some or all ingress instances lose the platform while others, or the
-small instances beside the upstreams, still reach it.  Budgets then can't be
-renewed, changes are not heard, and callers are refused for the length of the cut.
+In a partition some or all ingress instances are disconnected from the platform while
+others, or the small instances beside the upstreams, still reach it.  Without relayed
+calls budgets could not be renewed, changes would not be received, and callers would be
+refused until the partition ends.
 
-A call goes straight while that works.  Once it fails, calls go through a peer
-until a look shows that the straight way is back.  A relayed call has the same
-outcomes as a straight one; in particular a write whose answer is lost on either
-leg is an `OutcomeUnknown`.
+Calls are direct as long as that works.  After a failure they go through a peer, until a
+probe shows that the platform is reachable again.  A relayed call has the same outcomes
+as a direct one; in particular a write whose answer is lost, between the platform and
+the peer or between the peer and this process, raises `OutcomeUnknown`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -38,18 +39,20 @@
 from ragwortkeel.platform import Change, Changes, Instance, Listing, Platform, Stored
 
 ANSWER_TIMEOUT_SECONDS = 0.9
-"""For a relayed call beside its own wait: the relay's call of the platform times
-out after 0.6 s, and the way there and back takes a few milliseconds."""
+"""Timeout of a relayed call, in addition to the call's own wait.
+
+The relay's call of the platform times out after 0.6 s, and the transmission takes a few
+milliseconds.
+"""
 
 PROBE_SECONDS = 1.0
-"""How often the straight way is looked at while it is gone; a call that is paid
-for each time."""
+"""Interval of probes while direct calls fail; each one is a call that is paid for."""
 
 AVOID_SECONDS = 2.0
-"""A relay that does not reach the platform itself is left alone for so long."""
+"""How long a relay that can't reach the platform is not used."""
 
 MAX_RELAYS_TRIED = 2
-"""For one call; when two don't reach the platform, it is likely down for all."""
+"""Limit for one call: if two can't reach the platform, it is probably down."""
 
 _ERROR_BY_CLASS: dict[type[ClientError], PlatformError] = {
     PlatformUnavailable: PlatformError.UNAVAILABLE,
@@ -66,23 +69,23 @@
 
 
 class Relay(Protocol):
-    """A link to a peer, as far as relaying needs it."""
+    """A link to a peer that may relay calls."""
 
     name: str
 
     async def send(self, message: PlatformCall) -> None:
-        """Send a message; `LinkLost` where that is not possible."""
+        """Send a call; raise `LinkLost` if that is not possible."""
 
 
 class RelayedPlatform:
-    """A `Platform` that goes straight, or through a peer where that fails.
+    """A `Platform` whose calls are direct, or through a peer when those fail.
 
     Parameters
     ----------
     direct : Platform
-        The straight way.
+        The platform, called directly.
     relays : callable
-        Returns the links to peers that may relay, the best first.
+        Returns the links to peers that may relay, in order of preference.
     """
 
     def __init__(self, *, direct: Platform, relays: Callable[[], list[Relay]]) -> None:
@@ -96,7 +99,7 @@
         self._probe_at = 0.0
 
     async def get(self, kind: str, name: str, *, stale: bool = False) -> Stored | None:
-        """Return the object, or None where there is none; stale only straight."""
+        """Return the object, None if there is none; only a direct call may be stale."""
         answer = await self._call(
             lambda: _get(self._direct, kind, name, stale=stale),
             operation=PlatformOperation.GET,
@@ -117,7 +120,7 @@
         return Listing(by_name=by_name, revision=answer.version)
 
     async def create(self, kind: str, name: str, value: bytes) -> int:
-        """Create the object and return its version; else `AlreadyExists`."""
+        """Create the object and return its version, or raise `AlreadyExists`."""
         answer = await self._call(
             lambda: _create(self._direct, kind, name, value),
             operation=PlatformOperation.CREATE,
@@ -128,7 +131,7 @@
         return answer.version
 
     async def update(self, kind: str, name: str, value: bytes, version: int) -> int:
-        """Replace the object at `version`; else `VersionConflict`."""
+        """Replace the object at `version`, or raise `VersionConflict`."""
         answer = await self._call(
             lambda: _update(self._direct, kind, name, value, version),
             operation=PlatformOperation.UPDATE,
@@ -140,7 +143,7 @@
         return answer.version
 
     async def delete(self, kind: str, name: str, version: int) -> None:
-        """Delete the object at `version`, straight only."""
+        """Delete the object at `version`, only by a direct call."""
         await self._direct.delete(kind, name, version)
 
     async def watch(self, kind: str, revision: int, timeout: float) -> Changes:
@@ -156,18 +159,18 @@
         return Changes(changes=changes, revision=answer.version, gap=answer.gap)
 
     async def live(self) -> dict[str, Instance]:
-        """Return the list of instances, straight only."""
+        """Return the list of instances, only by a direct call."""
         return await self._direct.live()
 
     async def answered(self, answer: PlatformAnswer) -> None:
-        """Take in a relay's answer; one that nobody waits for is dropped."""
+        """Receive a relay's answer; drop it if its call has timed out."""
         arrived = self._arrived_by_id.get(answer.call_id)
         if arrived is not None:
             self._answer_by_id[answer.call_id] = answer
             await arrived.set()
 
     async def run(self) -> None:
-        """Look for the straight way while it is gone, until cancelled."""
+        """Probe the platform while direct calls fail, until cancelled."""
         while True:
             await curio.sleep(PROBE_SECONDS)
             if self._direct_failed:
@@ -175,7 +178,7 @@
 
     async def _probe_direct(self) -> None:
         try:
-            # Any answer will do; there is no such object.
+            # Any answer shows that the platform is reachable; no such object exists.
             await self._direct.get("looks", "look")
         except PlatformUnavailable:
             return
@@ -189,8 +192,8 @@
             try:
                 return await direct()
             except OutcomeUnknown as exc:
-                # A write without an answer is mostly a cut.  Whoever repeats it looks
-                # first, and that look would hang as long as the write did.
+                # A write without an answer mostly indicates a partition.  The caller
+                # reads before it repeats the write, and a direct read would hang too.
                 self._record_direct_failure(str(exc))
                 raise
             except PlatformUnavailable as exc:
@@ -218,10 +221,10 @@
             if answer.error is not PlatformError.UNAVAILABLE:
                 return _raise_error(answer)
             self._avoided_until[relay.name] = monotonic() + AVOID_SECONDS
-        raise PlatformUnavailable("neither straight nor through a peer")
+        raise PlatformUnavailable("platform unreachable directly and through peers")
 
     async def _call_through(self, relay: Relay, call: PlatformCall) -> PlatformAnswer:
-        """Return the relay's answer, or the outcome that its silence leaves."""
+        """Return the relay's answer, or the error that its absence implies."""
         arrived = self._arrived_by_id[call.call_id] = curio.Event()
         try:
             await relay.send(call)
@@ -240,7 +243,7 @@
 
 
 async def carry_out(platform: Platform, call: PlatformCall) -> PlatformAnswer:
-    """Make a peer's call and return its answer; never raises a platform error."""
+    """Execute a peer's call and return its answer, also for platform errors."""
     try:
         answer = await _execute(platform, call)
     except VersionConflict as exc:
@@ -322,7 +325,7 @@
 
 
 def versioned_change(kind: str, change: Change) -> VersionedObject:
-    """Return a change as it goes over a link."""
+    """Return a change as the object that is sent over a link."""
     if change.stored is not None:
         return _encode_stored(change.stored)
     return VersionedObject(
@@ -337,7 +340,7 @@
 
 
 def change_of(found: VersionedObject) -> Change:
-    """Return the change that came over a link."""
+    """Return the change that an object received over a link stands for."""
     return Change(
         name=found.name,
         version=found.version,
@@ -352,8 +355,8 @@
 def _raise_error(answer: PlatformAnswer) -> PlatformAnswer:
     if answer.error is PlatformError.CONFLICT:
         current = _decode_stored(answer.objects[0]) if answer.objects else None
-        raise VersionConflict("through a peer", current=current)
+        raise VersionConflict("platform call through a peer", current=current)
     cls = _CLASS_BY_ERROR.get(answer.error)
     if cls is not None:
-        raise cls("through a peer")
+        raise cls("platform call through a peer")
     return answer
--- a/src/ragwortkeel/ingress/renewals.py
+++ b/src/ragwortkeel/ingress/renewals.py
@@ -1,12 +1,13 @@
-"""Renews all customers' slices: one write of the ledgers for many processes.
+"""Renewal of all customers' slices; one write of the ledgers serves many processes.
 
-`budget.turns` says who writes when.  Whoever does asks its peers for what they have
-to tell and takes it along; a peer whose callers wait for tokens hands its renewals
-over unasked.  A peer that gets no answer in time writes by itself.
+`budget.write_order` decides which process writes next.  The first writer requests the
+renewals of its peers and writes them together with its own.  A process whose callers
+wait for tokens delegates its renewals without such a request.  A process that receives
+no outcome in time writes by itself.
 
-What makes that safe is the condition of each write, as ever, and `budget.handing`: a
-message that was held up is void once its sender has written anything later.  Until a
-process knows that, it takes back nothing that it has handed over.
+Each write is conditional on the version of the ledgers that was read.  A delayed
+message with delegated renewals is void once its sender has written anything later, see
+`budget.delegation`.  Until a process knows that, it withdraws no delegated renewal.
 """
 
 from collections.abc import Callable
@@ -52,104 +53,120 @@
 from ragwortkeel.policy.timeouts import AnswerTimeout
 
 RETRY_SECONDS = 0.4
-"""Pause after a failed call: each call is paid for, also in an outage."""
+"""Backoff after a failed call: each call is paid for, also in an outage."""
 
 GATHER_SECONDS = 0.03
-"""How long peers have to answer a call for renewals: 3 ms between availability zones,
-and some processor time.  Who is later is renewed by the next write."""
+"""How long a writer waits for the renewals that it has requested.
+
+Between availability zones a message takes 3 ms, plus processor time.  Renewals that
+arrive later are part of the next write.
+"""
 
 BATCH_SECONDS = 0.02
-"""How long a write for waiting callers lets more of them join it.  Most requests are
-larger than the room that a cap keeps, so with a write each the calls of the platform
-would grow with the requests; against their objectives of 0.3 s and more it is
-little."""
+"""How long a write for waiting callers is delayed to include more of them.
+
+Most requests exceed the headroom that a cap leaves, so with one write for each, the
+calls of the platform would grow with the requests.  The delay is short against the
+callers' latency objectives of 0.3 s and more.
+"""
 
 MAX_DELEGATION_SECONDS = 1.0
-"""How long callers' waiting tokens are left to the process that writes for all, at the
-most; less while its answers are quick, see `policy.timeouts`."""
+"""Longest wait for the outcome of renewals that were delegated for waiting callers.
+
+The wait is shorter while outcomes arrive fast, see `policy.timeouts`.
+"""
 
 INITIAL_DELEGATION_SECONDS = 0.04
-"""What the first answers are taken to need: a batch, a write and the way."""
+"""Assumed time until the first outcome: a batch, a write and the transmission."""
 
 RANK_DELAY_FRACTION = 0.6
-"""Of the wait for an answer, by which each further process of the order stands in
-later."""
+"""Extra delay of each further process of the write order before it writes.
+
+It is a fraction of the current wait for an outcome.
+"""
 
 IDLE_RENEWAL_SECONDS = 2.0
-"""A process with nothing to renew is written for so often."""
+"""How often the stamp of a process with nothing to renew is written."""
 
 START_PEER_WAIT_SECONDS = 0.3
-"""How long a start waits for its peers before it writes by itself."""
+"""How long a process waits for its peers after its start before it writes."""
 
 DELEGATION_RETRY_SECONDS = 0.1
-"""How often a process that nobody answered tries again to hand its renewals over."""
+"""Wait before the next attempt, after renewals could not be sent to a writer."""
 
 WRITE_MEAN_WEIGHT = 0.3
-"""Of the newest write in the mean time of a write: a link that has become slow shows
-after three."""
+"""Weight of the newest write in the moving mean of the writes' durations.
+
+A link that has become slow shows after three writes.
+"""
 
 MAX_WRITE_SECONDS = 1.0
-"""A write counts for so long at the most; a longer one was an outage."""
+"""Upper bound of one write's duration in the mean; a longer one is an outage."""
 
 GRANT_RETRY_SECONDS = 0.05
-"""Pause between writes while a customer has no grant here: callers may wait."""
+"""Interval of writes while a customer has no grant here: callers may wait."""
 
 MAX_WRITE_ATTEMPTS = 8
-"""Of one write, while others come first; then it pauses, for a random time."""
+"""Attempts in a row while other processes write first; a random backoff follows."""
 
 MAX_ATTEMPTS_WITH_OTHER_WRITER = 2
-"""The same where a peer could write for this process: a refusal shows that one does,
-and a slow process that goes on trying is outrun for seconds."""
+"""Attempts in a row where a peer could write for this process.
+
+A refused write shows that a peer is writing, and the attempts of a slow process could
+be refused for seconds.
+"""
 
 START_CLOCK_WAIT_SECONDS = 1.5
-"""How long a start after a loss of power waits for the clocks of its peers, which
-may start at the same time: it takes them a second.  Without them up to three
-seconds of demand are charged for nothing."""
+"""How long a process waits for its peers' clocks after a loss of power.
+
+Peers that start at the same time need about 1 s.  Without their clocks up to 3 s of
+demand that was never spent are charged.
+"""
 
 _CONFLICTS = (VersionConflict, AlreadyExists, ObjectNotFound)
 
 
 class Group(Protocol):
-    """The other processes that renew slices in the same ledgers."""
+    """The peers that renew slices in the same ledgers."""
 
     def place(self) -> int:
-        """Return how many of those that are heard come before this one."""
+        """Return how many reachable peers precede this process in the write order."""
 
     def processes(self) -> int:
-        """Return how many there are, heard now or not, this one included."""
+        """Return the number of processes, reachable or not, including this one."""
 
     async def call_renewals(self) -> int:
-        """Ask all for their renewals; return how many were asked."""
+        """Request the renewals of all peers; return the number of requests."""
 
     async def hand_over(self, delegated: HandedRenewals) -> str | None:
-        """Send renewals to the first of all; return to whom, None if not sent."""
+        """Send renewals to the first writer; return its address, None if not sent."""
 
     async def responds(self, address: str) -> bool:
-        """Whether a process lives."""
+        """Return whether a process is live."""
 
     def avoid(self, address: str) -> None:
-        """Hand nothing more to a process for a while: it did not write."""
+        """Delegate nothing to a process for a while, because it did not write."""
 
     async def answer(self, holder: str, answer: RenewalsWritten) -> None:
-        """Tell a process what became of its renewals."""
+        """Send a process the outcome of the renewals that it delegated."""
 
 
 class Renewals:
-    """Keeps the slices of one process renewed, by its own or by peers' writes.
+    """Renews the slices of one process, by its own writes or those of peers.
 
     Parameters
     ----------
     platform : Platform
-        Where the ledgers lie.
+        Stores the ledgers.
     clocks : callable
-        Returns a reading of all clocks, with what the fleet knows of the time.
+        Returns a reading of all clocks, with the bounds of fleet time.
 
     Attributes
     ----------
     reachable : bool
-        Whether the last try to renew came to an end in the ledgers.
+        Whether the last renewal with a known outcome reached the ledgers.
     read_at : float
-        Monotonic second at which the ledgers known here were read.
+        Monotonic second at which the newest ledgers known here were read.
     merged : bool
         Whether earlier starts of this process have been charged.
     """
@@ -194,29 +211,29 @@
 
     @property
     def writing_step(self) -> int:
-        """How slowly this process writes, for the order of all."""
+        """How slowly this process writes, which determines the write order."""
         return step_of(self._mean_write_seconds, reachable=self.reachable)
 
     def configure(self, table: RoutingTable) -> None:
-        """Take over the budgets of a configuration at the next renewal."""
+        """Set the configuration whose budgets the next renewal applies."""
         self._table = table
 
     def grow(self) -> None:
-        """Let the caps grow with the time since the last try to write."""
+        """Grow the caps by the time since the last attempt that may have succeeded."""
         latest = self._tries.latest
         if latest is not None:
             self._allowances.grow(self._clocks().surely_since(latest))
 
     @property
     def seconds_to_growth(self) -> float:
-        """Seconds until the caps begin to grow, if no renewal comes before."""
+        """Seconds until the caps begin to grow, if no renewal succeeds before."""
         latest = self._tries.latest
         if latest is None:
             return 0.0
         return max(0.0, GROWTH_DELAY_SECONDS - self._clocks().surely_since(latest))
 
     async def wake(self) -> None:
-        """Renew now: callers wait for tokens."""
+        """Request a renewal now, because callers wait for tokens."""
         await self._write_requested.set()
 
     async def wait_for_change(self, until: float) -> None:
@@ -226,7 +243,7 @@
             await self._changed.wait()
 
     async def changed(self) -> None:
-        """Let requests that wait look again."""
+        """Wake the requests that wait for tokens."""
         await self._changed.set()
 
     async def run(self) -> None:
@@ -241,10 +258,10 @@
                     if urgent:
                         await self._write_requested.set()
                     continue
-            await self._write_for_all(calls=not urgent)
+            await self._write_for_all(requests_renewals=not urgent)
 
     async def close(self) -> bool:
-        """Give all slices back; a request that is still open is charged at its most."""
+        """Return all slices; a request that is still open is charged its maximum."""
         self._closing = True
         self._allowances.cut_open()
         for refusals in range(MAX_WRITE_ATTEMPTS):
@@ -255,19 +272,19 @@
             except VersionConflict:
                 await curio.sleep(pause_after_refusals(refusals, self._random))
             except (PlatformUnavailable, OutcomeUnknown) as exc:
-                # What was held stays charged, which is safe; only less is left.
+                # The unspent tokens stay charged: that is safe, but fewer are left.
                 log_warning("slices_not_returned", error=str(exc))
                 return False
             else:
                 log_info("slices_returned", holder=self._allowances.holder)
                 return True
-        log_warning("slices_not_returned", error="others kept writing first")
+        log_warning("slices_not_returned", error="other processes wrote first")
         return False
 
-    # What peers ask and hand over.
+    # Messages of peers.
 
     def called(self) -> HandedRenewals | None:
-        """Return what a peer that is about to write should take along."""
+        """Return the renewals for a peer that is about to write, None for none."""
         if not self._may_delegate():
             return None
         reading = self._clocks()
@@ -280,7 +297,7 @@
         return delegated
 
     async def heard(self, delegated: HandedRenewals) -> None:
-        """Take in a peer's renewals for the next write."""
+        """Receive a peer's renewals for the next write."""
         if not self.reachable and monotonic() < self._backoff_until:
             answer = not_done(delegated, WriteOutcome.UNREACHABLE)
             await self._peers.answer(delegated.holder, answer)
@@ -292,19 +309,21 @@
             await self._write_requested.set()
 
     async def written(self, answer: RenewalsWritten) -> None:
-        """Take in what became of renewals that were handed over."""
+        """Receive the outcome of delegated renewals."""
         match answer.outcome:
             case WriteOutcome.UNKNOWN:
                 return
             case WriteOutcome.NOT_DONE:
                 self._tries.failed(answer.boot)
                 self._withdraw_renewals()
-                # A start may be void for what it has not seen of other starts.
+                # A `Start` that lacks another start of this process is void.
                 self._start_shard = None
             case WriteOutcome.UNREACHABLE:
                 self._tries.failed(answer.boot)
                 self._withdraw_renewals()
-                self._set_reachable(False, "said a peer that writes for this one")
+                self._set_reachable(
+                    False, "reported by the peer that writes for this process"
+                )
                 self._backoff_until = monotonic() + RETRY_SECONDS
             case WriteOutcome.DONE:
                 self._apply_outcome(answer)
@@ -312,13 +331,13 @@
 
     def _apply_outcome(self, answer: RenewalsWritten) -> None:
         now = monotonic()
-        delegated = self._tries.handed(answer.boot)
-        if delegated is not None:
-            self._allowances.renewed_after(now - delegated.monotonic)
-            self.read_at = delegated.monotonic
+        reading = self._tries.handed(answer.boot)
+        if reading is not None:
+            self._allowances.renewed_after(now - reading.monotonic)
+            self.read_at = reading.monotonic
         self._allowances.written(answer)
-        if delegated is not None:
-            self._allowances.note_read(answer.summary_by_customer, delegated.monotonic)
+        if reading is not None:
+            self._allowances.note_read(answer.summary_by_customer, reading.monotonic)
         if not self.predecessors_charged and answer.boot in self._start_boots:
             self.predecessors_charged = True
             self._log_predecessors(self._start_shard)
@@ -336,12 +355,12 @@
         return self._table.configuration.revision if self._table else 0
 
     def _may_delegate(self) -> bool:
-        """Whether a write by a peer does all that one by this process would."""
+        """Return whether a peer's write would renew all that an own write would."""
         if self._table is None or self._closing:
             return False
         if self.predecessors_charged:
             return True
-        # A start has to have seen the ledgers, and to know the time if it may.
+        # After a start the ledgers have to be read first, and the fleet time awaited.
         return self._start_shard is not None and self._may_charge_predecessors(
             self._start_shard, self._clocks()
         )
@@ -350,19 +369,19 @@
         now = monotonic()
         if self._table is None or self._closing:
             return RETRY_SECONDS
-        pause = TICK_SECONDS
+        interval = TICK_SECONDS
         if self._may_delegate():
-            step = RANK_DELAY_FRACTION * self._delegation_timeout.seconds
-            pause = patience(self._peers.place(), step_seconds=step)
+            delay = RANK_DELAY_FRACTION * self._delegation_timeout.seconds
+            interval = patience(self._peers.place(), step_seconds=delay)
         elif self._awaits_peers(now):
             return min(GRANT_RETRY_SECONDS, self._peers_awaited_until - now)
         elif self._allowances.lacks_grants(_prepaid_by_customer(self._table)):
-            pause = GRANT_RETRY_SECONDS
+            interval = GRANT_RETRY_SECONDS
         renewed_at = max(self._renewed_at, self._collected_at)
-        return max(renewed_at + pause, self._backoff_until) - now
+        return max(renewed_at + interval, self._backoff_until) - now
 
     def _awaits_peers(self, now: float) -> bool:
-        """Whether this process has just started and may soon hear its peers."""
+        """Return whether to wait for the first links to peers after the start."""
         no_peer_reachable = not self._peers.place() and self._peers.processes() > 1
         return (
             not self.predecessors_charged
@@ -371,7 +390,7 @@
         )
 
     async def _wait_until_due(self) -> bool:
-        """Wait until this process has to write; return whether callers wait."""
+        """Wait until a write is due; return whether callers wait for it."""
         while (seconds := self._seconds_until_due()) > 0:
             async with curio.ignore_after(seconds):
                 await self._write_requested.wait()
@@ -383,7 +402,7 @@
         self._write_requested.clear()
         return urgent
 
-    # Handing over.
+    # Delegation.
 
     def _delegated_renewals(self, reading: Reading, *, urgent: bool) -> HandedRenewals:
         start = None
@@ -393,14 +412,14 @@
         return self._allowances.handed(reading, urgent=urgent, start=start)
 
     def _has_preferred_writer(self) -> bool:
-        """Whether another process is to write for this one.
+        """Return whether another process is to write for this one.
 
-        Not where peers have handed their renewals over to this process.
+        That is never the case while peers have delegated their renewals to this one.
         """
         return not self._delegated_by_holder and self._peers.place() > 0
 
     async def _try_delegation(self) -> WriteOutcome:
-        """Let the first of all write; return what became of it."""
+        """Delegate to the first writer as soon as possible; return the outcome."""
         if (
             not self.predecessors_charged
             and self._start_shard is None
@@ -420,7 +439,7 @@
         return self._fallback.may_write(processes=processes, now=monotonic())
 
     async def _read_ledgers(self) -> bool:
-        """Read the ledgers, which a start has to know; return whether it could."""
+        """Read the ledgers after a start; return whether that succeeded."""
         try:
             self._start_shard = await self._ledgers.read(stale=False)
         except PlatformUnavailable as exc:
@@ -435,7 +454,7 @@
         return True
 
     async def _delegate(self) -> WriteOutcome:
-        """Let the first of all write; return what became of it, if it answered."""
+        """Delegate to the first writer; return the outcome, if it arrives in time."""
         reading = self._clocks()
         delegated = self._delegated_renewals(reading, urgent=True)
         self._tries.begin(reading, handed=True)
@@ -445,44 +464,44 @@
             self._tries.failed(boot)
             await curio.sleep(DELEGATION_RETRY_SECONDS)
             return WriteOutcome.UNKNOWN
-        patience = self._delegation_timeout.seconds
-        answered = await self._wait_for_outcome(boot, begun + patience)
+        wait_seconds = self._delegation_timeout.seconds
+        answered = await self._wait_for_outcome(boot, begun + wait_seconds)
         if not answered and await self._peers.responds(writer):
-            # It writes, and the platform or the way there is slow.  Another process
-            # would be no quicker, and its write would void this one's.
-            patience = MAX_DELEGATION_SECONDS
-            answered = await self._wait_for_outcome(boot, begun + patience)
+            # The writer is live, so the platform or the link to it is slow.  A write by
+            # another process would be as slow, and it would void the running one.
+            wait_seconds = MAX_DELEGATION_SECONDS
+            answered = await self._wait_for_outcome(boot, begun + wait_seconds)
         if answered:
             self._delegation_timeout.answered(monotonic() - begun)
             return WriteOutcome.DONE
-        log_info("renewals_unanswered", writer=writer, seconds=round(patience, 3))
+        log_info("renewals_unanswered", writer=writer, seconds=round(wait_seconds, 3))
         self._delegation_timeout.timed_out()
         self._peers.avoid(writer)
         return WriteOutcome.UNKNOWN
 
     async def _wait_for_outcome(self, boot: float, until: float) -> bool:
-        """Wait for the answer to a hand-over, at most until a monotonic second."""
+        """Wait for the outcome of a delegation, at most until a monotonic second."""
         while self._tries.handed(boot) and monotonic() < until:
             await self.wait_for_change(until)
         return not self._tries.handed(boot)
 
     def _withdraw_renewals(self) -> None:
-        """Take back what certainly was not written and never will be.
+        """Withdraw the renewals that certainly were and will be written by nobody.
 
-        Tokens on their way back are still here then: callers need them in an outage.
-        A peer's answer may come while a write of this process is on its way with the
-        same renewals; what that gives back would be spent here as well.
+        The tokens that they would return are usable again: callers need them in an
+        outage.  Nothing is withdrawn while an own write with the same renewals may
+        still succeed: the tokens that it returns would be spent here as well.
         """
         if not self._ledgers.in_doubt and not self._tries.any_open:
             self._allowances.withdraw()
 
     # Writing.
 
-    async def _write_for_all(self, *, calls: bool) -> None:
+    async def _write_for_all(self, *, requests_renewals: bool) -> None:
         begun = monotonic()
-        if calls and self.reachable and self._may_delegate():
+        if requests_renewals and self.reachable and self._may_delegate():
             await self._gather_renewals()
-        elif not calls:
+        elif not requests_renewals:
             await curio.sleep(BATCH_SECONDS)
             self._write_requested.clear()
         delegated_by_holder, self._delegated_by_holder = self._delegated_by_holder, {}
@@ -497,9 +516,10 @@
         )
         if outcome is WriteOutcome.DONE:
             self._allowances.renewed_after(seconds)
-        if outcome is WriteOutcome.DONE and calls:
-            # Writes for waiting callers don't put off the one for all, and its own
-            # time counts as pause: others write where it comes later than theirs.
+        if outcome is WriteOutcome.DONE and requests_renewals:
+            # A write for waiting callers doesn't delay the next regular one.  The
+            # interval includes the write's own duration: with a longer one the next
+            # processes of the write order would write first.
             self._renewed_at = begun
         await self._changed.set()
         await self._report_outcomes(outcome, shard, delegated_by_holder, refused)
@@ -519,17 +539,21 @@
         delegated_by_holder: dict[str, HandedRenewals],
         refused: set[str],
     ) -> None:
-        done = outcome is WriteOutcome.DONE
-        summaries = {}
-        if done:
-            written = delegated_by_holder.values()
-            names = {name for one in written for name in customers_seen_by(one, shard)}
-            summaries = shard.summaries(names)
+        succeeded = outcome is WriteOutcome.DONE
+        summary_by_customer = {}
+        if succeeded:
+            all_renewals = delegated_by_holder.values()
+            names = {
+                name
+                for peer_renewals in all_renewals
+                for name in customers_seen_by(peer_renewals, shard)
+            }
+            summary_by_customer = shard.summaries(names)
         for holder, delegated in delegated_by_holder.items():
             if holder in refused:
                 answer = not_done(delegated, WriteOutcome.NOT_DONE)
-            elif done:
-                answer = answered(shard, delegated, summaries)
+            elif succeeded:
+                answer = answered(shard, delegated, summary_by_customer)
             else:
                 answer = not_done(delegated, outcome)
             await self._peers.answer(holder, answer)
@@ -537,7 +561,7 @@
     async def _try_write(
         self, delegated_by_holder: dict[str, HandedRenewals]
     ) -> tuple[WriteOutcome, Shard, set[str]]:
-        """Write; return the outcome, the ledgers and whose renewals are void."""
+        """Write; return the outcome, the ledgers and the holders that were refused."""
         try:
             shard, refused = await self._write_with_retries(delegated_by_holder)
         except PlatformUnavailable as exc:
@@ -546,15 +570,15 @@
             self._backoff_until = monotonic() + RETRY_SECONDS
             return WriteOutcome.UNREACHABLE, Shard(), set()
         except OutcomeUnknown as exc:
-            # The ledger itself tells what holds, so look again at once.
+            # The ledgers show whether the write took effect: read them at once.
             log_info("renewal_repeated", error=repr(exc))
             await self._write_requested.set()
             return WriteOutcome.UNKNOWN, Shard(), set()
         except _CONFLICTS as exc:
             self._wrote_newest = False
             log_info("renewal_repeated", error=repr(exc), refusals=self._refusals)
-            pause = pause_after_refusals(self._refusals, self._random)
-            self._backoff_until = monotonic() + pause
+            backoff = pause_after_refusals(self._refusals, self._random)
+            self._backoff_until = monotonic() + backoff
             return WriteOutcome.NOT_DONE, Shard(), set()
         except (LedgerError, RouterSealed) as exc:
             log_error("renewal_failed", error=repr(exc))
@@ -566,17 +590,19 @@
     async def _write_with_retries(
         self, delegated_by_holder: dict[str, HandedRenewals]
     ) -> tuple[Shard, set[str]]:
-        """Write, from what each refusal brings along, until nobody comes first.
+        """Write until no other process writes first, at most a few times.
 
-        A refused write means that another was done, so a crowd gets through one by
-        one; a pause here would only make what the refusal brought old.
+        Each attempt starts from the ledgers that came with the previous refusal.  A
+        refusal means that another process's write succeeded, so all processes succeed
+        one after another.  With a backoff in between, the ledgers that came with the
+        refusal would be outdated.
         """
         self._ledgers.discard_conflict()
         has_other_writer = self._may_delegate() and self._peers.place() > 0
-        tries = (
+        attempts = (
             MAX_ATTEMPTS_WITH_OTHER_WRITER if has_other_writer else MAX_WRITE_ATTEMPTS
         )
-        for _ in range(tries - 1):
+        for _ in range(attempts - 1):
             try:
                 return await self._write_once(delegated_by_holder)
             except _CONFLICTS:
@@ -594,14 +620,15 @@
         if self._ledgers.writes_superseded:
             self._tries.own_failed()
             if not self._tries.any_handed:
-                # One made from an older ledger asks for what is no longer there.
+                # Renewals that were made from older ledgers may request tokens that
+                # are no longer left.
                 allowances.withdraw()
         reading = self._clocks()
         renewed = shard.provisioned(_prepaid_by_customer(self._table), self._revision)
         charges = not self.predecessors_charged and self._may_charge_predecessors(
             renewed, reading
         )
-        before = renewed
+        uncharged = renewed
         if charges:
             renewed = allowances.merged(renewed)
         renewed = allowances.renewed(renewed, reading)
@@ -619,7 +646,7 @@
             self._record_write(monotonic() - begun)
         allowances.resolve(renewed)
         if charges:
-            self._log_predecessors(before)
+            self._log_predecessors(uncharged)
         self.predecessors_charged = self.predecessors_charged or charges
         self._tries.done(reading.boot)
         self._wrote_newest = True
@@ -635,7 +662,7 @@
         ) * WRITE_MEAN_WEIGHT
 
     def _may_charge_predecessors(self, shard: Shard, reading: Reading) -> bool:
-        """Whether to charge predecessors now, or wait for the peers' clocks."""
+        """Return whether to charge predecessors now, or to await peers' clocks."""
         self._allowances.know_time(reading)
         return (
             monotonic() >= self._clocks_awaited_until
@@ -643,18 +670,20 @@
         )
 
     def _log_predecessors(self, shard: Shard) -> None:
-        merged = self._allowances.merged(shard)
-        unspent = _unspent(merged)
-        for one in self._allowances.predecessors(shard):
+        charged = self._allowances.merged(shard)
+        unspent = _unspent(charged)
+        for predecessor in self._allowances.predecessors(shard):
             log_info(
                 "predecessor_charged",
-                holder=one.holder,
-                last_write_age=one.age,
-                granted=one.granted,
-                told=one.told,
+                holder=predecessor.holder,
+                last_write_age=predecessor.age,
+                granted=predecessor.granted,
+                told=predecessor.told,
                 unspent_before=_unspent(shard),
                 unspent_after=unspent,
-                prepaid=sum(one.prepaid for one in shard.ledger_by_customer.values()),
+                prepaid=sum(
+                    ledger.prepaid for ledger in shard.ledger_by_customer.values()
+                ),
             )
 
     def _set_reachable(self, reachable: bool, error: str) -> None:
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -1,7 +1,8 @@
-"""The order in which processes write the ledgers, and the messages among them.
+"""The processes that write the ledgers, and the messages between them.
 
-`budget.turns` says what the order is; here is who belongs to it by what is heard, and
-how renewals reach whoever writes.  It is the `Group` of `ingress.renewals`.
+`budget.write_order` defines the order.  This module determines which processes belong
+to it, from the links that are up, and sends renewals to the writer.  `Writers` is the
+`Group` of `ingress.renewals`.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -19,11 +20,13 @@
 )
 
 AVOID_SECONDS = 2.0
-"""How long a process that did not write stays out of the order: by then its link has
-shown whether it is heard."""
+"""How long a process that did not write is left out of the write order.
+
+By then its link is down if the process is unreachable.
+"""
 
 PROBE_SECONDS = 0.1
-"""How long a process has to echo a heartbeat; over a busy link it takes 20 ms."""
+"""How long to wait for the echo of a heartbeat; a busy link takes 20 ms."""
 
 PROBE_CHECK_SECONDS = 0.01
 
@@ -34,17 +37,18 @@
     Parameters
     ----------
     address : str
-        ``ip:port`` of this process, its name in the order.
+        ``ip:port`` of this process, its name in the write order.
     links : callable
-        Returns the links that are up to the others, by address.
+        Returns the links to peers that are up, by address.
     processes : callable
-        Returns how many processes renew slices, heard now or not, this one included.
+        Returns the number of processes that renew slices, reachable or not, including
+        this one.
     reply : callable
-        Sends an answer the way a message came.
+        Sends an answer over the connection of the message that it answers.
     own_step : callable
-        Returns how slowly this process writes; see `budget.turns`.
+        Returns how slowly this process writes, see `budget.write_order`.
     leaves : callable
-        Returns whether this process is about to stop.
+        Returns whether this process is stopping.
     """
 
     def __init__(
@@ -70,65 +74,65 @@
         self._avoided_until: dict[str, float] = {}
 
     def heard(self, *, node: str, address: str, step: int) -> None:
-        """Note where a process is and how slowly it writes."""
+        """Record the address of a process and how slowly it writes."""
         self.note_address(node=node, address=address)
         self._step_by_address[address] = step
 
     def note_address(self, *, node: str, address: str) -> None:
-        """Note where a process is."""
+        """Record the address of a process."""
         self._address_by_node[node] = address
 
     def note_identity(self, holder: str, identity: str) -> None:
-        """Note how to answer a process that handed renewals over."""
+        """Record the connection of a process that delegated renewals."""
         self._identity_by_node[holder.partition("/")[0]] = identity
 
     def processes(self) -> int:
-        """Return how many processes renew slices, heard now or not."""
+        """Return the number of processes that renew slices, reachable or not."""
         return self._process_count()
 
     def first(self, count: int) -> list[str]:
-        """Return the addresses of the first others in order."""
+        """Return the addresses of the first peers in the write order."""
         in_order = sorted(self._eligible_peers(), key=lambda writer: writer.rank)
         return [writer.name for writer in in_order[:count]]
 
     def note_leaving(self, address: str, *, leaving: bool) -> None:
-        """Note whether a process is about to stop."""
+        """Record whether a process is stopping."""
         if leaving:
             self._leaving.add(address)
         else:
             self._leaving.discard(address)
 
     def link_of(self, node: str) -> Link | None:
-        """Return the link to a process by its name; None unless it is up."""
+        """Return the link to a process, by its name; None if it is not up."""
         return next(iter(self.links_of([node])), None)
 
     def links_of(self, nodes: Iterable[str]) -> list[Link]:
-        """Return the links that are up to these processes, by their names."""
+        """Return those links to processes, by their names, that are up."""
         links = self._links()
         addresses = [self._address_by_node.get(node) for node in nodes]
         return [links[address] for address in addresses if address in links]
 
     def place(self) -> int:
-        """Return how many processes before this one in order are heard."""
+        """Return how many reachable peers precede this process in the write order."""
         peers = self._eligible_peers()
         if self._is_leaving():
             return len(peers)
         return place_in_order(self._own_writer(), peers)
 
     async def call_renewals(self) -> int:
-        """Ask all processes that renew slices; return how many were asked."""
+        """Request the renewals of all peers; return the number of requests."""
         links = self._links()
         for link in links.values():
             await link.try_send(RenewalCall())
         return len(links)
 
     async def hand_over(self, handed: HandedRenewals) -> str | None:
-        """Send renewals to the first process in order, unless it is this one.
+        """Send renewals to the first writer, unless it is this process.
 
         Returns
         -------
         str or None
-            The address that they were sent to.
+            The address of the writer, None if nothing was sent.
         """
         writers = self._eligible_peers()
         if not self._is_leaving():
@@ -140,7 +144,7 @@
         return first.name if sent else None
 
     async def responds(self, address: str) -> bool:
-        """Whether a process lives: it echoes a heartbeat."""
+        """Return whether a process is live: it echoes a heartbeat."""
         link = self._links().get(address)
         asked_at = monotonic()
         if link is None or not await link.try_send(Heartbeat()):
@@ -152,15 +156,15 @@
         return False
 
     def avoid(self, address: str) -> None:
-        """Leave a process out of the order that did not write what it was handed.
+        """Leave a process that did not write delegated renewals out of the order.
 
-        One that was just killed still counts as heard for a while, and all callers
-        who wait for tokens would wait for it first.
+        The link to a process that was just killed stays up for a while, and all callers
+        that wait for tokens would wait for that process first.
         """
         self._avoided_until[address] = monotonic() + AVOID_SECONDS
 
     async def answer(self, holder: str, answer: RenewalsWritten) -> None:
-        """Tell a process what became of its renewals."""
+        """Send a process the outcome of the renewals that it delegated."""
         node = holder.partition("/")[0]
         link = self.link_of(node)
         if link is not None:
@@ -172,7 +176,7 @@
         return Writer(name=self._address, step=self._own_step())
 
     def _eligible_peers(self) -> list[Writer]:
-        """Return who else may write for all: not who leaves or was mute just now."""
+        """Return the peers that may write: not stopping and not left out."""
         now = monotonic()
         return [
             Writer(name=address, step=self._step_by_address.get(address, 0))
