--- a/src/ragwortkeel/ingress/budget_keeper.py
+++ b/src/ragwortkeel/ingress/budget_keeper.py
@@ -13,7 +13,7 @@
 from ragwortkeel.budget.sizing import SliceNeed
 from ragwortkeel.configuration import Spread
 from ragwortkeel.ingress.configuration import Customer
-from ragwortkeel.ingress.renewals import Group, Renewals
+from ragwortkeel.ingress.renewals import RenewalPeers, Renewals
 from ragwortkeel.ingress.routing import RoutingTable
 from ragwortkeel.logs import log_info
 from ragwortkeel.messages import LoanRequest, TokenLoan
@@ -60,7 +60,7 @@
         Stores the ledgers.
     ask_peers : callable
         Requests a loan of tokens for a customer from peers.
-    group : Group
+    peers : RenewalPeers
         The processes that write renewals for each other.
     clocks : callable
         Returns a reading of all clocks, with the bounds of fleet time.
@@ -72,12 +72,12 @@
         platform: Platform,
         holder: str,
         ask_peers: Callable[[str, Account], Awaitable[None]],
-        group: Group,
+        peers: RenewalPeers,
         clocks: Callable[[], Reading] = read_clocks,
     ) -> None:
         self.allowances = Allowances(holder=holder, started=clocks())
         self.renewals = Renewals(
-            platform=platform, allowances=self.allowances, clocks=clocks, group=group
+            platform=platform, allowances=self.allowances, clocks=clocks, peers=peers
         )
         self._ask_peers = ask_peers
 
@@ -115,7 +115,7 @@
         ledger = account.ledger
         return ledger.prepaid - ledger.total_spent < tokens
 
-    def seconds_to_tokens(self) -> float:
+    def seconds_until_tokens(self) -> float:
         """Return the seconds until tokens may be available for a refused caller.
 
         In an outage that is when the caps begin to grow.  Otherwise running requests
@@ -125,7 +125,7 @@
             return self.renewals.seconds_to_growth
         return SETTLING_SECONDS
 
-    def log_lack(self, request_id: str, customer: Customer, tokens: int) -> None:
+    def log_shortage(self, request_id: str, customer: Customer, tokens: int) -> None:
         """Log the figures behind a refusal for lack of tokens."""
         account = self.allowances.account(customer.name)
         age = monotonic() - account.read_at
@@ -193,12 +193,12 @@
             return 0
         return tokens
 
-    async def borrowed(self, loan: TokenLoan) -> None:
+    async def receive_loan(self, loan: TokenLoan) -> None:
         """Receive a peer's loan, or its notice of tokens returned to the ledger."""
         self.allowances.account(loan.customer).borrow(loan.tokens)
         if loan.returned:
             await self.renewals.wake()
-        await self.renewals.changed()
+        await self.renewals.notify_waiters()
 
     async def _reserve_after_wait(
         self, account: Account, customer: Customer, tokens: int, wait: float
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -144,10 +144,10 @@
         hold = await keeper.reserve(customer, usage.total, seconds_left=seconds_left)
         if hold is not None:
             return hold
-        keeper.log_lack(accepted.call.request_id, customer, usage.total)
+        keeper.log_shortage(accepted.call.request_id, customer, usage.total)
         if keeper.is_exhausted(customer, usage.total):
             return BUDGET_EXHAUSTED
-        return returning(BUDGET_UNREACHABLE, keeper.seconds_to_tokens())
+        return returning(BUDGET_UNREACHABLE, keeper.seconds_until_tokens())
 
     def _spent(self) -> int:
         if not self._ran:
--- a/src/ragwortkeel/ingress/fleet_time.py
+++ b/src/ragwortkeel/ingress/fleet_time.py
@@ -35,21 +35,21 @@
 
     Parameters
     ----------
-    others : callable
+    peer_count : callable
         Returns the number of other processes of the fleet.
 
     Examples
     --------
-    >>> time = FleetTime(others=lambda: 3)
+    >>> time = FleetTime(peer_count=lambda: 3)
     >>> time.reading().latest is None
     True
     """
 
-    def __init__(self, *, others: Callable[[], int]) -> None:
-        self._peer_count = others
+    def __init__(self, *, peer_count: Callable[[], int]) -> None:
+        self._peer_count = peer_count
         self._offset_by_peer: dict[str, _Offset] = {}
 
-    def answered(self, peer: str, answer: ClockAnswer, boot: float) -> None:
+    def receive_answer(self, peer: str, answer: ClockAnswer, boot: float) -> None:
         """Receive a peer's answer that arrived at `boot` seconds of the boot clock."""
         self._offset_by_peer[peer] = _Offset(
             lowest=answer.wall - boot, highest=answer.wall - answer.asked_at
--- a/src/ragwortkeel/ingress/following.py
+++ b/src/ragwortkeel/ingress/following.py
@@ -25,7 +25,7 @@
 )
 from ragwortkeel.ingress.directory import Directory, Moved
 from ragwortkeel.ingress.evacuations import evacuated_zones
-from ragwortkeel.ingress.relaying import change_of, versioned_change
+from ragwortkeel.ingress.relaying import decode_change, encode_change
 from ragwortkeel.ingress.watching import Feed
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import EvacuatedZones, UpstreamChanges
@@ -206,7 +206,7 @@
         """Take in changes from a process that watches."""
         now = monotonic()
         self._directory.lost_platform(now, seconds=message.lapse_seconds)
-        for change in map(change_of, message.objects):
+        for change in map(decode_change, message.objects):
             await self._changed(change.name, change.version, change.stored)
         whole = self._feed.passed_on(since=message.since, revision=message.revision)
         if not whole:
@@ -258,7 +258,7 @@
             UpstreamChanges(
                 since=since,
                 revision=newest,
-                objects=tuple(versioned_change(self._kind, one) for one in changes),
+                objects=tuple(encode_change(self._kind, one) for one in changes),
                 lapse_seconds=self._directory.lapse_seconds(monotonic()),
             )
         )
--- a/src/ragwortkeel/ingress/load_reports.py
+++ b/src/ragwortkeel/ingress/load_reports.py
@@ -54,14 +54,14 @@
     >>> idle = IngressState(
     ...     node="a", address="", addresses=(), relays=(), load_by_upstream={}
     ... )
-    >>> reports.due("b", idle, 0.0), reports.due("b", idle, 1.0)
+    >>> reports.mark_due("b", idle, 0.0), reports.mark_due("b", idle, 1.0)
     (True, False)
     """
 
     def __init__(self) -> None:
         self._idle_report_by_peer: dict[str, _IdleReport] = {}
 
-    def due(self, peer: str, state: IngressState, now: float) -> bool:
+    def mark_due(self, peer: str, state: IngressState, now: float) -> bool:
         """Return whether to send the report now; a due one is recorded as sent."""
         if _has_content(state):
             self._idle_report_by_peer.pop(peer, None)
@@ -79,7 +79,7 @@
         self._idle_report_by_peer[peer] = idle
         return True
 
-    def forget(self, peer: str) -> None:
+    def discard(self, peer: str) -> None:
         """Discard the last report to a peer: its link is up again, so report anew."""
         self._idle_report_by_peer.pop(peer, None)
 
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -36,7 +36,7 @@
 from ragwortkeel.ingress.mesh import WRITERS_WATCHED, Mesh
 from ragwortkeel.ingress.peer_handler import PeerHandler
 from ragwortkeel.ingress.placement import Load
-from ragwortkeel.ingress.relaying import carry_out
+from ragwortkeel.ingress.relaying import execute_call
 from ragwortkeel.ingress.watching import SHARERS, watchers
 from ragwortkeel.ingress.writers import Writers
 from ragwortkeel.links import Endpoint, Link, LinkDown, LinkUp, Received
@@ -146,10 +146,10 @@
         self.writers = Writers(
             address=address,
             links=self._mesh.routers,
-            processes=lambda: self.known_routers,
+            process_count=lambda: self.known_routers,
             reply=self._send_answer,
             own_step=handler.writing_step,
-            leaves=lambda: handler.heartbeat().leaving,
+            is_leaving=lambda: handler.heartbeat().leaving,
         )
         self._called_parts = False
         self._relays_asked: set[str] = set()
@@ -309,11 +309,13 @@
     async def _tell_routers(self, introduction: Introduction) -> None:
         """Report to all processes that place requests; take the time for a round."""
         routers = [] if self._is_relay else list(self._mesh.routers().values())
-        parts = self._handler.parts_news()
+        parts = self._handler.drain_prompt_blocks()
         for first in range(0, max(1, len(routers)), PEERS_AT_FULL_RATE):
             state, now = self._state(introduction, parts), monotonic()
             group = routers[first : first + PEERS_AT_FULL_RATE]
-            due = [link for link in group if self._reports.due(link.name, state, now)]
+            due = [
+                link for link in group if self._reports.mark_due(link.name, state, now)
+            ]
             await self._send(state, due)
             await curio.sleep(REPORT_SECONDS)
 
@@ -339,7 +341,7 @@
             upstreams_revision=self._handler.upstreams_revision(),
             evacuations_revision=evacuated.revision,
             evacuated_zones=evacuated.zones,
-            limit_by_upstream=self._handler.limits(),
+            limit_by_upstream=self._handler.announced_limits(),
         )
 
     def _new_link(self, address: str, heartbeat: float, silence: float) -> Link:
@@ -376,18 +378,18 @@
         if isinstance(event, Received):
             await self._note_revision(event.peer, event.envelope.revision)
             sender = event.envelope.sender.partition("/")[0]
-            self.writers.note_address(node=sender, address=event.peer)
+            self.writers.record_address(node=sender, address=event.peer)
         match event:
             case LinkUp(peer=peer):
                 log_info("dependency_regained", dependency="peer", address=peer)
-                self._reports.forget(peer)
+                self._reports.discard(peer)
                 await self._greet(self._mesh.link_by_address[peer])
             case Received(
                 peer=peer, envelope=Envelope(message=ClockAnswer() as answer)
             ):
-                self._handler.heard_clock(peer, answer)
+                self._handler.receive_clock(peer, answer)
             case Received(peer=peer, envelope=Envelope(message=Heartbeat() as beat)):
-                self.writers.note_leaving(peer, leaving=beat.leaving)
+                self.writers.record_leaving(peer, leaving=beat.leaving)
             case LinkDown(peer=peer):
                 self._catch_up.lost(peer)
                 log_warning("dependency_lost", dependency="peer", address=peer)
@@ -404,7 +406,7 @@
 
     async def _note_revision(self, peer: str, revision: int) -> None:
         self._catch_up.heard(peer, revision)
-        self._handler.heard_revision(peer, revision)
+        self._handler.receive_revision(peer, revision)
         if revision > self._handler.revision():
             await self._behind.set()
 
@@ -453,7 +455,7 @@
             await self._note_sender(received.envelope)
             message = received.envelope.message
             if isinstance(message, HandedRenewals):
-                self.writers.note_identity(message.holder, received.peer)
+                self.writers.record_identity(message.holder, received.peer)
             if isinstance(message, PlatformCall | LoanRequest):
                 # These wait for the platform, and what comes next does not.
                 serve = self._serve, received.peer, message
@@ -466,7 +468,7 @@
     async def _serve(self, peer: str, message: PlatformCall | LoanRequest) -> None:
         match message:
             case PlatformCall(operation=operation) as call:
-                answer = await carry_out(self._platform, call)
+                answer = await execute_call(self._platform, call)
                 log_debug("relayed", peer=peer, operation=operation, error=answer.error)
             case LoanRequest() as request:
                 answer = await self._handler.lend(request)
@@ -488,15 +490,15 @@
             case PartsCall() | Heartbeat() | ClockQuestion():
                 return self._answered(message)
             case CrashSeen() as crash:
-                self._handler.heard_crash(crash)
+                self._handler.receive_crash(crash)
             case UpstreamChanges() as changes:
-                await self._handler.heard_upstreams(changes)
+                await self._handler.receive_upstream_changes(changes)
             case EvacuatedZones() as found:
-                await self._handler.report_evacuated(found)
+                await self._handler.merge_evacuated_zones(found)
             case TokenLoan() as loan if loan.tokens or loan.returned:
-                await self._handler.borrowed(loan)
+                await self._handler.receive_loan(loan)
             case PlatformAnswer() as answer:
-                await self._handler.relayed(answer)
+                await self._handler.receive_platform_answer(answer)
             case RenewalCall() | HandedRenewals() | RenewalsWritten():
                 return await self._take_renewals(message)
         return None
@@ -504,7 +506,7 @@
     def _answered(self, message) -> IngressState | Heartbeat | ClockAnswer:
         match message:
             case PartsCall():
-                return self._state(NOBODY, self._handler.all_parts())
+                return self._state(NOBODY, self._handler.all_prompt_blocks())
             case Heartbeat():
                 return self._handler.heartbeat()
             case ClockQuestion(asked_at=asked_at):
@@ -512,8 +514,8 @@
 
     async def _take_state(self, state: IngressState) -> None:
         self._meet(state)
-        self._handler.heard_upstreams_revision(state.upstreams_revision)
-        await self._handler.report_evacuated(
+        self._handler.receive_upstreams_revision(state.upstreams_revision)
+        await self._handler.merge_evacuated_zones(
             EvacuatedZones(
                 revision=state.evacuations_revision, zones=state.evacuated_zones
             )
@@ -528,9 +530,9 @@
         }
         self._handler.merge_limits(state.limit_by_upstream)
         hold = hold_seconds(self.known_routers)
-        await self._handler.heard_loads(state.node, loads, hold_seconds=hold)
+        await self._handler.merge_loads(state.node, loads, hold_seconds=hold)
         for name, parts in state.parts_by_upstream.items():
-            self._handler.heard_parts(name, parts)
+            self._handler.merge_prompt_blocks(name, parts)
 
     async def _take_configuration(self, message) -> ConfigurationPush | None:
         match message:
@@ -538,21 +540,21 @@
                 return self._pushed(pull)
             case ConfigurationPush(objects=objects):
                 for one in objects:
-                    await self._handler.heard_configuration(one)
+                    await self._handler.receive_configuration(one)
         return None
 
     async def _take_renewals(self, message) -> HandedRenewals | None:
         match message:
             case RenewalCall():
-                return self._handler.renewals_called()
+                return self._handler.receive_renewal_call()
             case HandedRenewals() as handed:
-                await self._handler.heard_renewals(handed)
+                await self._handler.receive_renewals(handed)
             case RenewalsWritten() as answer:
-                await self._handler.renewals_written(answer)
+                await self._handler.receive_renewals_written(answer)
         return None
 
     def _meet(self, state: IngressState) -> None:
-        self.writers.heard(
+        self.writers.record_writer(
             node=state.node, address=state.address, step=state.writing_step
         )
         self._introductions.meet(
--- a/src/ragwortkeel/ingress/relay_worker.py
+++ b/src/ragwortkeel/ingress/relay_worker.py
@@ -82,7 +82,7 @@
         """Return that no configuration is in force."""
         return 0
 
-    def heard_revision(self, peer: str, revision: int) -> None:
+    def receive_revision(self, peer: str, revision: int) -> None:
         """Leave which configuration a peer has in force."""
 
     def heartbeat(self) -> Heartbeat:
@@ -93,36 +93,38 @@
         """Return that it has nothing at any upstream."""
         return {}
 
-    def parts_news(self) -> dict[str, dict[int, int]]:
+    def drain_prompt_blocks(self) -> dict[str, dict[int, int]]:
         """Return that it lets no upstream read anything."""
         return {}
 
-    def all_parts(self) -> dict[str, dict[int, int]]:
+    def all_prompt_blocks(self) -> dict[str, dict[int, int]]:
         """Return that it knows of no upstream."""
         return {}
 
-    def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
+    def merge_prompt_blocks(
+        self, upstream: str, tokens_by_chain: dict[int, int]
+    ) -> None:
         """Leave it; nothing is placed here."""
 
     def configuration_object(self) -> VersionedObject | None:
         """Return no configuration."""
         return None
 
-    def heard_clock(self, peer: str, answer: ClockAnswer) -> None:
+    def receive_clock(self, peer: str, answer: ClockAnswer) -> None:
         """Leave a peer's time: a relay only tells its own."""
 
-    async def heard_loads(
+    async def merge_loads(
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
     ) -> None:
         """Leave a peer's loads."""
 
-    async def heard_configuration(self, pushed: VersionedObject) -> None:
+    async def receive_configuration(self, pushed: VersionedObject) -> None:
         """Leave a peer's configuration."""
 
-    def heard_crash(self, crash: CrashSeen) -> None:
+    def receive_crash(self, crash: CrashSeen) -> None:
         """Leave a crash."""
 
-    def limits(self) -> dict[str, AnnouncedLimit]:
+    def announced_limits(self) -> dict[str, AnnouncedLimit]:
         """Return that no upstream has answered it."""
         return {}
 
@@ -133,38 +135,38 @@
         """Return that it knows of no upstream."""
         return 0
 
-    def heard_upstreams_revision(self, revision: int) -> None:
+    def receive_upstreams_revision(self, revision: int) -> None:
         """Leave it; nothing is placed here."""
 
-    async def heard_upstreams(self, changes: UpstreamChanges) -> None:
+    async def receive_upstream_changes(self, changes: UpstreamChanges) -> None:
         """Leave it; nothing is placed here."""
 
     def evacuated_zones(self) -> EvacuatedZones:
         """Return that it knows of no evacuation."""
         return EvacuatedZones()
 
-    async def report_evacuated(self, found: EvacuatedZones) -> None:
+    async def merge_evacuated_zones(self, found: EvacuatedZones) -> None:
         """Leave it; nothing is placed here."""
 
     async def lend(self, request: LoanRequest) -> TokenLoan:
         """Lend nothing."""
         return TokenLoan(customer=request.customer)
 
-    async def borrowed(self, loan: TokenLoan) -> None:
+    async def receive_loan(self, loan: TokenLoan) -> None:
         """Leave a loan that it never asked for."""
 
     def writing_step(self) -> int:
         """Return that it writes no ledgers."""
         return UNREACHABLE_STEP
 
-    def renewals_called(self) -> None:
+    def receive_renewal_call(self) -> None:
         """Return that there is nothing to renew."""
 
-    async def heard_renewals(self, handed: HandedRenewals) -> None:
+    async def receive_renewals(self, handed: HandedRenewals) -> None:
         """Leave renewals to those that keep slices."""
 
-    async def renewals_written(self, answer: RenewalsWritten) -> None:
+    async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
         """Leave it; nothing was handed over."""
 
-    async def relayed(self, answer: PlatformAnswer) -> None:
+    async def receive_platform_answer(self, answer: PlatformAnswer) -> None:
         """Leave an answer: it relays for others only."""
--- a/src/ragwortkeel/ingress/relaying.py
+++ b/src/ragwortkeel/ingress/relaying.py
@@ -155,14 +155,14 @@
             version=revision,
             seconds=timeout,
         )
-        changes = tuple(change_of(one) for one in answer.objects)
+        changes = tuple(decode_change(one) for one in answer.objects)
         return Changes(changes=changes, revision=answer.version, gap=answer.gap)
 
     async def live(self) -> dict[str, Instance]:
         """Return the list of instances, only by a direct call."""
         return await self._direct.live()
 
-    async def answered(self, answer: PlatformAnswer) -> None:
+    async def receive_answer(self, answer: PlatformAnswer) -> None:
         """Receive a relay's answer; drop it if its call has timed out."""
         arrived = self._arrived_by_id.get(answer.call_id)
         if arrived is not None:
@@ -242,7 +242,7 @@
         return _error_answer(call, PlatformError.UNKNOWN)
 
 
-async def carry_out(platform: Platform, call: PlatformCall) -> PlatformAnswer:
+async def execute_call(platform: Platform, call: PlatformCall) -> PlatformAnswer:
     """Execute a peer's call and return its answer, also for platform errors."""
     try:
         answer = await _execute(platform, call)
@@ -298,7 +298,7 @@
     changes = await platform.watch(kind, revision, seconds)
     return PlatformAnswer(
         call_id=0,
-        objects=tuple(versioned_change(kind, one) for one in changes.changes),
+        objects=tuple(encode_change(kind, one) for one in changes.changes),
         version=changes.revision,
         gap=changes.gap,
     )
@@ -324,7 +324,7 @@
     )
 
 
-def versioned_change(kind: str, change: Change) -> VersionedObject:
+def encode_change(kind: str, change: Change) -> VersionedObject:
     """Return a change as the object that is sent over a link."""
     if change.stored is not None:
         return _encode_stored(change.stored)
@@ -339,7 +339,7 @@
     )
 
 
-def change_of(found: VersionedObject) -> Change:
+def decode_change(found: VersionedObject) -> Change:
     """Return the change that an object received over a link stands for."""
     return Change(
         name=found.name,
--- a/src/ragwortkeel/ingress/renewals.py
+++ b/src/ragwortkeel/ingress/renewals.py
@@ -126,19 +126,19 @@
 _CONFLICTS = (VersionConflict, AlreadyExists, ObjectNotFound)
 
 
-class Group(Protocol):
+class RenewalPeers(Protocol):
     """The peers that renew slices in the same ledgers."""
 
-    def place(self) -> int:
+    def rank(self) -> int:
         """Return how many reachable peers precede this process in the write order."""
 
-    def processes(self) -> int:
+    def process_count(self) -> int:
         """Return the number of processes, reachable or not, including this one."""
 
-    async def call_renewals(self) -> int:
+    async def request_renewals(self) -> int:
         """Request the renewals of all peers; return the number of requests."""
 
-    async def hand_over(self, delegated: HandedRenewals) -> str | None:
+    async def delegate(self, delegated: HandedRenewals) -> str | None:
         """Send renewals to the first writer; return its address, None if not sent."""
 
     async def responds(self, address: str) -> bool:
@@ -147,7 +147,7 @@
     def avoid(self, address: str) -> None:
         """Delegate nothing to a process for a while, because it did not write."""
 
-    async def answer(self, holder: str, answer: RenewalsWritten) -> None:
+    async def send_outcome(self, holder: str, answer: RenewalsWritten) -> None:
         """Send a process the outcome of the renewals that it delegated."""
 
 
@@ -177,14 +177,14 @@
         platform: Platform,
         allowances: Allowances,
         clocks: Callable[[], Reading],
-        group: Group,
+        peers: RenewalPeers,
     ) -> None:
         self.reachable = True
         self.read_at = float("-inf")
         self.predecessors_charged = False
         self._allowances = allowances
         self._clocks = clocks
-        self._peers = group
+        self._peers = peers
         self._ledgers = LedgerStore(platform=platform)
         self._random = Random(allowances.holder)
         self._table: RoutingTable | None = None
@@ -242,7 +242,7 @@
         async with curio.ignore_after(max(0.0, until - monotonic())):
             await self._changed.wait()
 
-    async def changed(self) -> None:
+    async def notify_waiters(self) -> None:
         """Wake the requests that wait for tokens."""
         await self._changed.set()
 
@@ -283,7 +283,7 @@
 
     # Messages of peers.
 
-    def called(self) -> HandedRenewals | None:
+    def receive_renewal_call(self) -> HandedRenewals | None:
         """Return the renewals for a peer that is about to write, None for none."""
         if not self._may_delegate():
             return None
@@ -296,11 +296,11 @@
         self._tries.begin(reading, handed=True)
         return delegated
 
-    async def heard(self, delegated: HandedRenewals) -> None:
+    async def receive_renewals(self, delegated: HandedRenewals) -> None:
         """Receive a peer's renewals for the next write."""
         if not self.reachable and monotonic() < self._backoff_until:
             answer = not_done(delegated, WriteOutcome.UNREACHABLE)
-            await self._peers.answer(delegated.holder, answer)
+            await self._peers.send_outcome(delegated.holder, answer)
             return
         self._delegated_by_holder[delegated.holder] = delegated
         if len(self._delegated_by_holder) >= self._requested_count:
@@ -308,7 +308,7 @@
         if delegated.urgent:
             await self._write_requested.set()
 
-    async def written(self, answer: RenewalsWritten) -> None:
+    async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
         """Receive the outcome of delegated renewals."""
         match answer.outcome:
             case WriteOutcome.UNKNOWN:
@@ -372,7 +372,7 @@
         interval = TICK_SECONDS
         if self._may_delegate():
             delay = RANK_DELAY_FRACTION * self._delegation_timeout.seconds
-            interval = patience(self._peers.place(), step_seconds=delay)
+            interval = patience(self._peers.rank(), step_seconds=delay)
         elif self._awaits_peers(now):
             return min(GRANT_RETRY_SECONDS, self._peers_awaited_until - now)
         elif self._allowances.lacks_grants(_prepaid_by_customer(self._table)):
@@ -382,7 +382,7 @@
 
     def _awaits_peers(self, now: float) -> bool:
         """Return whether to wait for the first links to peers after the start."""
-        no_peer_reachable = not self._peers.place() and self._peers.processes() > 1
+        no_peer_reachable = not self._peers.rank() and self._peers.process_count() > 1
         return (
             not self.predecessors_charged
             and no_peer_reachable
@@ -416,7 +416,7 @@
 
         That is never the case while peers have delegated their renewals to this one.
         """
-        return not self._delegated_by_holder and self._peers.place() > 0
+        return not self._delegated_by_holder and self._peers.rank() > 0
 
     async def _try_delegation(self) -> WriteOutcome:
         """Delegate to the first writer as soon as possible; return the outcome."""
@@ -435,7 +435,7 @@
         return outcome
 
     def _may_write_as_fallback(self) -> bool:
-        processes = self._peers.processes()
+        processes = self._peers.process_count()
         return self._fallback.may_write(processes=processes, now=monotonic())
 
     async def _read_ledgers(self) -> bool:
@@ -459,7 +459,7 @@
         delegated = self._delegated_renewals(reading, urgent=True)
         self._tries.begin(reading, handed=True)
         boot, begun = reading.boot, monotonic()
-        writer = await self._peers.hand_over(delegated)
+        writer = await self._peers.delegate(delegated)
         if writer is None:
             self._tries.failed(boot)
             await curio.sleep(DELEGATION_RETRY_SECONDS)
@@ -526,7 +526,7 @@
 
     async def _gather_renewals(self) -> None:
         self._gathered.clear()
-        self._requested_count = await self._peers.call_renewals()
+        self._requested_count = await self._peers.request_renewals()
         if self._requested_count:
             async with curio.ignore_after(GATHER_SECONDS):
                 await self._gathered.wait()
@@ -556,7 +556,7 @@
                 answer = answered(shard, delegated, summary_by_customer)
             else:
                 answer = not_done(delegated, outcome)
-            await self._peers.answer(holder, answer)
+            await self._peers.send_outcome(holder, answer)
 
     async def _try_write(
         self, delegated_by_holder: dict[str, HandedRenewals]
@@ -598,7 +598,7 @@
         refusal would be outdated.
         """
         self._ledgers.discard_conflict()
-        has_other_writer = self._may_delegate() and self._peers.place() > 0
+        has_other_writer = self._may_delegate() and self._peers.rank() > 0
         attempts = (
             MAX_ATTEMPTS_WITH_OTHER_WRITER if has_other_writer else MAX_WRITE_ATTEMPTS
         )
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -150,12 +150,12 @@
         self._platform = RelayedPlatform(
             direct=self._counted, relays=self._peers.platform_relays
         )
-        self._time = FleetTime(others=lambda: self._peers.clocks)
+        self._time = FleetTime(peer_count=lambda: self._peers.clocks)
         self._keeper = BudgetKeeper(
             platform=self._platform,
             holder=incarnation,
             ask_peers=self._peers.ask_loan,
-            group=self._peers.writers,
+            peers=self._peers.writers,
             clocks=self._time.reading,
         )
         self._retries = RetryBudgets(share=RETRY_SHARE, reserve=RETRY_RESERVE)
@@ -194,7 +194,7 @@
         )
         self._evacuation_follower = EvacuationFollower(
             platform=self._platform,
-            take=self.report_evacuated,
+            take=self.merge_evacuated_zones,
             watches=self._peers.watches,
             share=self._peers.share,
         )
@@ -274,15 +274,17 @@
         """Return what this process has at each upstream."""
         return self._placement.own_loads()
 
-    def parts_news(self) -> dict[str, dict[int, int]]:
+    def drain_prompt_blocks(self) -> dict[str, dict[int, int]]:
         """Return what upstreams began to read for this process since the last call."""
         return self._placement.news()
 
-    def all_parts(self) -> dict[str, dict[int, int]]:
+    def all_prompt_blocks(self) -> dict[str, dict[int, int]]:
         """Return what upstreams are taken to hold of shared prompt parts."""
         return self._placement.all_parts()
 
-    def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
+    def merge_prompt_blocks(
+        self, upstream: str, tokens_by_chain: dict[int, int]
+    ) -> None:
         """Take in what a peer let an upstream read."""
         self._placement.heard_parts(upstream, tokens_by_chain)
 
@@ -297,18 +299,18 @@
             value=self._raw_configuration,
         )
 
-    def heard_clock(self, peer: str, answer: ClockAnswer) -> None:
+    def receive_clock(self, peer: str, answer: ClockAnswer) -> None:
         """Take in a peer's time of day."""
-        self._time.answered(peer, answer, read_clocks().boot)
+        self._time.receive_answer(peer, answer, read_clocks().boot)
 
-    async def heard_loads(
+    async def merge_loads(
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
     ) -> None:
         """Take in what a peer has at each upstream, and for how long it holds."""
         holds_until = monotonic() + hold_seconds
         self._placement.heard(node, load_by_upstream, holds_until)
 
-    def heard_revision(self, peer: str, revision: int) -> None:
+    def receive_revision(self, peer: str, revision: int) -> None:
         """Take in which configuration a peer has in force; 0 for none."""
         if revision <= max(self._revision_heard, self.revision()):
             return
@@ -316,7 +318,7 @@
         self.metrics.configuration_heard(revision=revision)
         log_info("configuration_behind", peer=peer, heard=revision, own=self.revision())
 
-    async def heard_configuration(self, pushed: VersionedObject) -> None:
+    async def receive_configuration(self, pushed: VersionedObject) -> None:
         """Take over a peer's configuration where it is newer."""
         if pushed.version <= self.revision():
             return
@@ -327,13 +329,13 @@
             return
         await self._take_configuration(configuration, pushed.value, source="peer")
 
-    def heard_crash(self, crash: CrashSeen) -> None:
+    def receive_crash(self, crash: CrashSeen) -> None:
         """Take in a crash that a peer found."""
         self._crashes.heard(
             Crash(crash_id=crash.crash_id, fingerprints=frozenset(crash.fingerprints))
         )
 
-    def limits(self) -> dict[str, AnnouncedLimit]:
+    def announced_limits(self) -> dict[str, AnnouncedLimit]:
         """Return what answers said lately of their upstreams' rate limits."""
         return self._stated_limits.recent()
 
@@ -345,11 +347,11 @@
         """Return the revision of the newest change of an upstream's entry here."""
         return self._upstreams.newest
 
-    def heard_upstreams_revision(self, revision: int) -> None:
+    def receive_upstreams_revision(self, revision: int) -> None:
         """Take in the newest such change that a peer knows of."""
         self._upstreams.heard_newest(revision)
 
-    async def heard_upstreams(self, changes: UpstreamChanges) -> None:
+    async def receive_upstream_changes(self, changes: UpstreamChanges) -> None:
         """Take in changes from a peer that watches the platform."""
         await self._upstreams.heard(changes)
 
@@ -357,7 +359,7 @@
         """Return the evacuated availability zones as known here."""
         return self._evacuations.current
 
-    async def report_evacuated(self, found: EvacuatedZones) -> None:
+    async def merge_evacuated_zones(self, found: EvacuatedZones) -> None:
         """Take over which availability zones are evacuated, where that is newer."""
         since = time()
         changed = self._evacuations.report(found, now=since)
@@ -378,7 +380,7 @@
         """Answer a peer that lacks tokens."""
         return await self._keeper.lend(request)
 
-    async def borrowed(self, loan: TokenLoan) -> None:
+    async def receive_loan(self, loan: TokenLoan) -> None:
         """Take in what a peer did for requests that wait for tokens here."""
         log_info(
             "loan_received",
@@ -386,27 +388,27 @@
             tokens=loan.tokens,
             returned=loan.returned,
         )
-        await self._keeper.borrowed(loan)
+        await self._keeper.receive_loan(loan)
 
     def writing_step(self) -> int:
         """Return how slowly this process writes ledgers."""
         return self._keeper.renewals.writing_step
 
-    def renewals_called(self) -> HandedRenewals | None:
+    def receive_renewal_call(self) -> HandedRenewals | None:
         """Return what a peer that writes the ledgers should take along."""
-        return self._keeper.renewals.called()
+        return self._keeper.renewals.receive_renewal_call()
 
-    async def heard_renewals(self, handed: HandedRenewals) -> None:
+    async def receive_renewals(self, handed: HandedRenewals) -> None:
         """Take in renewals to write along."""
-        await self._keeper.renewals.heard(handed)
+        await self._keeper.renewals.receive_renewals(handed)
 
-    async def renewals_written(self, answer: RenewalsWritten) -> None:
+    async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
         """Take in what became of renewals that a peer was handed."""
-        await self._keeper.renewals.written(answer)
+        await self._keeper.renewals.receive_renewals_written(answer)
 
-    async def relayed(self, answer: PlatformAnswer) -> None:
+    async def receive_platform_answer(self, answer: PlatformAnswer) -> None:
         """Take in the answer to a call that a peer made."""
-        await self._platform.answered(answer)
+        await self._platform.receive_answer(answer)
 
     async def _take_configuration(
         self,
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -2,7 +2,7 @@
 
 `budget.write_order` defines the order.  This module determines which processes belong
 to it, from the links that are up, and sends renewals to the writer.  `Writers` is the
-`Group` of `ingress.renewals`.
+`RenewalPeers` of `ingress.renewals`.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -40,14 +40,14 @@
         ``ip:port`` of this process, its name in the write order.
     links : callable
         Returns the links to peers that are up, by address.
-    processes : callable
+    process_count : callable
         Returns the number of processes that renew slices, reachable or not, including
         this one.
     reply : callable
         Sends an answer over the connection of the message that it answers.
     own_step : callable
         Returns how slowly this process writes, see `budget.write_order`.
-    leaves : callable
+    is_leaving : callable
         Returns whether this process is stopping.
     """
 
@@ -56,37 +56,37 @@
         *,
         address: str,
         links: Callable[[], dict[str, Link]],
-        processes: Callable[[], int],
+        process_count: Callable[[], int],
         reply: Callable[[str, RenewalsWritten], Awaitable[None]],
         own_step: Callable[[], int],
-        leaves: Callable[[], bool],
+        is_leaving: Callable[[], bool],
     ) -> None:
         self._address = address
         self._links = links
-        self._process_count = processes
+        self._process_count = process_count
         self._reply = reply
         self._identity_by_node: dict[str, str] = {}
         self._own_step = own_step
-        self._is_leaving = leaves
+        self._is_leaving = is_leaving
         self._address_by_node: dict[str, str] = {}
         self._step_by_address: dict[str, int] = {}
         self._leaving: set[str] = set()
         self._avoided_until: dict[str, float] = {}
 
-    def heard(self, *, node: str, address: str, step: int) -> None:
+    def record_writer(self, *, node: str, address: str, step: int) -> None:
         """Record the address of a process and how slowly it writes."""
-        self.note_address(node=node, address=address)
+        self.record_address(node=node, address=address)
         self._step_by_address[address] = step
 
-    def note_address(self, *, node: str, address: str) -> None:
+    def record_address(self, *, node: str, address: str) -> None:
         """Record the address of a process."""
         self._address_by_node[node] = address
 
-    def note_identity(self, holder: str, identity: str) -> None:
+    def record_identity(self, holder: str, identity: str) -> None:
         """Record the connection of a process that delegated renewals."""
         self._identity_by_node[holder.partition("/")[0]] = identity
 
-    def processes(self) -> int:
+    def process_count(self) -> int:
         """Return the number of processes that renew slices, reachable or not."""
         return self._process_count()
 
@@ -95,7 +95,7 @@
         in_order = sorted(self._eligible_peers(), key=lambda writer: writer.rank)
         return [writer.name for writer in in_order[:count]]
 
-    def note_leaving(self, address: str, *, leaving: bool) -> None:
+    def record_leaving(self, address: str, *, leaving: bool) -> None:
         """Record whether a process is stopping."""
         if leaving:
             self._leaving.add(address)
@@ -112,21 +112,21 @@
         addresses = [self._address_by_node.get(node) for node in nodes]
         return [links[address] for address in addresses if address in links]
 
-    def place(self) -> int:
+    def rank(self) -> int:
         """Return how many reachable peers precede this process in the write order."""
         peers = self._eligible_peers()
         if self._is_leaving():
             return len(peers)
         return place_in_order(self._own_writer(), peers)
 
-    async def call_renewals(self) -> int:
+    async def request_renewals(self) -> int:
         """Request the renewals of all peers; return the number of requests."""
         links = self._links()
         for link in links.values():
             await link.try_send(RenewalCall())
         return len(links)
 
-    async def hand_over(self, handed: HandedRenewals) -> str | None:
+    async def delegate(self, handed: HandedRenewals) -> str | None:
         """Send renewals to the first writer, unless it is this process.
 
         Returns
@@ -163,7 +163,7 @@
         """
         self._avoided_until[address] = monotonic() + AVOID_SECONDS
 
-    async def answer(self, holder: str, answer: RenewalsWritten) -> None:
+    async def send_outcome(self, holder: str, answer: RenewalsWritten) -> None:
         """Send a process the outcome of the renewals that it delegated."""
         node = holder.partition("/")[0]
         link = self.link_of(node)
--- a/tests/ingress/test_configuration_in_force.py
+++ b/tests/ingress/test_configuration_in_force.py
@@ -33,7 +33,7 @@
         """A change does not reach a process that is cut off from the platform."""
 
         async def scenario(fleet):
-            await fleet.workers[0].heard_configuration(pushed(fleet, 9))
+            await fleet.workers[0].receive_configuration(pushed(fleet, 9))
             return await reached(fleet.workers[1], 9)
 
         assert run_ingress(scenario, processes=2) == 9
@@ -42,7 +42,7 @@
         """A restarted process answers 503 until the platform is back."""
 
         async def scenario(fleet):
-            await fleet.workers[0].heard_configuration(pushed(fleet, 9))
+            await fleet.workers[0].receive_configuration(pushed(fleet, 9))
             fleet.platform.switches.down = True
             link, known = free_address(), fleet.workers[0]._settings.address
             late = await fleet.start_worker("ingress-late", link, (known, link))
@@ -75,7 +75,7 @@
         async def scenario(fleet):
             fields = {"kind": CONFIGURATION_KIND, "name": CONFIGURATION_NAME}
             copy = VersionedObject(version=9, value=garbage, **fields)
-            await fleet.workers[0].heard_configuration(copy)
+            await fleet.workers[0].receive_configuration(copy)
             return fleet.workers[0].revision()
 
         assert run_ingress(scenario) == 1
--- a/tests/ingress/test_configuration_spread.py
+++ b/tests/ingress/test_configuration_spread.py
@@ -29,13 +29,13 @@
 def count_copies(worker):
     """Return a list that grows with each copy that the process hears."""
     copies = []
-    taken = worker.heard_configuration
+    taken = worker.receive_configuration
 
     async def heard(one):
         copies.append(one.version)
         await taken(one)
 
-    worker.heard_configuration = heard
+    worker.receive_configuration = heard
     return copies
 
 
@@ -139,7 +139,7 @@
         async def scenario(fleet):
             fleet.platform.switches.down = True
             copies = [count_copies(worker) for worker in fleet.workers[1:]]
-            await fleet.workers[0].heard_configuration(pushed(fleet, 9))
+            await fleet.workers[0].receive_configuration(pushed(fleet, 9))
             for worker in fleet.workers[1:]:
                 await reached(worker, 9)
             return [len(heard) for heard in copies]
@@ -162,7 +162,7 @@
 
         async def scenario(fleet):
             await curio.sleep(SETTLED_SECONDS)
-            await fleet.workers[0].heard_configuration(pushed(fleet, 9))
+            await fleet.workers[0].receive_configuration(pushed(fleet, 9))
             return [await reached(worker, 9) for worker in fleet.workers]
 
         assert run_ingress(scenario, processes=3) == [9] * 3
--- a/tests/ingress/test_fleet_time.py
+++ b/tests/ingress/test_fleet_time.py
@@ -10,10 +10,10 @@
 def fleet(*walls, others=None, asked_at=49.9, boot=50.0):
     """Return the time of a process whose peers answered with these."""
     known = len(walls) if others is None else others
-    time = FleetTime(others=lambda: known)
+    time = FleetTime(peer_count=lambda: known)
     for i, wall in enumerate(walls):
         answer = ClockAnswer(asked_at=asked_at, wall=wall)
-        time.answered(f"peer-{i}", answer, boot)
+        time.receive_answer(f"peer-{i}", answer, boot)
     return time
 
 
@@ -43,7 +43,7 @@
 
     def test_a_new_answer_replaces_the_old(self):
         time = fleet(1000.0, 1000.0, 1005.0)
-        time.answered("peer-2", ClockAnswer(asked_at=49.9, wall=1000.0), 50.0)
+        time.receive_answer("peer-2", ClockAnswer(asked_at=49.9, wall=1000.0), 50.0)
         assert time.with_bounds(NOW).latest < 1000.2
 
 
--- a/tests/ingress/test_greetings.py
+++ b/tests/ingress/test_greetings.py
@@ -19,13 +19,13 @@
 def count_tellings(worker):
     """Return a list that grows with each telling of parts that the process hears."""
     tellings = []
-    taken = worker.heard_parts
+    taken = worker.merge_prompt_blocks
 
     def heard(upstream, tokens_by_chain):
         tellings.append(upstream)
         taken(upstream, tokens_by_chain)
 
-    worker.heard_parts = heard
+    worker.merge_prompt_blocks = heard
     return tellings
 
 
@@ -34,12 +34,12 @@
         async def scenario(fleet):
             await curio.sleep(SETTLED_SECONDS)
             for worker in fleet.workers:
-                worker.heard_parts("e1", PARTS)
+                worker.merge_prompt_blocks("e1", PARTS)
             links = tuple(worker._settings.address for worker in fleet.workers)
             late = await fleet.start_worker("ingress-late", free_address(), links)
             tellings = count_tellings(late)
             await curio.sleep(SETTLED_SECONDS)
-            return tellings, late.all_parts()
+            return tellings, late.all_prompt_blocks()
 
         tellings, known = run_ingress(scenario, processes=4)
         assert known["e1"] == PARTS
@@ -51,7 +51,7 @@
         async def scenario(fleet):
             await curio.sleep(SETTLED_SECONDS)
             for worker in fleet.workers:
-                worker.heard_parts("e1", PARTS)
+                worker.merge_prompt_blocks("e1", PARTS)
             tellings = [count_tellings(worker) for worker in fleet.workers]
             for worker in fleet.workers:
                 for link in list(worker._peers._mesh.link_by_address.values()):
--- a/tests/ingress/test_load_reports.py
+++ b/tests/ingress/test_load_reports.py
@@ -30,26 +30,26 @@
 
 def test_an_idle_process_reports_that_once():
     reports = LoadReports()
-    assert reports.due("b", BUSY, 0.0)
-    assert reports.due("b", IDLE, 1.0)
-    assert not reports.due("b", IDLE, 2.0)
-    assert reports.due("c", IDLE, 2.0)
-    assert reports.due("b", IDLE, 1.0 + IDLE_REPORT_SECONDS)
+    assert reports.mark_due("b", BUSY, 0.0)
+    assert reports.mark_due("b", IDLE, 1.0)
+    assert not reports.mark_due("b", IDLE, 2.0)
+    assert reports.mark_due("c", IDLE, 2.0)
+    assert reports.mark_due("b", IDLE, 1.0 + IDLE_REPORT_SECONDS)
 
 
 def test_a_peer_that_is_heard_again_is_sent_one():
     """A restarted peer could not answer: it did not know this process's address."""
     reports = LoadReports()
-    reports.due("b", IDLE, 0.0)
-    reports.forget("b")
-    assert reports.due("b", IDLE, 0.1)
+    reports.mark_due("b", IDLE, 0.0)
+    reports.discard("b")
+    assert reports.mark_due("b", IDLE, 0.1)
 
 
 def test_what_peers_decide_by_is_reported_at_once():
     reports = LoadReports()
-    reports.due("b", IDLE, 0.0)
+    reports.mark_due("b", IDLE, 0.0)
     slow = msgspec.structs.replace(IDLE, writing_step=3)
-    assert reports.due("b", slow, 0.1)
+    assert reports.mark_due("b", slow, 0.1)
     newer = msgspec.structs.replace(slow, upstreams_revision=8)
-    assert reports.due("b", newer, 0.2)
-    assert not reports.due("b", newer, 0.3)
+    assert reports.mark_due("b", newer, 0.2)
+    assert not reports.mark_due("b", newer, 0.3)
--- a/tests/ingress/test_relaying.py
+++ b/tests/ingress/test_relaying.py
@@ -11,7 +11,7 @@
     VersionConflict,
 )
 from ragwortkeel.ingress import relaying
-from ragwortkeel.ingress.relaying import RelayedPlatform, carry_out
+from ragwortkeel.ingress.relaying import RelayedPlatform, execute_call
 from ragwortkeel.standins.local_platform import LocalPlatform
 
 KIND = "ledgers"
@@ -56,9 +56,9 @@
         if self.broken:
             raise LinkLost("gone")
         self.calls += 1
-        answer = await carry_out(self.platform, call)
+        answer = await execute_call(self.platform, call)
         if not self.loses_answers:
-            await self.client.answered(answer)
+            await self.client.receive_answer(answer)
 
 
 def relayed(scenario, *links_of, cut=True):
--- a/tests/ingress/test_renewals.py
+++ b/tests/ingress/test_renewals.py
@@ -30,24 +30,24 @@
         self.avoided = []
         self.answers = []
 
-    def place(self):
+    def rank(self):
         return self.own_place
 
-    def processes(self):
+    def process_count(self):
         return 2
 
-    async def call_renewals(self):
-        handed = None if self.other is None else self.other.called()
+    async def request_renewals(self):
+        handed = None if self.other is None else self.other.receive_renewal_call()
         if handed is None:
             return 0
-        await self.owner.heard(handed)
+        await self.owner.receive_renewals(handed)
         return 1
 
-    async def hand_over(self, handed):
+    async def delegate(self, handed):
         if self.other is None:
             return None
         if not self.mute:
-            await self.other.heard(handed)
+            await self.other.receive_renewals(handed)
         return "other"
 
     async def responds(self, address):
@@ -56,10 +56,10 @@
     def avoid(self, address):
         self.avoided.append(address)
 
-    async def answer(self, holder, answer):
+    async def send_outcome(self, holder, answer):
         self.answers.append(answer)
         if self.other is not None and not self.mute:
-            await self.other.written(answer)
+            await self.other.receive_renewals_written(answer)
 
 
 class Process:
@@ -72,7 +72,7 @@
             platform=platform,
             allowances=self.allowances,
             clocks=read_clocks,
-            group=self.group,
+            peers=self.group,
         )
         self.group.owner = self.renewals
         customers = (Customer(name=CUSTOMER, keys=("k",), prepaid=100_000),)
@@ -160,8 +160,8 @@
     async def scenario(platform, first, second):
         platform.switches.down = True
         first.group.answers.clear()
-        handed = second.renewals.called()
-        await first.renewals.heard(handed)
+        handed = second.renewals.receive_renewal_call()
+        await first.renewals.receive_renewals(handed)
         while not first.group.answers:
             await first.renewals.wake()
             await curio.sleep(0.01)
@@ -181,7 +181,7 @@
 
     async def scenario(platform, first, second):
         second.account.recall(1_000)
-        handed = second.renewals.called()
+        handed = second.renewals.receive_renewal_call()
         given_back = handed.renewal_by_customer[CUSTOMER].give_back
         second.group.other = None
         platform.switches.down = True
@@ -203,7 +203,7 @@
     async def scenario(platform, first, second):
         second.group.other = None
         second.account.recall(1_000)
-        handed = second.renewals.called()
+        handed = second.renewals.receive_renewal_call()
         update, arrived, answers = platform.update, curio.Event(), curio.Event()
 
         async def slow(*call):
@@ -216,7 +216,7 @@
         await second.renewals.wake()
         await arrived.wait()
         answer = RenewalsWritten(boot=handed.stamp.boot, outcome=WriteOutcome.NOT_DONE)
-        await second.renewals.written(answer)
+        await second.renewals.receive_renewals_written(answer)
         free = second.account.free
         platform.update = update
         await answers.set()
@@ -233,7 +233,7 @@
 def test_a_planned_stop_takes_no_more_part():
     async def scenario(platform, first, second):
         closed = await second.renewals.close()
-        return closed, second.renewals.called()
+        return closed, second.renewals.receive_renewal_call()
 
     assert run_two(scenario) == (True, None)
 
@@ -262,7 +262,7 @@
         self.index = index
         self.avoided_until = {}
 
-    def processes(self):
+    def process_count(self):
         return len(self.processes_by_index)
 
     def _before(self):
@@ -273,17 +273,17 @@
             if self.avoided_until.get(other, 0.0) <= now
         ]
 
-    def place(self):
+    def rank(self):
         return len(self._before())
 
-    async def call_renewals(self):
+    async def request_renewals(self):
         return 0
 
-    async def hand_over(self, handed):
+    async def delegate(self, handed):
         before = self._before()
         if not before:
             return None
-        await self.processes_by_index[before[0]].renewals.heard(handed)
+        await self.processes_by_index[before[0]].renewals.receive_renewals(handed)
         return str(before[0])
 
     async def responds(self, address):
@@ -292,9 +292,11 @@
     def avoid(self, address):
         self.avoided_until[int(address)] = read_clocks().monotonic + 2.0
 
-    async def answer(self, holder, answer):
+    async def send_outcome(self, holder, answer):
         name = holder.partition("/")[0]
-        await self.processes_by_index[int(name)].renewals.written(answer)
+        await self.processes_by_index[int(name)].renewals.receive_renewals_written(
+            answer
+        )
 
 
 def test_a_writer_that_lives_is_left_to_write_however_slow_the_platform_is():
--- a/tests/ingress/test_writers.py
+++ b/tests/ingress/test_writers.py
@@ -24,13 +24,13 @@
     rv = Writers(
         address="own:1",
         links=lambda: links,
-        processes=lambda: len(links) + 1,
+        process_count=lambda: len(links) + 1,
         reply=reply,
         own_step=lambda: step,
-        leaves=lambda: leaves,
+        is_leaving=lambda: leaves,
     )
     for address in links:
-        rv.heard(node=f"node-{address}", address=address, step=0)
+        rv.record_writer(node=f"node-{address}", address=address, step=0)
     return rv
 
 
@@ -43,27 +43,27 @@
 
 class TestOrder:
     def test_a_slow_process_stands_behind_all_quick_ones(self):
-        assert writers(three(), step=UNREACHABLE_STEP).place() == 3
+        assert writers(three(), step=UNREACHABLE_STEP).rank() == 3
 
     def test_a_process_that_leaves_stands_last_and_hands_over(self):
         links = three()
         one = writers(links, leaves=True)
-        assert one.place() == 3
-        assert curio.run(one.hand_over, RenewalCall()) in links
+        assert one.rank() == 3
+        assert curio.run(one.delegate, RenewalCall()) in links
 
     def test_a_peer_that_leaves_or_was_mute_is_not_counted(self):
         one = writers(three(), step=UNREACHABLE_STEP)
-        one.note_leaving("peer0:1", leaving=True)
+        one.record_leaving("peer0:1", leaving=True)
         one.avoid("peer1:1")
-        assert one.place() == 1
-        one.note_leaving("peer0:1", leaving=False)
-        assert one.place() == 2
+        assert one.rank() == 1
+        one.record_leaving("peer0:1", leaving=False)
+        assert one.rank() == 2
 
     def test_a_peer_that_is_no_longer_heard_is_not_counted(self):
         links = three()
         one = writers(links, step=UNREACHABLE_STEP)
         del links["peer0:1"]
-        assert one.place() == 2
+        assert one.rank() == 2
 
 
 class EchoingLink(FakeLink):
@@ -100,22 +100,22 @@
 
 class TestHandingOver:
     def test_the_first_of_all_hands_over_to_nobody(self):
-        assert curio.run(writers({}).hand_over, RenewalCall()) is None
+        assert curio.run(writers({}).delegate, RenewalCall()) is None
 
     def test_what_could_not_be_sent_was_not_handed_over(self):
         """Callers wait for tokens that nobody was asked for."""
         links = {"peer0:1": FakeLink(broken=True)}
         one = writers(links, step=UNREACHABLE_STEP)
-        assert curio.run(one.hand_over, RenewalCall()) is None
+        assert curio.run(one.delegate, RenewalCall()) is None
 
     def test_all_are_called_and_a_holder_is_told_by_its_name(self):
         links = three()
         one = writers(links)
-        assert curio.run(one.call_renewals) == 3
-        curio.run(one.answer, "node-peer1:1/0a1b", WRITTEN)
+        assert curio.run(one.request_renewals) == 3
+        curio.run(one.send_outcome, "node-peer1:1/0a1b", WRITTEN)
         assert [len(link.sent) for link in links.values()] == [1, 2, 1]
 
     def test_a_holder_that_is_not_known_is_told_nothing(self):
         links = three()
-        curio.run(writers(links).answer, "stranger/0a1b", WRITTEN)
+        curio.run(writers(links).send_outcome, "stranger/0a1b", WRITTEN)
         assert not any(link.sent for link in links.values())
