--- a/src/ragwortkeel/ingress/peer_handler.py
+++ b/src/ragwortkeel/ingress/peer_handler.py
@@ -1,4 +1,4 @@
-"""What the owner of a process's links provides and takes in."""
+"""The interface between a process's links to peers and the state of the process."""
 
 from typing import Protocol
 
@@ -20,86 +20,89 @@
 
 
 class PeerHandler(Protocol):
-    """What the owner of the links does with what peers say."""
+    """Provides the content of messages to peers, and receives messages of peers."""
 
     def revision(self) -> int:
         """Return the revision of the configuration in force; 0 for none."""
 
     def receive_revision(self, peer: str, revision: int) -> None:
-        """Take in which configuration a peer has in force; 0 for none."""
+        """Receive the revision of a peer's configuration in force; 0 for none."""
 
     def heartbeat(self) -> Heartbeat:
-        """Return what keeps a peer's link up."""
+        """Return the heartbeat that keeps a peer's link up."""
 
     def own_loads(self) -> dict[str, Load]:
-        """Return what this process has at each upstream."""
+        """Return this process's load at each upstream."""
 
     def drain_prompt_blocks(self) -> dict[str, dict[int, int]]:
-        """Return what upstreams began to read; see `Placement.news`."""
+        """Return and clear the prompt blocks that upstreams began to read.
+
+        See `Placement.drain_prompt_blocks`.
+        """
 
     def all_prompt_blocks(self) -> dict[str, dict[int, int]]:
-        """Return what upstreams hold of shared prompt parts."""
+        """Return the prompt blocks in the upstreams' prefix caches."""
 
     def merge_prompt_blocks(
         self, upstream: str, tokens_by_chain: dict[int, int]
     ) -> None:
-        """Take in what a peer let an upstream read."""
+        """Merge the prompt blocks that an upstream read for a peer."""
 
     def configuration_object(self) -> VersionedObject | None:
         """Return the configuration in force."""
 
     def receive_clock(self, peer: str, answer: ClockAnswer) -> None:
-        """Take in a peer's time of day."""
+        """Receive a peer's time of day."""
 
     async def merge_loads(
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
     ) -> None:
-        """Take in what a peer has at each upstream, and for how long it holds."""
+        """Merge a peer's load at each upstream, valid for `hold_seconds`."""
 
     async def receive_configuration(self, pushed: VersionedObject) -> None:
-        """Take over a peer's configuration where it is newer."""
+        """Receive a peer's configuration; apply it if it is newer."""
 
     def receive_crash(self, crash: CrashSeen) -> None:
-        """Take in a crash that a peer found."""
+        """Receive a crash that a peer found."""
 
     def announced_limits(self) -> dict[str, AnnouncedLimit]:
-        """Return what answers said lately of their upstreams' rate limits."""
+        """Return the rate limits that upstreams' answers announced lately."""
 
     def merge_limits(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
-        """Take in what answers to a peer said."""
+        """Merge the rate limits that answers to a peer announced."""
 
     def upstreams_revision(self) -> int:
-        """Return the revision of the newest change of an upstream's entry here."""
+        """Return the revision of the newest known change of an upstream's entry."""
 
     def receive_upstreams_revision(self, revision: int) -> None:
-        """Take in the newest such change that a peer knows of."""
+        """Receive the revision of the newest change of an entry known to a peer."""
 
     async def receive_upstream_changes(self, changes: UpstreamChanges) -> None:
-        """Take in changes from a peer that watches the platform."""
+        """Receive changes of entries from a peer that watches the platform."""
 
     def evacuated_zones(self) -> EvacuatedZones:
-        """Return the evacuated availability zones as known here."""
+        """Return the evacuated availability zones known here."""
 
     async def merge_evacuated_zones(self, found: EvacuatedZones) -> None:
-        """Take in the evacuated availability zones as a peer knows them."""
+        """Merge the evacuated availability zones known to a peer."""
 
     async def lend(self, request: LoanRequest) -> TokenLoan:
-        """Answer a peer that lacks tokens."""
+        """Return the answer to a peer that lacks tokens: a loan or returned tokens."""
 
     async def receive_loan(self, loan: TokenLoan) -> None:
-        """Take in what a peer did for requests that wait for tokens here."""
+        """Receive a peer's answer to a request for tokens."""
 
     def writing_step(self) -> int:
-        """Return how slowly this process writes ledgers; see `budget.turns`."""
+        """Return how slowly this process writes ledgers; see `budget.write_order`."""
 
     def receive_renewal_call(self) -> HandedRenewals | None:
-        """Return what a peer that writes the ledgers should take along."""
+        """Return the renewals for a peer that is about to write, None for none."""
 
     async def receive_renewals(self, handed: HandedRenewals) -> None:
-        """Take in renewals to write along."""
+        """Receive a peer's renewals for the next write."""
 
     async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
-        """Take in what became of renewals that a peer was handed."""
+        """Receive the outcome of renewals that were delegated to a peer."""
 
     async def receive_platform_answer(self, answer: PlatformAnswer) -> None:
-        """Take in the answer to a call that a peer made."""
+        """Receive the answer to a platform call that a peer relayed."""
--- a/src/ragwortkeel/ingress/relay_worker.py
+++ b/src/ragwortkeel/ingress/relay_worker.py
@@ -1,7 +1,7 @@
-"""The relay daemon's work: calls of the platform for ingress processes.
+"""The relay daemon: it executes calls of the platform for ingress processes.
 
-It runs on instances that a cut is likely to spare, such as those beside the
-upstreams, and keeps no state that anyone needs.
+It runs on instances that a partition is unlikely to affect, such as those beside the
+upstreams, and holds no state that other processes need.
 """
 
 import secrets
@@ -60,7 +60,7 @@
         self._peers.open()
 
     def reload(self, settings: RelaySettings) -> None:
-        """Take over the peers; see `IngressWorker.reload`."""
+        """Add the peers of the new settings; see `IngressWorker.reload`."""
         self._peers.meet(settings.peers)
 
     async def run(self) -> None:
@@ -68,105 +68,106 @@
         await run_together(self._peers.run, self._counted.run)
 
     async def stop(self) -> Leftover:
-        """Stop; calls under way end as unanswered, which callers can bear."""
+        """Stop; calls in progress remain unanswered, which their callers handle."""
         self.ready = False
         return Leftover(counts={})
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return that nothing is in force: a relay keeps no configuration."""
+        """Return that nothing is in force: a relay has no configuration."""
         return InForce(revision=0)
 
-    # A relay has nothing to tell its peers and does not keep what they say.
+    # The methods of `PeerHandler`.  A relay has no state to send and discards what it
+    # receives.
 
     def revision(self) -> int:
-        """Return that no configuration is in force."""
+        """Return 0: no configuration is in force."""
         return 0
 
     def receive_revision(self, peer: str, revision: int) -> None:
-        """Leave which configuration a peer has in force."""
+        """Discard the revision of a peer's configuration."""
 
     def heartbeat(self) -> Heartbeat:
-        """Return what keeps a peer's link up."""
+        """Return the heartbeat that keeps a peer's link up."""
         return Heartbeat(leaving=not self.ready)
 
     def own_loads(self) -> dict[str, Load]:
-        """Return that it has nothing at any upstream."""
+        """Return no loads: a relay sends no requests to upstreams."""
         return {}
 
     def drain_prompt_blocks(self) -> dict[str, dict[int, int]]:
-        """Return that it lets no upstream read anything."""
+        """Return no prompt blocks: a relay sends no prompts to upstreams."""
         return {}
 
     def all_prompt_blocks(self) -> dict[str, dict[int, int]]:
-        """Return that it knows of no upstream."""
+        """Return no prompt blocks: a relay stores none."""
         return {}
 
     def merge_prompt_blocks(
         self, upstream: str, tokens_by_chain: dict[int, int]
     ) -> None:
-        """Leave it; nothing is placed here."""
+        """Discard a peer's prompt blocks."""
 
     def configuration_object(self) -> VersionedObject | None:
         """Return no configuration."""
         return None
 
     def receive_clock(self, peer: str, answer: ClockAnswer) -> None:
-        """Leave a peer's time: a relay only tells its own."""
+        """Discard a peer's time of day: a relay only sends its own."""
 
     async def merge_loads(
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
     ) -> None:
-        """Leave a peer's loads."""
+        """Discard a peer's loads."""
 
     async def receive_configuration(self, pushed: VersionedObject) -> None:
-        """Leave a peer's configuration."""
+        """Discard a peer's configuration."""
 
     def receive_crash(self, crash: CrashSeen) -> None:
-        """Leave a crash."""
+        """Discard a crash that a peer found."""
 
     def announced_limits(self) -> dict[str, AnnouncedLimit]:
-        """Return that no upstream has answered it."""
+        """Return no limits: a relay receives no answers of upstreams."""
         return {}
 
     def merge_limits(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
-        """Leave it; nothing is placed here."""
+        """Discard the limits that answers to a peer announced."""
 
     def upstreams_revision(self) -> int:
-        """Return that it knows of no upstream."""
+        """Return 0: a relay stores no entries of upstreams."""
         return 0
 
     def receive_upstreams_revision(self, revision: int) -> None:
-        """Leave it; nothing is placed here."""
+        """Discard the revision of a peer's upstream entries."""
 
     async def receive_upstream_changes(self, changes: UpstreamChanges) -> None:
-        """Leave it; nothing is placed here."""
+        """Discard changes of upstreams' entries."""
 
     def evacuated_zones(self) -> EvacuatedZones:
-        """Return that it knows of no evacuation."""
+        """Return no evacuated zones, as of revision 0."""
         return EvacuatedZones()
 
     async def merge_evacuated_zones(self, found: EvacuatedZones) -> None:
-        """Leave it; nothing is placed here."""
+        """Discard a peer's evacuated availability zones."""
 
     async def lend(self, request: LoanRequest) -> TokenLoan:
-        """Lend nothing."""
+        """Return an empty loan: a relay holds no tokens."""
         return TokenLoan(customer=request.customer)
 
     async def receive_loan(self, loan: TokenLoan) -> None:
-        """Leave a loan that it never asked for."""
+        """Discard a loan: a relay never requests one."""
 
     def writing_step(self) -> int:
-        """Return that it writes no ledgers."""
+        """Return the value of a process that writes no ledgers."""
         return UNREACHABLE_STEP
 
     def receive_renewal_call(self) -> None:
-        """Return that there is nothing to renew."""
+        """Return None: a relay has no renewals."""
 
     async def receive_renewals(self, handed: HandedRenewals) -> None:
-        """Leave renewals to those that keep slices."""
+        """Discard renewals: a relay writes no ledgers."""
 
     async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
-        """Leave it; nothing was handed over."""
+        """Discard the outcome of renewals: a relay delegates none."""
 
     async def receive_platform_answer(self, answer: PlatformAnswer) -> None:
-        """Leave an answer: it relays for others only."""
+        """Discard an answer: a relay sends no calls through peers."""
