--- a/tests/ingress/test_budgets.py
+++ b/tests/ingress/test_budgets.py
@@ -1,4 +1,4 @@
-"""Prepaid budgets as callers meet them, over outages, kills and planned stops."""
+"""Prepaid budgets as callers see them, in outages and over planned stops."""
 
 import curio
 import msgspec
@@ -21,14 +21,14 @@
 
 
 @pytest.fixture
-def patient(monkeypatch):
-    """Let requests wait for tokens for as long as a busy machine needs."""
+def long_waits(monkeypatch):
+    """Let requests wait for tokens long enough for a busy machine."""
     monkeypatch.setattr(budget_keeper, "RENEWAL_WAIT_SECONDS", 5.0)
     monkeypatch.setattr(budget_keeper, "RECALL_WAIT_SECONDS", 5.0)
 
 
 class TestSpending:
-    def test_an_answer_costs_its_prompt_and_what_came(self):
+    def test_an_answer_costs_its_prompt_and_its_events(self):
         async def scenario(fleet):
             await spend(fleet, 1)
             await fleet.workers[0].stop()
@@ -37,7 +37,7 @@
         found = run_ingress(scenario, prepaid=PREPAID)
         assert found.total_spent == 40 + 5 * 6
 
-    def test_a_budget_ends_with_a_refusal_that_says_so(self):
+    def test_an_exhausted_budget_is_the_reason_of_a_refusal(self):
         async def scenario(fleet):
             statuses = await spend(fleet, 20)
             answer = await fleet.ask("/chat/1", **SMALL)
@@ -45,12 +45,12 @@
 
         statuses, problem = run_ingress(scenario, prepaid=PREPAID)
         served = statuses.count(200)
-        # Each costs 70, and 100 have to be free before it starts.
+        # Each request costs 70 tokens and reserves 100 before it starts.
         assert served == (int(PREPAID * USABLE_SHARE) - 100) // 70 + 1
         assert set(statuses[served:]) == {402}
         assert problem["reason"] == "budget_exhausted"
 
-    def test_a_top_up_is_served_at_once(self):
+    def test_a_top_up_serves_the_next_requests(self):
         async def scenario(fleet):
             await spend(fleet, 15)
             customers = (msgspec.structs.replace(fleet.customers[0], prepaid=2000),)
@@ -61,7 +61,7 @@
 
         assert run_ingress(scenario, prepaid=PREPAID) == [200] * 3
 
-    def test_two_processes_share_one_budget_to_its_end(self):
+    def test_two_processes_share_one_budget_until_it_is_exhausted(self):
         async def scenario(fleet):
             return await spend(fleet, 9) + await spend(fleet, 9, process=1)
 
@@ -78,7 +78,7 @@
 
         assert run_ingress(scenario, prepaid=PREPAID).total_spent == 0
 
-    def test_requests_that_lack_room_at_once_are_all_served(self):
+    def test_concurrent_requests_beyond_the_headroom_are_all_served(self):
         async def scenario(fleet):
             tasks = [await curio.spawn(spend, fleet, 1) for _ in range(12)]
             return [await task.join() for task in tasks]
@@ -89,8 +89,8 @@
 
 class TestFailures:
     @pytest.mark.parametrize(("deadline_ms", "status"), [(5000, 200), (1500, 503)])
-    def test_who_has_time_waits_for_a_slow_renewal(self, deadline_ms, status):
-        """Guards against callers sent away while the write that serves them runs."""
+    def test_a_late_deadline_allows_a_slow_renewal(self, deadline_ms, status):
+        """Guards against refusals while the write with the callers' tokens runs."""
 
         async def scenario(fleet):
             update = fleet.platform.update
@@ -111,10 +111,10 @@
 
         assert run_ingress(scenario, prepaid=100_000) == status
 
-    def test_callers_are_served_in_an_outage_also_from_a_peer(self):
-        """All callers of one process are refused while the platform is away.
+    def test_loans_of_a_peer_serve_callers_in_an_outage(self):
+        """Guards against refusals by a process with a small slice in an outage.
 
-        Its slice was small; the tokens lay with another process.
+        The tokens that its callers need are held by another process.
         """
 
         async def scenario(fleet):
@@ -125,11 +125,11 @@
         statuses = run_ingress(scenario, prepaid=100_000, processes=2)
         assert statuses == [200] * 3
 
-    def test_tokens_that_lie_with_another_process_are_fetched(self, patient):
-        """Callers of one process are refused though most of the budget is unspent.
+    def test_tokens_held_by_another_process_are_recalled(self, long_waits):
+        """Guards against refusals while most of the budget is unspent.
 
-        Its demand rose at once and the tokens lay with another process, which could
-        lend no more than its small cap had room for.
+        The demand of a process rises suddenly while another process holds the tokens.
+        That process can lend only the headroom of its small cap.
         """
 
         async def scenario(fleet):
@@ -140,7 +140,7 @@
         statuses = run_ingress(scenario, prepaid=40 * PREPAID, processes=2)
         assert statuses == [200] * 3
 
-    def test_a_planned_stop_gives_everything_back(self):
+    def test_a_planned_stop_returns_all_tokens(self):
         async def scenario(fleet):
             await spend(fleet, 2)
             await fleet.workers[0].stop()
--- a/tests/ingress/test_ledger_store.py
+++ b/tests/ingress/test_ledger_store.py
@@ -1,4 +1,4 @@
-"""The object with the ledgers: few calls, and what a refusal lets conclude."""
+"""The object with the ledgers: number of calls, and outcomes of writes."""
 
 import curio
 import pytest
@@ -14,114 +14,115 @@
 
 
 def with_two(scenario):
-    """Run a scenario of two processes whose ledgers are the same object."""
+    """Run a scenario of two processes that share one object with ledgers."""
 
     async def main():
         platform = LocalPlatform()
-        one, other = (LedgerStore(platform=platform) for _ in range(2))
-        await one.read()
-        await one.write(shard(1))
-        await other.read()
-        return await scenario(platform, one, other)
+        first, second = (LedgerStore(platform=platform) for _ in range(2))
+        await first.read()
+        await first.write(shard(1))
+        await second.read()
+        return await scenario(platform, first, second)
 
     return curio.run(main)
 
 
 class TestCalls:
-    def test_a_refused_write_brings_what_another_wrote(self):
-        async def scenario(platform, one, other):
-            await one.read()
-            await one.write(shard(2))
+    def test_a_refusal_includes_the_ledgers_of_the_other_write(self):
+        async def scenario(platform, first, second):
+            await first.read()
+            await first.write(shard(2))
             with pytest.raises(VersionConflict):
-                await other.write(shard(3))
+                await second.write(shard(3))
             reads = platform.counts.reads
-            found = await other.read()
+            found = await second.read()
             assert platform.counts.reads == reads
-            return found, other.writes_superseded
+            return found, second.writes_superseded
 
         assert with_two(scenario) == (shard(2), True)
 
-    def test_an_older_copy_than_the_own_write_is_not_taken(self):
-        async def scenario(platform, one, other):
+    def test_a_copy_older_than_the_own_write_is_ignored(self):
+        async def scenario(platform, first, second):
             async def lagging(kind, name, *, stale=False):
                 return old
 
             old = await platform.get("customer-ledgers", "shard-0")
-            await one.read()
-            await one.write(shard(2))
+            await first.read()
+            await first.write(shard(2))
             platform.get = lagging
-            return await one.read()
+            return await first.read()
 
         assert with_two(scenario) == shard(2)
 
 
 class TestDoubt:
     def test_a_write_without_an_answer_is_in_doubt_until_another_version(self):
-        """A customer gets more than it paid for.
+        """Guards against tokens that are returned to the ledger and spent as well.
 
-        A write gave tokens back and its answer was lost; the process took that for
-        refused and spent them, then the write was done after all.
+        A write returns tokens and its answer is lost.  The process must not spend them
+        as if the write had been refused: it may succeed later.
         """
 
-        async def scenario(platform, one, other):
+        async def scenario(platform, first, second):
             async def silent(kind, name, value, version):
                 raise OutcomeUnknown("no answer")
 
             update, platform.update = platform.update, silent
-            await one.read()
+            await first.read()
             with pytest.raises(OutcomeUnknown):
-                await one.write(shard(2))
+                await first.write(shard(2))
             platform.update = update
-            await one.read()
-            before = one.in_doubt, one.writes_superseded
-            await other.write(shard(3))
-            await one.read()
-            return before, (one.in_doubt, one.writes_superseded)
+            await first.read()
+            before = first.in_doubt, first.writes_superseded
+            await second.write(shard(3))
+            await first.read()
+            return before, (first.in_doubt, first.writes_superseded)
 
         assert with_two(scenario) == ((True, False), (False, True))
 
-    def test_a_write_that_was_done_without_an_answer_is_found(self):
-        async def scenario(platform, one, other):
+    def test_a_successful_write_without_an_answer_is_detected(self):
+        async def scenario(platform, first, second):
             platform.switches.lost_answers = 1
-            await one.read()
+            await first.read()
             with pytest.raises(OutcomeUnknown):
-                await one.write(shard(2))
-            return await one.read(), one.in_doubt
+                await first.write(shard(2))
+            return await first.read(), first.in_doubt
 
         assert with_two(scenario) == (shard(2), False)
 
 
-def test_an_older_read_does_not_make_a_late_write_void():
-    """A customer gets more than it paid for: a write that was late is taken for void.
+def test_an_older_read_does_not_supersede_a_late_write():
+    """Guards against overspending when a late write counts as refused.
 
-    Its answer was lost; then a lagging copy was read and a write on top of that
-    refused, and what the refusal brought was later than *that* write only.
+    The answer of the write is lost.  Then an outdated copy is read and a write that is
+    conditional on it refused.  The ledgers that come with the refusal are of a later
+    version than that of the second write only.
     """
 
-    async def scenario(platform, one, other):
-        await one.read()
+    async def scenario(platform, first, second):
+        await first.read()
         old = await platform.get("customer-ledgers", "shard-0")
-        await other.read()
-        await other.write(shard(2))
+        await second.read()
+        await second.write(shard(2))
         newest = await platform.get("customer-ledgers", "shard-0")
-        await one.read(stale=False)
+        await first.read(stale=False)
 
         async def silent(*args):
             raise OutcomeUnknown("no answer")
 
         platform.update, update = silent, platform.update
         with pytest.raises(OutcomeUnknown):
-            await one.write(shard(3))
+            await first.write(shard(3))
         platform.update = update
 
         async def lagging(kind, name, *, stale=False):
             return old if stale else newest
 
         platform.get = lagging
-        await one.read()
+        await first.read()
         with pytest.raises(VersionConflict):
-            await one.write(shard(4))
-        await one.read()
-        return one.writes_superseded
+            await first.write(shard(4))
+        await first.read()
+        return first.writes_superseded
 
     assert not with_two(scenario)
--- a/tests/ingress/test_load_reports.py
+++ b/tests/ingress/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Who is sent a report of loads, and how long one holds."""
+"""Which peers get a report of loads, and how long a report is valid."""
 
 import msgspec
 
@@ -17,18 +17,21 @@
 BUSY = msgspec.structs.replace(IDLE, load_by_upstream={"u1": LOAD})
 
 
-def test_reports_of_one_process_a_second_stay_bounded():
+def test_the_report_rate_of_one_process_is_bounded():
     for peers in (5, 68, 1000):
         assert peers / round_seconds(peers) <= PEERS_AT_FULL_RATE / REPORT_SECONDS
 
 
-def test_a_report_holds_until_the_next_one_comes():
-    """A burst is placed twice over: with 68 processes loads lapsed between reports."""
+def test_a_report_is_valid_until_the_next_one():
+    """Guards against loads that expire between the reports of a large fleet.
+
+    With 68 processes a burst was assigned twice over.
+    """
     for peers in (5, 68, 1000):
         assert hold_seconds(peers) >= 2 * round_seconds(peers)
 
 
-def test_an_idle_process_reports_that_once():
+def test_an_idle_process_sends_one_empty_report():
     reports = LoadReports()
     assert reports.mark_due("b", BUSY, 0.0)
     assert reports.mark_due("b", IDLE, 1.0)
@@ -37,15 +40,15 @@
     assert reports.mark_due("b", IDLE, 1.0 + IDLE_REPORT_SECONDS)
 
 
-def test_a_peer_that_is_heard_again_is_sent_one():
-    """A restarted peer could not answer: it did not know this process's address."""
+def test_a_peer_with_a_new_link_gets_a_report():
+    """Guards against a restarted peer that lacks the address of this process."""
     reports = LoadReports()
     reports.mark_due("b", IDLE, 0.0)
     reports.discard("b")
     assert reports.mark_due("b", IDLE, 0.1)
 
 
-def test_what_peers_decide_by_is_reported_at_once():
+def test_changes_that_peers_decide_by_are_reported_immediately():
     reports = LoadReports()
     reports.mark_due("b", IDLE, 0.0)
     slow = msgspec.structs.replace(IDLE, writing_step=3)
--- a/tests/ingress/test_relaying.py
+++ b/tests/ingress/test_relaying.py
@@ -1,4 +1,4 @@
-"""Calls of the platform round a cut: the same outcomes as straight ones."""
+"""Platform calls through a peer: the same outcomes as direct ones."""
 
 import curio
 import pytest
@@ -17,33 +17,33 @@
 KIND = "ledgers"
 
 
-class CutOff(LocalPlatform):
-    """The straight way, which a test may cut; its objects are another's."""
+class PartitionedPlatform(LocalPlatform):
+    """A connection to another platform that a test can interrupt."""
 
-    def __init__(self, whole):
+    def __init__(self, shared):
         super().__init__()
-        self.whole = whole
-        self.cut = True
+        self.shared = shared
+        self.partitioned = True
         self.calls = 0
 
     async def get(self, kind, name, *, stale=False):
         self.calls += 1
-        if self.cut:
-            raise PlatformUnavailable("cut off")
-        return await self.whole.get(kind, name)
+        if self.partitioned:
+            raise PlatformUnavailable("partitioned")
+        return await self.shared.get(kind, name)
 
     async def create(self, kind, name, value):
-        return await self._straight(self.whole.create(kind, name, value))
+        return await self._direct(self.shared.create(kind, name, value))
 
-    async def _straight(self, call):
-        if self.cut:
+    async def _direct(self, call):
+        if self.partitioned:
             call.close()
-            raise PlatformUnavailable("cut off")
+            raise PlatformUnavailable("partitioned")
         return await call
 
 
 class PeerLink:
-    """A link to a peer that makes calls on a platform of its own."""
+    """A link to a peer that executes calls on its own platform."""
 
     def __init__(self, name, platform, *, loses_answers=False, broken=False):
         self.name = name
@@ -54,54 +54,54 @@
 
     async def send(self, call):
         if self.broken:
-            raise LinkLost("gone")
+            raise LinkLost("link is down")
         self.calls += 1
         answer = await execute_call(self.platform, call)
         if not self.loses_answers:
             await self.client.receive_answer(answer)
 
 
-def relayed(scenario, *links_of, cut=True):
-    """Run ``await scenario(client, whole, direct, links)`` with these peers."""
+def run_relayed(scenario, *new_links, partitioned=True):
+    """Run ``await scenario(client, shared, direct, links)`` with these peers."""
 
     async def main():
-        whole = LocalPlatform()
-        direct = CutOff(whole)
-        direct.cut = cut
-        links = [new(whole) for new in links_of]
+        shared = LocalPlatform()
+        direct = PartitionedPlatform(shared)
+        direct.partitioned = partitioned
+        links = [new_link(shared) for new_link in new_links]
         client = RelayedPlatform(direct=direct, relays=lambda: links)
         for link in links:
             link.client = client
-        return await scenario(client, whole, direct, links)
+        return await scenario(client, shared, direct, links)
 
     return curio.run(main)
 
 
-def good(whole):
-    return PeerLink("good", whole)
+def good(shared):
+    return PeerLink("good", shared)
 
 
-def mute(whole):
-    return PeerLink("mute", whole, loses_answers=True)
+def silent(shared):
+    return PeerLink("silent", shared, loses_answers=True)
 
 
-def gone(whole):
-    return PeerLink("gone", whole, broken=True)
+def disconnected(shared):
+    return PeerLink("disconnected", shared, broken=True)
 
 
-def cut_off_too(whole):
-    return PeerLink("cut", CutOff(whole))
+def partitioned_too(shared):
+    return PeerLink("partitioned", PartitionedPlatform(shared))
 
 
 class TestRelaying:
     def test_reads_writes_and_watches_go_through_a_peer(self):
-        """Budgets can't be renewed for the length of a cut.
+        """Guards against budgets that can't be renewed in a partition.
 
-        All entry instances lost the platform; the instances beside the upstreams
-        still reached it.
+        All ingress instances are disconnected from the platform, while the instances
+        beside the upstreams still reach it.
         """
 
-        async def scenario(client, whole, direct, links):
+        async def scenario(client, shared, direct, links):
             version = await client.create(KIND, "a", b"{}")
             stored = await client.get(KIND, "a")
             assert (stored.value, stored.version) == (b"{}", version)
@@ -112,74 +112,74 @@
             assert [change.version for change in changes.changes] == [later]
             assert await client.get(KIND, "none") is None
 
-        relayed(scenario, good)
+        run_relayed(scenario, good)
 
-    def test_conflicts_come_back_as_they_are(self):
-        async def scenario(client, whole, direct, links):
+    def test_conflicts_are_raised_as_by_a_direct_call(self):
+        async def scenario(client, shared, direct, links):
             version = await client.create(KIND, "a", b"{}")
             with pytest.raises(AlreadyExists):
                 await client.create(KIND, "a", b"{}")
             with pytest.raises(VersionConflict):
                 await client.update(KIND, "a", b"{}", version + 1)
 
-        relayed(scenario, good)
+        run_relayed(scenario, good)
 
-    def test_a_write_whose_answer_a_peer_lost_is_unknown(self, monkeypatch):
-        """A budget is drawn twice: the first draw was taken for not done.
+    def test_a_write_whose_relayed_answer_is_lost_is_unknown(self, monkeypatch):
+        """Guards against a second withdrawal from a budget.
 
-        The peer had written, and its answer was lost on the way back.
+        The peer writes and its answer is lost, so the write may not count as failed.
         """
         monkeypatch.setattr(relaying, "ANSWER_TIMEOUT_SECONDS", 0.05)
 
-        async def scenario(client, whole, direct, links):
+        async def scenario(client, shared, direct, links):
             with pytest.raises(OutcomeUnknown):
                 await client.create(KIND, "a", b"{}")
-            assert whole.peek(KIND, "a") is not None
+            assert shared.peek(KIND, "a") is not None
             assert links[1].calls == 0
 
-        relayed(scenario, mute, good)
+        run_relayed(scenario, silent, good)
 
-    @pytest.mark.parametrize("first", [gone, cut_off_too])
-    def test_a_peer_that_can_not_help_is_passed_over(self, first):
-        async def scenario(client, whole, direct, links):
+    @pytest.mark.parametrize("first", [disconnected, partitioned_too])
+    def test_a_peer_without_the_platform_is_skipped(self, first):
+        async def scenario(client, shared, direct, links):
             await client.create(KIND, "a", b"{}")
             await client.get(KIND, "a")
             return links[0].calls
 
-        assert relayed(scenario, first, good) <= 1
+        assert run_relayed(scenario, first, good) <= 1
 
-    def test_without_any_way_the_platform_is_unavailable(self):
-        async def scenario(client, whole, direct, links):
+    def test_without_a_direct_call_or_a_relay_it_is_unavailable(self):
+        async def scenario(client, shared, direct, links):
             with pytest.raises(PlatformUnavailable):
                 await client.create(KIND, "a", b"{}")
-            assert whole.peek(KIND, "a") is None
+            assert shared.peek(KIND, "a") is None
 
-        relayed(scenario, cut_off_too, cut_off_too)
+        run_relayed(scenario, partitioned_too, partitioned_too)
 
-    def test_the_straight_way_is_taken_again_once_it_is_back(self, monkeypatch):
+    def test_calls_are_direct_again_after_a_successful_probe(self, monkeypatch):
         monkeypatch.setattr(relaying, "PROBE_SECONDS", 0.02)
 
-        async def scenario(client, whole, direct, links):
-            looking = await curio.spawn(client.run, daemon=True)
+        async def scenario(client, shared, direct, links):
+            probing = await curio.spawn(client.run, daemon=True)
             await client.create(KIND, "a", b"{}")
-            direct.cut = False
+            direct.partitioned = False
             await curio.sleep(0.1)
             calls = links[0].calls
             await client.get(KIND, "a")
-            await looking.cancel()
+            await probing.cancel()
             return calls, links[0].calls
 
-        before, after = relayed(scenario, good)
+        before, after = run_relayed(scenario, good)
         assert before == after == 1
 
-    def test_after_a_write_without_an_answer_a_peer_is_asked(self):
-        """Callers wait half a second for tokens when all processes are cut off.
+    def test_the_call_after_a_write_without_an_answer_is_relayed(self):
+        """Guards against callers that wait 0.5 s for tokens in a partition.
 
-        The write hung until its timeout; its writer then looked at the ledger, and
-        that call hung on the same dead connection.
+        The write hangs until its timeout.  A direct read of the ledger after it would
+        hang on the same broken connection.
         """
 
-        async def scenario(client, whole, direct, links):
+        async def scenario(client, shared, direct, links):
             async def hanging(kind, name, value):
                 raise OutcomeUnknown("no answer")
 
@@ -189,12 +189,12 @@
             await client.get(KIND, "surco")
             return direct.calls, links[0].calls
 
-        assert relayed(scenario, good, cut=False) == (0, 1)
+        assert run_relayed(scenario, good, partitioned=False) == (0, 1)
 
-    def test_while_the_straight_way_works_no_peer_is_asked(self):
-        async def scenario(client, whole, direct, links):
+    def test_while_direct_calls_work_no_call_is_relayed(self):
+        async def scenario(client, shared, direct, links):
             await client.create(KIND, "a", b"{}")
             await client.get(KIND, "a")
             return links[0].calls
 
-        assert relayed(scenario, good, cut=False) == 0
+        assert run_relayed(scenario, good, partitioned=False) == 0
--- a/tests/ingress/test_renewals.py
+++ b/tests/ingress/test_renewals.py
@@ -1,4 +1,4 @@
-"""One write of the ledgers for several processes, and what stands in when it fails."""
+"""One write of the ledgers for several processes, and the fallback when it fails."""
 
 import curio
 from tests.ingress.builders import configuration
@@ -17,64 +17,64 @@
 CUSTOMER = "surco"
 PATIENCE = 20.0
 PLATFORM_SECONDS = 0.3
-"""What each write takes where the platform is slow."""
+"""Duration of each write while the platform is slow."""
 
 
-class FakeGroup:
-    """Peers that a test plays: messages go straight to the other's `Renewals`."""
+class FakePeers:
+    """A single peer whose `Renewals` receives all messages directly."""
 
-    def __init__(self, *, place):
-        self.own_place = place
-        self.other = None
-        self.mute = False
+    def __init__(self, *, rank):
+        self.own_rank = rank
+        self.peer = None
+        self.silent = False
         self.avoided = []
-        self.answers = []
+        self.outcomes = []
 
     def rank(self):
-        return self.own_place
+        return self.own_rank
 
     def process_count(self):
         return 2
 
     async def request_renewals(self):
-        handed = None if self.other is None else self.other.receive_renewal_call()
-        if handed is None:
+        delegated = None if self.peer is None else self.peer.receive_renewal_call()
+        if delegated is None:
             return 0
-        await self.owner.receive_renewals(handed)
+        await self.owner.receive_renewals(delegated)
         return 1
 
-    async def delegate(self, handed):
-        if self.other is None:
+    async def delegate(self, delegated):
+        if self.peer is None:
             return None
-        if not self.mute:
-            await self.other.receive_renewals(handed)
+        if not self.silent:
+            await self.peer.receive_renewals(delegated)
         return "other"
 
     async def responds(self, address):
-        return not self.mute
+        return not self.silent
 
     def avoid(self, address):
         self.avoided.append(address)
 
     async def send_outcome(self, holder, answer):
-        self.answers.append(answer)
-        if self.other is not None and not self.mute:
-            await self.other.receive_renewals_written(answer)
+        self.outcomes.append(answer)
+        if self.peer is not None and not self.silent:
+            await self.peer.receive_renewals_written(answer)
 
 
 class Process:
     """One process with a slice, without links."""
 
-    def __init__(self, platform, *, name, place):
+    def __init__(self, platform, *, name, rank):
         self.allowances = Allowances(holder=f"{name}/1", started=read_clocks())
-        self.group = FakeGroup(place=place)
+        self.peers = FakePeers(rank=rank)
         self.renewals = Renewals(
             platform=platform,
             allowances=self.allowances,
             clocks=read_clocks,
-            peers=self.group,
+            peers=self.peers,
         )
-        self.group.owner = self.renewals
+        self.peers.owner = self.renewals
         customers = (Customer(name=CUSTOMER, keys=("k",), prepaid=100_000),)
         table = RoutingTable(configuration=configuration(1, customers=customers))
         self.renewals.configure(table)
@@ -89,7 +89,7 @@
             await curio.sleep(0.005)
 
     async def served(self, tokens):
-        """Wait as a request does for so many tokens."""
+        """Wait for so many tokens, as a request does."""
         self.account.waiting += tokens
         while self.account.reserve(tokens) is None:
             await self.renewals.wake()
@@ -102,33 +102,33 @@
 
     async def main():
         platform = LocalPlatform()
-        first = Process(platform, name="a", place=0)
-        second = Process(platform, name="b", place=1)
+        first = Process(platform, name="a", rank=0)
+        second = Process(platform, name="b", rank=1)
         try:
             async with curio.timeout_after(PATIENCE):
-                for one, other in ((first, second), (second, first)):
-                    await one.start()
-                    one.group.other = other.renewals
+                for process, peer in ((first, second), (second, first)):
+                    await process.start()
+                    process.peers.peer = peer.renewals
                 return await scenario(platform, first, second)
         finally:
-            for one in (first, second):
-                await one.task.cancel()
+            for process in (first, second):
+                await process.task.cancel()
 
     return curio.run(main)
 
 
-def test_a_process_that_is_written_for_does_not_write():
-    """The calls of the platform grow with the square of the processes."""
+def test_a_process_whose_peer_writes_for_it_does_not_write():
+    """Guards against platform calls that grow with the square of the processes."""
 
     async def scenario(platform, first, second):
-        while not first.group.answers:
+        while not first.peers.outcomes:
             await curio.sleep(0.01)
         before = second.renewals.read_at
         while second.renewals.read_at == before:
             await curio.sleep(0.01)
         stored = await platform.get(SHARDS_KIND, SHARD_NAME)
         shard = decode_shard(stored.value)
-        return first.group.answers[0], shard, second.allowances.holder
+        return first.peers.outcomes[0], shard, second.allowances.holder
 
     answer, shard, holder = run_two(scenario)
     assert answer.outcome is WriteOutcome.DONE
@@ -136,74 +136,74 @@
     assert holder in shard.stamp_by_holder
 
 
-def test_callers_of_a_process_that_does_not_write_get_their_tokens():
+def test_delegated_renewals_get_callers_their_tokens():
     async def scenario(platform, first, second):
         await second.served(30_000)
-        return first.group.answers
+        return first.peers.outcomes
 
     assert any(answer.outcome is WriteOutcome.DONE for answer in run_two(scenario))
 
 
-def test_a_process_that_gets_no_answer_writes_by_itself():
-    """Callers wait in vain: the process that wrote for all was killed just now."""
+def test_a_process_that_receives_no_outcome_writes_by_itself():
+    """Guards against callers that wait for a first writer that was just killed."""
 
     async def scenario(platform, first, second):
         await first.task.cancel()
-        second.group.mute = True
+        second.peers.silent = True
         await second.served(30_000)
-        return second.group.avoided
+        return second.peers.avoided
 
     assert run_two(scenario)[0] == "other"
 
 
-def test_in_an_outage_who_handed_over_hears_that_nothing_was_done():
+def test_in_an_outage_a_delegating_process_receives_the_failure():
     async def scenario(platform, first, second):
         platform.switches.down = True
-        first.group.answers.clear()
-        handed = second.renewals.receive_renewal_call()
-        await first.renewals.receive_renewals(handed)
-        while not first.group.answers:
+        first.peers.outcomes.clear()
+        delegated = second.renewals.receive_renewal_call()
+        await first.renewals.receive_renewals(delegated)
+        while not first.peers.outcomes:
             await first.renewals.wake()
             await curio.sleep(0.01)
-        return first.group.answers[0], handed
+        return first.peers.outcomes[0], delegated
 
-    answer, handed = run_two(scenario)
-    assert answer.boot == handed.stamp.boot
+    answer, delegated = run_two(scenario)
+    assert answer.boot == delegated.stamp.boot
     assert answer.outcome is not WriteOutcome.DONE
 
 
-def test_what_was_handed_over_is_not_taken_back_before_it_is_void():
-    """A customer gets more than it paid for, by what a process had given back.
+def test_delegated_renewals_are_not_withdrawn_before_they_are_void():
+    """Guards against tokens that are returned to the ledger and spent as well.
 
-    The process handed that over, the platform went away before it heard what
-    became of it, and it spent the tokens; the peer's write had taken effect.
+    A process delegates a renewal that returns tokens, and the platform becomes
+    unreachable before the outcome arrives.  The peer's write may have taken effect.
     """
 
     async def scenario(platform, first, second):
         second.account.recall(1_000)
-        handed = second.renewals.receive_renewal_call()
-        given_back = handed.renewal_by_customer[CUSTOMER].give_back
-        second.group.other = None
+        delegated = second.renewals.receive_renewal_call()
+        returned = delegated.renewal_by_customer[CUSTOMER].give_back
+        second.peers.peer = None
         platform.switches.down = True
         while second.renewals.reachable:
             await curio.sleep(0.01)
-        return given_back, second.account.slice.giving_back
+        return returned, second.account.slice.giving_back
 
-    given_back, kept_back = run_two(scenario)
-    assert kept_back == given_back >= 1_000
+    returned, still_returning = run_two(scenario)
+    assert still_returning == returned >= 1_000
 
 
-def test_nothing_is_taken_back_while_a_write_with_it_is_on_its_way():
-    """A customer gets more than it paid for, by what a process gave back.
+def test_renewals_are_not_withdrawn_during_an_own_write_of_them():
+    """Guards against tokens that are returned to the ledger and spent as well.
 
-    It had handed its renewal over and then written by itself; a peer's answer that
-    nothing was done came before that of the platform, and it spent the tokens.
+    A process delegates a renewal that returns tokens, then writes it by itself.  The
+    peer's answer that it wrote nothing arrives before that of the platform.
     """
 
     async def scenario(platform, first, second):
-        second.group.other = None
+        second.peers.peer = None
         second.account.recall(1_000)
-        handed = second.renewals.receive_renewal_call()
+        delegated = second.renewals.receive_renewal_call()
         update, arrived, answers = platform.update, curio.Event(), curio.Event()
 
         async def slow(*call):
@@ -215,7 +215,9 @@
         platform.update = slow
         await second.renewals.wake()
         await arrived.wait()
-        answer = RenewalsWritten(boot=handed.stamp.boot, outcome=WriteOutcome.NOT_DONE)
+        answer = RenewalsWritten(
+            boot=delegated.stamp.boot, outcome=WriteOutcome.NOT_DONE
+        )
         await second.renewals.receive_renewals_written(answer)
         free = second.account.free
         platform.update = update
@@ -230,7 +232,7 @@
     assert free <= granted
 
 
-def test_a_planned_stop_takes_no_more_part():
+def test_a_stopped_process_delegates_nothing():
     async def scenario(platform, first, second):
         closed = await second.renewals.close()
         return closed, second.renewals.receive_renewal_call()
@@ -238,14 +240,14 @@
     assert run_two(scenario) == (True, None)
 
 
-def test_a_start_bears_ledgers_that_it_cannot_read():
-    """A process ends again and again: another writer's object is no ledger."""
+def test_a_process_keeps_running_with_undecodable_ledgers():
+    """Guards against repeated crashes when the stored object is no ledger."""
 
     async def main():
         platform = LocalPlatform()
         await platform.create(SHARDS_KIND, SHARD_NAME, b"no ledger")
-        one = Process(platform, name="b", place=1)
-        task = await curio.spawn(one.renewals.run, daemon=True)
+        process = Process(platform, name="b", rank=1)
+        task = await curio.spawn(process.renewals.run, daemon=True)
         await curio.sleep(0.7)
         ended = task.terminated
         await task.cancel()
@@ -254,8 +256,8 @@
     assert not curio.run(main)
 
 
-class SharedGroup:
-    """Processes that hear each other; each answers the others at once."""
+class SharedPeers:
+    """Processes that reach each other and receive each message immediately."""
 
     def __init__(self, processes, index):
         self.processes_by_index = processes
@@ -265,26 +267,26 @@
     def process_count(self):
         return len(self.processes_by_index)
 
-    def _before(self):
+    def _preceding(self):
         now = read_clocks().monotonic
         return [
-            other
-            for other in range(self.index)
-            if self.avoided_until.get(other, 0.0) <= now
+            peer
+            for peer in range(self.index)
+            if self.avoided_until.get(peer, 0.0) <= now
         ]
 
     def rank(self):
-        return len(self._before())
+        return len(self._preceding())
 
     async def request_renewals(self):
         return 0
 
-    async def delegate(self, handed):
-        before = self._before()
-        if not before:
+    async def delegate(self, delegated):
+        preceding = self._preceding()
+        if not preceding:
             return None
-        await self.processes_by_index[before[0]].renewals.receive_renewals(handed)
-        return str(before[0])
+        await self.processes_by_index[preceding[0]].renewals.receive_renewals(delegated)
+        return str(preceding[0])
 
     async def responds(self, address):
         return True
@@ -299,8 +301,8 @@
         )
 
 
-def test_a_writer_that_lives_is_left_to_write_however_slow_the_platform_is():
-    """Guards against a second write, which voids the first one, while it is slow."""
+def test_no_fallback_writes_while_a_live_writer_waits_for_a_slow_platform():
+    """Guards against a second write that voids the first one in progress."""
 
     async def scenario(platform, first, second):
         update, writes = platform.update, []
@@ -313,20 +315,20 @@
         platform.update = slow
         begun = read_clocks().monotonic
         await second.served(20_000)
-        return second.group.avoided, len(writes), read_clocks().monotonic - begun
+        return second.peers.avoided, len(writes), read_clocks().monotonic - begun
 
-    avoided, writes, took = run_two(scenario)
+    avoided, writes, seconds = run_two(scenario)
     assert avoided == []
     assert writes <= 3
-    assert took < 1.5
+    assert seconds < 1.5
 
 
-def test_a_slow_platform_is_not_written_to_by_all():
-    """Callers wait for as long as a cut lasts: each process writes by itself.
+def test_a_slow_platform_limits_the_rate_of_fallback_writes():
+    """Guards against writes that void each other while the platform is slow.
 
-    Answers of the platform take 0.3 s, longer than it takes a process to take the one
-    that writes for it for dead.  Each write voids all others, and each refusal brings
-    the ledgers to one more process.
+    A write takes 0.3 s, longer than the wait for the outcome of a delegation.  If each
+    process then wrote by itself, each write would void all others, and each refusal
+    would send the ledgers to one more process.
     """
     count, seconds = 24, 4.0
 
@@ -334,30 +336,30 @@
         platform = LocalPlatform()
         processes = []
         for index in range(count):
-            one = Process(platform, name=str(index), place=0)
-            one.group = one.renewals._peers = SharedGroup(processes, index)
-            processes.append(one)
-        tasks = [await curio.spawn(one.start) for one in processes]
+            process = Process(platform, name=str(index), rank=0)
+            process.peers = process.renewals._peers = SharedPeers(processes, index)
+            processes.append(process)
+        tasks = [await curio.spawn(process.start) for process in processes]
         async with curio.timeout_after(PATIENCE):
             for task in tasks:
                 await task.join()
-        update, tries = platform.update, []
+        update, attempts = platform.update, []
 
         async def slow(*call):
-            tries.append(read_clocks().monotonic)
+            attempts.append(read_clocks().monotonic)
             await curio.sleep(PLATFORM_SECONDS)
             return await update(*call)
 
         platform.update = slow
-        asking = [await curio.spawn(one.served, 2_000) for one in processes]
+        requests = [await curio.spawn(process.served, 2_000) for process in processes]
         await curio.sleep(seconds)
-        for task in [*asking, *(one.task for one in processes)]:
+        for task in [*requests, *(process.task for process in processes)]:
             await task.cancel()
         ended = read_clocks().monotonic
-        return len(tries), sum(at >= ended - 1.0 for at in tries)
+        return len(attempts), sum(at >= ended - 1.0 for at in attempts)
 
-    in_all, in_the_end = curio.run(main)
-    stand_ins = STAND_IN_WRITES_PER_SECOND
-    # Some take the first for dead before they have learnt how long writes take now.
-    assert in_all <= seconds * (3 / PLATFORM_SECONDS + stand_ins)
-    assert in_the_end <= 1 / PLATFORM_SECONDS + stand_ins
+    total, last_second = curio.run(main)
+    fallbacks = STAND_IN_WRITES_PER_SECOND
+    # Some processes time out before their delegation timeout follows the slow writes.
+    assert total <= seconds * (3 / PLATFORM_SECONDS + fallbacks)
+    assert last_second <= 1 / PLATFORM_SECONDS + fallbacks
--- a/tests/ingress/test_writers.py
+++ b/tests/ingress/test_writers.py
@@ -1,4 +1,4 @@
-"""Who writes the ledgers for whom, as far as the links tell."""
+"""Tests of the write order by the links that are up, and of its messages."""
 
 from time import monotonic
 
@@ -42,32 +42,32 @@
 
 
 class TestOrder:
-    def test_a_slow_process_stands_behind_all_quick_ones(self):
+    def test_a_slow_process_ranks_after_all_fast_ones(self):
         assert writers(three(), step=UNREACHABLE_STEP).rank() == 3
 
-    def test_a_process_that_leaves_stands_last_and_hands_over(self):
+    def test_a_stopping_process_ranks_last_and_delegates(self):
         links = three()
-        one = writers(links, leaves=True)
-        assert one.rank() == 3
-        assert curio.run(one.delegate, RenewalCall()) in links
-
-    def test_a_peer_that_leaves_or_was_mute_is_not_counted(self):
-        one = writers(three(), step=UNREACHABLE_STEP)
-        one.record_leaving("peer0:1", leaving=True)
-        one.avoid("peer1:1")
-        assert one.rank() == 1
-        one.record_leaving("peer0:1", leaving=False)
-        assert one.rank() == 2
-
-    def test_a_peer_that_is_no_longer_heard_is_not_counted(self):
+        order = writers(links, leaves=True)
+        assert order.rank() == 3
+        assert curio.run(order.delegate, RenewalCall()) in links
+
+    def test_a_stopping_or_avoided_peer_is_not_counted(self):
+        order = writers(three(), step=UNREACHABLE_STEP)
+        order.record_leaving("peer0:1", leaving=True)
+        order.avoid("peer1:1")
+        assert order.rank() == 1
+        order.record_leaving("peer0:1", leaving=False)
+        assert order.rank() == 2
+
+    def test_a_peer_whose_link_is_down_is_not_counted(self):
         links = three()
-        one = writers(links, step=UNREACHABLE_STEP)
+        order = writers(links, step=UNREACHABLE_STEP)
         del links["peer0:1"]
-        assert one.rank() == 2
+        assert order.rank() == 2
 
 
 class EchoingLink(FakeLink):
-    """A link over which a heartbeat is echoed after a while, or never."""
+    """A link whose peer echoes a heartbeat after `echoes_after` seconds, or never."""
 
     def __init__(self, *, echoes_after=None):
         super().__init__()
@@ -85,37 +85,37 @@
 
 
 class TestProbes:
-    def test_a_process_that_echoes_a_heartbeat_lives(self):
+    def test_a_process_that_echoes_a_heartbeat_is_live(self):
         links = {"peer0:1": EchoingLink(echoes_after=0.02)}
         assert curio.run(writers(links).responds, "peer0:1")
 
-    def test_one_that_was_heard_only_before_counts_as_dead(self):
-        """Guards against callers who wait for a process that was just killed."""
+    def test_a_process_without_an_echo_since_the_probe_is_not_live(self):
+        """Guards against callers that wait for a process that was just killed."""
         links = {"peer0:1": EchoingLink()}
         assert not curio.run(writers(links).responds, "peer0:1")
 
-    def test_one_without_a_link_counts_as_dead(self):
+    def test_a_process_without_a_link_is_not_live(self):
         assert not curio.run(writers({}).responds, "peer0:1")
 
 
-class TestHandingOver:
-    def test_the_first_of_all_hands_over_to_nobody(self):
+class TestDelegation:
+    def test_the_first_writer_delegates_to_nobody(self):
         assert curio.run(writers({}).delegate, RenewalCall()) is None
 
-    def test_what_could_not_be_sent_was_not_handed_over(self):
-        """Callers wait for tokens that nobody was asked for."""
+    def test_renewals_that_could_not_be_sent_are_not_delegated(self):
+        """Guards against callers that wait for renewals that nobody received."""
         links = {"peer0:1": FakeLink(broken=True)}
-        one = writers(links, step=UNREACHABLE_STEP)
-        assert curio.run(one.delegate, RenewalCall()) is None
+        order = writers(links, step=UNREACHABLE_STEP)
+        assert curio.run(order.delegate, RenewalCall()) is None
 
-    def test_all_are_called_and_a_holder_is_told_by_its_name(self):
+    def test_all_peers_get_a_request_and_a_holder_its_outcome(self):
         links = three()
-        one = writers(links)
-        assert curio.run(one.request_renewals) == 3
-        curio.run(one.send_outcome, "node-peer1:1/0a1b", WRITTEN)
+        order = writers(links)
+        assert curio.run(order.request_renewals) == 3
+        curio.run(order.send_outcome, "node-peer1:1/0a1b", WRITTEN)
         assert [len(link.sent) for link in links.values()] == [1, 2, 1]
 
-    def test_a_holder_that_is_not_known_is_told_nothing(self):
+    def test_an_unknown_holder_gets_no_outcome(self):
         links = three()
         curio.run(writers(links).send_outcome, "stranger/0a1b", WRITTEN)
         assert not any(link.sent for link in links.values())
