--- a/src/ragwortkeel/ingress/renewals.py
+++ b/src/ragwortkeel/ingress/renewals.py
@@ -1,12 +1,13 @@
-"""Renews all customers' slices: one write of the ledgers for many processes.
+"""Renewal of all customers' slices; one write of the ledgers serves many processes.
 
-`budget.write_order` says who writes when.  Whoever does asks its peers for what they
-have to tell and takes it along; a peer whose callers wait for tokens hands its renewals
-over unasked.  A peer that gets no answer in time writes by itself.
+`budget.write_order` decides which process writes next.  The first writer requests the
+renewals of its peers and writes them together with its own.  A process whose callers
+wait for tokens delegates its renewals without such a request.  A process that receives
+no outcome in time writes by itself.
 
-What makes that safe is the condition of each write, as ever, and `budget.delegation`: a
-message that was held up is void once its sender has written anything later.  Until a
-process knows that, it takes back nothing that it has handed over.
+Each write is conditional on the version of the ledgers that was read.  A delayed
+message with delegated renewals is void once its sender has written anything later, see
+`budget.delegation`.  Until a process knows that, it withdraws no delegated renewal.
 """
 
 from collections.abc import Callable
@@ -18,22 +19,18 @@
 
 from ragwortkeel.budget.account import GROWTH_DELAY_SECONDS
 from ragwortkeel.budget.allowance import Allowances
+from ragwortkeel.budget.renewal_replies import apply_all_delegated
+from ragwortkeel.budget.renewal_replies import customers_to_report
+from ragwortkeel.budget.renewal_replies import failure_reply
+from ragwortkeel.budget.renewal_replies import success_reply
+from ragwortkeel.budget.write_attempts import WriteAttempts
+from ragwortkeel.budget.write_order import RENEWAL_INTERVAL_SECONDS
+from ragwortkeel.budget.write_order import FallbackWriter
+from ragwortkeel.budget.write_order import backoff_seconds
+from ragwortkeel.budget.write_order import latency_class_of
+from ragwortkeel.budget.write_order import write_delay
 from ragwortkeel.budget.clocks import Reading
-from ragwortkeel.budget.renewal_replies import (
-    apply_all_delegated,
-    customers_to_report,
-    failure_reply,
-    success_reply,
-)
 from ragwortkeel.budget.shards import Shard
-from ragwortkeel.budget.write_attempts import WriteAttempts
-from ragwortkeel.budget.write_order import (
-    RENEWAL_INTERVAL_SECONDS,
-    FallbackWriter,
-    backoff_seconds,
-    latency_class_of,
-    write_delay,
-)
 from ragwortkeel.exceptions import (
     AlreadyExists,
     LedgerError,
@@ -52,104 +49,120 @@
 from ragwortkeel.policy.timeouts import AnswerTimeout
 
 RETRY_SECONDS = 0.4
-"""Pause after a failed call: each call is paid for, also in an outage."""
+"""Backoff after a failed call: each call is paid for, also in an outage."""
 
 GATHER_SECONDS = 0.03
-"""How long peers have to answer a call for renewals: 3 ms between availability zones,
-and some processor time.  Who is later is renewed by the next write."""
+"""How long a writer waits for the renewals that it has requested.
+
+Between availability zones a message takes 3 ms, plus processor time.  Renewals that
+arrive later are part of the next write.
+"""
 
 BATCH_SECONDS = 0.02
-"""How long a write for waiting callers lets more of them join it.  Most requests are
-larger than the room that a cap keeps, so with a write each the calls of the platform
-would grow with the requests; against their objectives of 0.3 s and more it is
-little."""
+"""How long a write for waiting callers is delayed to include more of them.
 
-LONGEST_HAND_OVER_SECONDS = 1.0
-"""How long callers' waiting tokens are left to the process that writes for all, at the
-most; less while its answers are quick, see `policy.timeouts`."""
+Most requests exceed the headroom that a cap leaves, so with one write for each, the
+calls of the platform would grow with the requests.  The delay is short against the
+callers' latency objectives of 0.3 s and more.
+"""
 
-HAND_OVER_SECONDS = 0.04
-"""What the first answers are taken to need: a batch, a write and the way."""
+MAX_DELEGATION_SECONDS = 1.0
+"""Longest wait for the outcome of renewals that were delegated for waiting callers.
 
-STEP_SHARE = 0.6
-"""Of the wait for an answer, by which each further process of the order stands in
-later."""
+The wait is shorter while outcomes arrive fast, see `policy.timeouts`.
+"""
 
-IDLE_TICK_SECONDS = 2.0
-"""A process with nothing to renew is written for so often."""
+INITIAL_DELEGATION_SECONDS = 0.04
+"""Assumed time until the first outcome: a batch, a write and the transmission."""
 
-JOIN_SECONDS = 0.3
-"""How long a start waits for its peers before it writes by itself."""
+RANK_DELAY_FRACTION = 0.6
+"""Extra delay of each further process of the write order before it writes.
 
-STAND_IN_LOOK_SECONDS = 0.1
-"""How often a process that nobody answered tries again to hand its renewals over."""
+It is a fraction of the current wait for an outcome.
+"""
 
-WRITE_WEIGHT = 0.3
-"""Of the newest write in the mean time of a write: a link that has become slow shows
-after three."""
+IDLE_RENEWAL_SECONDS = 2.0
+"""How often the stamp of a process with nothing to renew is written."""
 
-LONGEST_WRITE_SECONDS = 1.0
-"""A write counts for so long at the most; a longer one was an outage."""
+START_PEER_WAIT_SECONDS = 0.3
+"""How long a process waits for its peers after its start before it writes."""
 
-GRANTS_SECONDS = 0.05
-"""Pause between writes while a customer has no grant here: callers may wait."""
+DELEGATION_RETRY_SECONDS = 0.1
+"""Wait before the next attempt, after renewals could not be sent to a writer."""
 
-TRIES = 8
-"""Of one write, while others come first; then it pauses, for a random time."""
+WRITE_MEAN_WEIGHT = 0.3
+"""Weight of the newest write in the moving mean of the writes' durations.
 
-TRIES_BESIDE_OTHERS = 2
-"""The same where a peer could write for this process: a refusal shows that one does,
-and a slow process that goes on trying is outrun for seconds."""
+A link that has become slow shows after three writes.
+"""
 
-CLOCKS_WAIT_SECONDS = 1.5
-"""How long a start after a loss of power waits for the clocks of its peers, which
-may start at the same time: it takes them a second.  Without them up to three
-seconds of demand are charged for nothing."""
+MAX_WRITE_SECONDS = 1.0
+"""Upper bound of one write's duration in the mean; a longer one is an outage."""
 
-_CAME_FIRST = (VersionConflict, AlreadyExists, ObjectNotFound)
+GRANT_RETRY_SECONDS = 0.05
+"""Interval of writes while a customer has no grant here: callers may wait."""
 
+MAX_WRITE_ATTEMPTS = 8
+"""Attempts in a row while other processes write first; a random backoff follows."""
 
-class Group(Protocol):
-    """The other processes that renew slices in the same ledgers."""
+MAX_ATTEMPTS_WITH_OTHER_WRITER = 2
+"""Attempts in a row where a peer could write for this process.
 
-    def place(self) -> int:
-        """Return how many of those that are heard come before this one."""
+A refused write shows that a peer is writing, and the attempts of a slow process could
+be refused for seconds.
+"""
 
-    def processes(self) -> int:
-        """Return how many there are, heard now or not, this one included."""
+START_CLOCK_WAIT_SECONDS = 1.5
+"""How long a process waits for its peers' clocks after a loss of power.
 
-    async def call_renewals(self) -> int:
-        """Ask all for their renewals; return how many were asked."""
+Peers that start at the same time need about 1 s.  Without their clocks up to 3 s of
+demand that was never spent are charged.
+"""
 
-    async def hand_over(self, handed: HandedRenewals) -> str | None:
-        """Send renewals to the first of all; return to whom, None if not sent."""
+_CONFLICTS = (VersionConflict, AlreadyExists, ObjectNotFound)
+
+
+class RenewalPeers(Protocol):
+    """The peers that renew slices in the same ledgers."""
+
+    def rank(self) -> int:
+        """Return how many reachable peers precede this process in the write order."""
+
+    def process_count(self) -> int:
+        """Return the number of processes, reachable or not, including this one."""
+
+    async def request_renewals(self) -> int:
+        """Request the renewals of all peers; return the number of requests."""
+
+    async def delegate(self, delegated: HandedRenewals) -> str | None:
+        """Send renewals to the first writer; return its address, None if not sent."""
 
     async def responds(self, address: str) -> bool:
-        """Whether a process lives."""
+        """Return whether a process is live."""
 
     def avoid(self, address: str) -> None:
-        """Hand nothing more to a process for a while: it did not write."""
+        """Delegate nothing to a process for a while, because it did not write."""
 
-    async def answer(self, holder: str, answer: RenewalsWritten) -> None:
-        """Tell a process what became of its renewals."""
+    async def send_outcome(self, holder: str, answer: RenewalsWritten) -> None:
+        """Send a process the outcome of the renewals that it delegated."""
 
 
 class Renewals:
-    """Keeps the slices of one process renewed, by its own or by peers' writes.
+    """Renews the slices of one process, by its own writes or those of peers.
 
     Parameters
     ----------
     platform : Platform
-        Where the ledgers lie.
+        Stores the ledgers.
     clocks : callable
-        Returns a reading of all clocks, with what the fleet knows of the time.
+        Returns a reading of all clocks, with the bounds of fleet time.
 
     Attributes
     ----------
     reachable : bool
-        Whether the last try to renew came to an end in the ledgers.
+        Whether the last renewal with a known outcome reached the ledgers.
     read_at : float
-        Monotonic second at which the ledgers known here were read.
+        Monotonic second at which the newest ledgers known here were read.
     merged : bool
         Whether earlier starts of this process have been charged.
     """
@@ -160,94 +173,94 @@
         platform: Platform,
         allowances: Allowances,
         clocks: Callable[[], Reading],
-        group: Group,
+        peers: RenewalPeers,
     ) -> None:
         self.reachable = True
         self.read_at = float("-inf")
-        self.merged = False
+        self.predecessors_charged = False
         self._allowances = allowances
         self._clocks = clocks
-        self._group = group
+        self._peers = peers
         self._ledgers = LedgerStore(platform=platform)
         self._random = Random(allowances.holder)
         self._table: RoutingTable | None = None
-        self._merges_by = monotonic() + CLOCKS_WAIT_SECONDS
-        self._joins_by = monotonic() + JOIN_SECONDS
-        self._stand_in = FallbackWriter(random=self._random)
-        self._hand_over_timeout = AnswerTimeout(max_seconds=LONGEST_HAND_OVER_SECONDS)
-        self._hand_over_timeout.record_answer(HAND_OVER_SECONDS)
+        self._clocks_awaited_until = monotonic() + START_CLOCK_WAIT_SECONDS
+        self._peers_awaited_until = monotonic() + START_PEER_WAIT_SECONDS
+        self._fallback = FallbackWriter(random=self._random)
+        self._delegation_timeout = AnswerTimeout(max_seconds=MAX_DELEGATION_SECONDS)
+        self._delegation_timeout.record_answer(INITIAL_DELEGATION_SECONDS)
         self._renewed_at = float("-inf")
-        self._called_at = float("-inf")
-        self._waits_until = 0.0
+        self._collected_at = float("-inf")
+        self._backoff_until = 0.0
         self._refusals = 0
-        self._write_seconds = 0.0
-        self._wrote_last = False
+        self._mean_write_seconds = 0.0
+        self._wrote_newest = False
         self._closing = False
         self._tries = WriteAttempts()
-        self._starts: set[float] = set()
-        self._seen: Shard | None = None
-        self._handed_by_holder: dict[str, HandedRenewals] = {}
-        self._asked = 0
-        self._woken = curio.Event()
+        self._start_boots: set[float] = set()
+        self._start_shard: Shard | None = None
+        self._delegated_by_holder: dict[str, HandedRenewals] = {}
+        self._requested_count = 0
+        self._write_requested = curio.Event()
         self._gathered = curio.Event()
         self._changed = curio.Event()
 
     @property
     def writing_step(self) -> int:
-        """How slowly this process writes, for the order of all."""
-        return latency_class_of(self._write_seconds, reachable=self.reachable)
+        """How slowly this process writes, which determines the write order."""
+        return latency_class_of(self._mean_write_seconds, reachable=self.reachable)
 
     def configure(self, table: RoutingTable) -> None:
-        """Take over the budgets of a configuration at the next renewal."""
+        """Set the configuration whose budgets the next renewal applies."""
         self._table = table
 
     def grow(self) -> None:
-        """Let the caps grow with the time since the last try to write."""
+        """Grow the caps by the time since the last attempt that may have succeeded."""
         latest = self._tries.latest
         if latest is not None:
             self._allowances.grow(self._clocks().min_seconds_since(latest))
 
     @property
     def seconds_to_growth(self) -> float:
-        """Seconds until the caps begin to grow, if no renewal comes before."""
+        """Seconds until the caps begin to grow, if no renewal succeeds before."""
         latest = self._tries.latest
         if latest is None:
             return 0.0
         return max(0.0, GROWTH_DELAY_SECONDS - self._clocks().min_seconds_since(latest))
 
     async def wake(self) -> None:
-        """Renew now: callers wait for tokens."""
-        await self._woken.set()
+        """Request a renewal now, because callers wait for tokens."""
+        await self._write_requested.set()
 
-    async def next_change(self, until: float) -> None:
+    async def wait_for_change(self, until: float) -> None:
         """Wait for the next renewal or loan, or until a monotonic second."""
         self._changed.clear()
         async with curio.ignore_after(max(0.0, until - monotonic())):
             await self._changed.wait()
 
-    async def changed(self) -> None:
-        """Let requests that wait look again."""
+    async def notify_waiters(self) -> None:
+        """Wake the requests that wait for tokens."""
         await self._changed.set()
 
     async def run(self) -> None:
         """Renew slices until cancelled."""
         while True:
-            urgent = await self._due()
-            if self._has_a_writer():
-                outcome = await self._written_by_another()
+            urgent = await self._wait_until_due()
+            if self._has_preferred_writer():
+                outcome = await self._try_delegation()
                 if outcome is not WriteOutcome.UNKNOWN:
                     continue
-                if not self._may_stand_in():
+                if not self._may_write_as_fallback():
                     if urgent:
-                        await self._woken.set()
+                        await self._write_requested.set()
                     continue
-            await self._write_for_all(calls=not urgent)
+            await self._write_for_all(requests_renewals=not urgent)
 
     async def close(self) -> bool:
-        """Give all slices back; a request that is still open is charged at its most."""
+        """Return all slices; a request that is still open is charged its maximum."""
         self._closing = True
         self._allowances.charge_open()
-        for refusals in range(TRIES):
+        for refusals in range(MAX_WRITE_ATTEMPTS):
             try:
                 shard = await self._ledgers.read(stale=False)
                 self._allowances.resolve(shard)
@@ -255,77 +268,79 @@
             except VersionConflict:
                 await curio.sleep(backoff_seconds(refusals, self._random))
             except (PlatformUnavailable, OutcomeUnknown) as exc:
-                # What was held stays charged, which is safe; only less is left.
+                # The unspent tokens stay charged: that is safe, but fewer are left.
                 log_warning("slices_not_returned", error=str(exc))
                 return False
             else:
                 log_info("slices_returned", holder=self._allowances.holder)
                 return True
-        log_warning("slices_not_returned", error="others kept writing first")
+        log_warning("slices_not_returned", error="other processes wrote first")
         return False
 
-    # What peers ask and hand over.
+    # Messages of peers.
 
-    def called(self) -> HandedRenewals | None:
-        """Return what a peer that is about to write should take along."""
-        if not self._may_hand_over():
+    def receive_renewal_call(self) -> HandedRenewals | None:
+        """Return the renewals for a peer that is about to write, None for none."""
+        if not self._may_delegate():
             return None
         reading = self._clocks()
-        handed = self._handed(reading, urgent=False)
-        recent = monotonic() - self._renewed_at < IDLE_TICK_SECONDS
-        if self.merged and recent and not handed.renewal_by_customer:
-            self._called_at = monotonic()
+        delegated = self._delegated_renewals(reading, urgent=False)
+        recent = monotonic() - self._renewed_at < IDLE_RENEWAL_SECONDS
+        if self.predecessors_charged and recent and not delegated.renewal_by_customer:
+            self._collected_at = monotonic()
             return None
         self._tries.record_attempt(reading, delegated=True)
-        return handed
+        return delegated
 
-    async def heard(self, handed: HandedRenewals) -> None:
-        """Take in a peer's renewals for the next write."""
-        if not self.reachable and monotonic() < self._waits_until:
-            answer = failure_reply(handed, WriteOutcome.UNREACHABLE)
-            await self._group.answer(handed.holder, answer)
+    async def receive_renewals(self, delegated: HandedRenewals) -> None:
+        """Receive a peer's renewals for the next write."""
+        if not self.reachable and monotonic() < self._backoff_until:
+            answer = failure_reply(delegated, WriteOutcome.UNREACHABLE)
+            await self._peers.send_outcome(delegated.holder, answer)
             return
-        self._handed_by_holder[handed.holder] = handed
-        if len(self._handed_by_holder) >= self._asked:
+        self._delegated_by_holder[delegated.holder] = delegated
+        if len(self._delegated_by_holder) >= self._requested_count:
             await self._gathered.set()
-        if handed.urgent:
-            await self._woken.set()
+        if delegated.urgent:
+            await self._write_requested.set()
 
-    async def written(self, answer: RenewalsWritten) -> None:
-        """Take in what became of renewals that were handed over."""
+    async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
+        """Receive the outcome of delegated renewals."""
         match answer.outcome:
             case WriteOutcome.UNKNOWN:
                 return
             case WriteOutcome.NOT_DONE:
                 self._tries.record_failure(answer.boot)
-                self._withdraw()
-                # A start may be void for what it has not seen of other starts.
-                self._seen = None
+                self._withdraw_renewals()
+                # A `Start` that lacks another start of this process is void.
+                self._start_shard = None
             case WriteOutcome.UNREACHABLE:
                 self._tries.record_failure(answer.boot)
-                self._withdraw()
-                self._note_reachable(False, "said a peer that writes for this one")
-                self._waits_until = monotonic() + RETRY_SECONDS
+                self._withdraw_renewals()
+                self._set_reachable(
+                    False, "reported by the peer that writes for this process"
+                )
+                self._backoff_until = monotonic() + RETRY_SECONDS
             case WriteOutcome.DONE:
-                self._take(answer)
+                self._apply_outcome(answer)
         await self._changed.set()
 
-    def _take(self, answer: RenewalsWritten) -> None:
+    def _apply_outcome(self, answer: RenewalsWritten) -> None:
         now = monotonic()
-        handed = self._tries.get_delegated(answer.boot)
-        if handed is not None:
-            self._allowances.record_renewal_seconds(now - handed.monotonic)
-            self.read_at = handed.monotonic
+        reading = self._tries.get_delegated(answer.boot)
+        if reading is not None:
+            self._allowances.record_renewal_seconds(now - reading.monotonic)
+            self.read_at = reading.monotonic
         self._allowances.receive_written(answer)
-        if handed is not None:
-            self._allowances.record_read(answer.summary_by_customer, handed.monotonic)
-        if not self.merged and answer.boot in self._starts:
-            self.merged = True
-            self._log_predecessors(self._seen)
+        if reading is not None:
+            self._allowances.record_read(answer.summary_by_customer, reading.monotonic)
+        if not self.predecessors_charged and answer.boot in self._start_boots:
+            self.predecessors_charged = True
+            self._log_predecessors(self._start_shard)
         self._tries.record_success(answer.boot)
-        self._wrote_last = False
-        self._note_reachable(True, "")
-        self._called_at = now
+        self._wrote_newest = False
+        self._set_reachable(True, "")
+        self._collected_at = now
         if answer.revision >= self._revision:
             self._renewed_at = now
 
@@ -335,265 +350,285 @@
     def _revision(self) -> int:
         return self._table.configuration.revision if self._table else 0
 
-    def _may_hand_over(self) -> bool:
-        """Whether a write by a peer does all that one by this process would."""
+    def _may_delegate(self) -> bool:
+        """Return whether a peer's write would renew all that an own write would."""
         if self._table is None or self._closing:
             return False
-        if self.merged:
+        if self.predecessors_charged:
             return True
-        # A start has to have seen the ledgers, and to know the time if it may.
-        return self._seen is not None and self._may_merge(self._seen, self._clocks())
+        # After a start the ledgers have to be read first, and the fleet time awaited.
+        return self._start_shard is not None and self._may_charge_predecessors(
+            self._start_shard, self._clocks()
+        )
 
-    def _due_in(self) -> float:
+    def _seconds_until_due(self) -> float:
         now = monotonic()
         if self._table is None or self._closing:
             return RETRY_SECONDS
-        pause = RENEWAL_INTERVAL_SECONDS
-        if self._may_hand_over():
-            step = STEP_SHARE * self._hand_over_timeout.seconds
-            pause = write_delay(self._group.place(), rank_delay_seconds=step)
+        interval = RENEWAL_INTERVAL_SECONDS
+        if self._may_delegate():
+            delay = RANK_DELAY_FRACTION * self._delegation_timeout.seconds
+            interval = write_delay(self._peers.rank(), rank_delay_seconds=delay)
         elif self._awaits_peers(now):
-            return min(GRANTS_SECONDS, self._joins_by - now)
-        elif self._allowances.lacks_grants(_prepaid(self._table)):
-            pause = GRANTS_SECONDS
-        renewed_at = max(self._renewed_at, self._called_at)
-        return max(renewed_at + pause, self._waits_until) - now
+            return min(GRANT_RETRY_SECONDS, self._peers_awaited_until - now)
+        elif self._allowances.lacks_grants(_prepaid_by_customer(self._table)):
+            interval = GRANT_RETRY_SECONDS
+        renewed_at = max(self._renewed_at, self._collected_at)
+        return max(renewed_at + interval, self._backoff_until) - now
 
     def _awaits_peers(self, now: float) -> bool:
-        """Whether this process has just started and may soon hear its peers."""
-        unheard = not self._group.place() and self._group.processes() > 1
-        return not self.merged and unheard and now < self._joins_by
+        """Return whether to wait for the first links to peers after the start."""
+        no_peer_reachable = not self._peers.rank() and self._peers.process_count() > 1
+        return (
+            not self.predecessors_charged
+            and no_peer_reachable
+            and now < self._peers_awaited_until
+        )
 
-    async def _due(self) -> bool:
-        """Wait until this process has to write; return whether callers wait."""
-        while (seconds := self._due_in()) > 0:
+    async def _wait_until_due(self) -> bool:
+        """Wait until a write is due; return whether callers wait for it."""
+        while (seconds := self._seconds_until_due()) > 0:
             async with curio.ignore_after(seconds):
-                await self._woken.wait()
-            if self._woken.is_set() and self._table is not None:
-                backoff = max(0.0, self._waits_until - monotonic())
+                await self._write_requested.wait()
+            if self._write_requested.is_set() and self._table is not None:
+                backoff = max(0.0, self._backoff_until - monotonic())
                 await curio.sleep(backoff)
                 break
-        urgent = self._woken.is_set()
-        self._woken.clear()
+        urgent = self._write_requested.is_set()
+        self._write_requested.clear()
         return urgent
 
-    # Handing over.
+    # Delegation.
 
-    def _handed(self, reading: Reading, *, urgent: bool) -> HandedRenewals:
+    def _delegated_renewals(self, reading: Reading, *, urgent: bool) -> HandedRenewals:
         start = None
-        if not self.merged:
-            start = self._allowances.start(self._seen)
-            self._starts.add(reading.boot)
+        if not self.predecessors_charged:
+            start = self._allowances.start(self._start_shard)
+            self._start_boots.add(reading.boot)
         return self._allowances.delegate_renewals(reading, urgent=urgent, start=start)
 
-    def _has_a_writer(self) -> bool:
-        """Whether another process is to write for this one.
+    def _has_preferred_writer(self) -> bool:
+        """Return whether another process is to write for this one.
 
-        Not where peers have handed their renewals over to this process.
+        That is never the case while peers have delegated their renewals to this one.
         """
-        return not self._handed_by_holder and self._group.place() > 0
-
-    async def _written_by_another(self) -> WriteOutcome:
-        """Let the first of all write; return what became of it."""
-        if not self.merged and self._seen is None and not await self._read_ledgers():
+        return not self._delegated_by_holder and self._peers.rank() > 0
+
+    async def _try_delegation(self) -> WriteOutcome:
+        """Delegate to the first writer as soon as possible; return the outcome."""
+        if (
+            not self.predecessors_charged
+            and self._start_shard is None
+            and not await self._read_ledgers()
+        ):
             return WriteOutcome.UNREACHABLE
-        if not self._may_hand_over():
-            await curio.sleep(GRANTS_SECONDS)
+        if not self._may_delegate():
+            await curio.sleep(GRANT_RETRY_SECONDS)
             return WriteOutcome.UNKNOWN
-        outcome = await self._hand_over()
+        outcome = await self._delegate()
         if outcome is not WriteOutcome.UNKNOWN:
-            self._stand_in.reset()
+            self._fallback.reset()
         return outcome
 
-    def _may_stand_in(self) -> bool:
-        processes = self._group.processes()
-        return self._stand_in.may_write(processes=processes, now=monotonic())
+    def _may_write_as_fallback(self) -> bool:
+        processes = self._peers.process_count()
+        return self._fallback.may_write(processes=processes, now=monotonic())
 
     async def _read_ledgers(self) -> bool:
-        """Read the ledgers, which a start has to know; return whether it could."""
+        """Read the ledgers after a start; return whether that succeeded."""
         try:
-            self._seen = await self._ledgers.read(stale=False)
+            self._start_shard = await self._ledgers.read(stale=False)
         except PlatformUnavailable as exc:
-            self._note_reachable(False, str(exc))
-            self._waits_until = monotonic() + RETRY_SECONDS
+            self._set_reachable(False, str(exc))
+            self._backoff_until = monotonic() + RETRY_SECONDS
             return False
         except LedgerError as exc:
             log_error("renewal_failed", error=repr(exc))
-            self._waits_until = monotonic() + RETRY_SECONDS
+            self._backoff_until = monotonic() + RETRY_SECONDS
             return False
-        self._allowances.resolve(self._seen)
+        self._allowances.resolve(self._start_shard)
         return True
 
-    async def _hand_over(self) -> WriteOutcome:
-        """Let the first of all write; return what became of it, if it answered."""
+    async def _delegate(self) -> WriteOutcome:
+        """Delegate to the first writer; return the outcome, if it arrives in time."""
         reading = self._clocks()
-        handed = self._handed(reading, urgent=True)
+        delegated = self._delegated_renewals(reading, urgent=True)
         self._tries.record_attempt(reading, delegated=True)
         boot, begun = reading.boot, monotonic()
-        writer = await self._group.hand_over(handed)
+        writer = await self._peers.delegate(delegated)
         if writer is None:
             self._tries.record_failure(boot)
-            await curio.sleep(STAND_IN_LOOK_SECONDS)
+            await curio.sleep(DELEGATION_RETRY_SECONDS)
             return WriteOutcome.UNKNOWN
-        patience = self._hand_over_timeout.seconds
-        answered = await self._answered_by(boot, begun + patience)
-        if not answered and await self._group.responds(writer):
-            # It writes, and the platform or the way there is slow.  Another process
-            # would be no quicker, and its write would void this one's.
-            patience = LONGEST_HAND_OVER_SECONDS
-            answered = await self._answered_by(boot, begun + patience)
+        wait_seconds = self._delegation_timeout.seconds
+        answered = await self._wait_for_outcome(boot, begun + wait_seconds)
+        if not answered and await self._peers.responds(writer):
+            # The writer is live, so the platform or the link to it is slow.  A write by
+            # another process would be as slow, and it would void the running one.
+            wait_seconds = MAX_DELEGATION_SECONDS
+            answered = await self._wait_for_outcome(boot, begun + wait_seconds)
         if answered:
-            self._hand_over_timeout.record_answer(monotonic() - begun)
+            self._delegation_timeout.record_answer(monotonic() - begun)
             return WriteOutcome.DONE
-        log_info("renewals_unanswered", writer=writer, seconds=round(patience, 3))
-        self._hand_over_timeout.record_timeout()
-        self._group.avoid(writer)
+        log_info("renewals_unanswered", writer=writer, seconds=round(wait_seconds, 3))
+        self._delegation_timeout.record_timeout()
+        self._peers.avoid(writer)
         return WriteOutcome.UNKNOWN
 
-    async def _answered_by(self, boot: float, until: float) -> bool:
-        """Wait for the answer to a hand-over, at most until a monotonic second."""
+    async def _wait_for_outcome(self, boot: float, until: float) -> bool:
+        """Wait for the outcome of a delegation, at most until a monotonic second."""
         while self._tries.get_delegated(boot) and monotonic() < until:
-            await self.next_change(until)
+            await self.wait_for_change(until)
         return not self._tries.get_delegated(boot)
 
-    def _withdraw(self) -> None:
-        """Take back what certainly was not written and never will be.
+    def _withdraw_renewals(self) -> None:
+        """Withdraw the renewals that certainly were and will be written by nobody.
 
-        Tokens on their way back are still here then: callers need them in an outage.
-        A peer's answer may come while a write of this process is on its way with the
-        same renewals; what that gives back would be spent here as well.
+        The tokens that they would return are usable again: callers need them in an
+        outage.  Nothing is withdrawn while an own write with the same renewals may
+        still succeed: the tokens that it returns would be spent here as well.
         """
         if not self._ledgers.in_doubt and not self._tries.any_open:
             self._allowances.withdraw()
 
     # Writing.
 
-    async def _write_for_all(self, *, calls: bool) -> None:
+    async def _write_for_all(self, *, requests_renewals: bool) -> None:
         begun = monotonic()
-        if calls and self.reachable and self._may_hand_over():
-            await self._gather()
-        elif not calls:
+        if requests_renewals and self.reachable and self._may_delegate():
+            await self._gather_renewals()
+        elif not requests_renewals:
             await curio.sleep(BATCH_SECONDS)
-            self._woken.clear()
-        handed_by_holder, self._handed_by_holder = self._handed_by_holder, {}
-        outcome, shard, refused = await self._write(handed_by_holder)
-        took = monotonic() - begun
+            self._write_requested.clear()
+        delegated_by_holder, self._delegated_by_holder = self._delegated_by_holder, {}
+        outcome, shard, refused = await self._try_write(delegated_by_holder)
+        seconds = monotonic() - begun
         log_debug(
             "ledgers_written",
             outcome=outcome,
-            handed=len(handed_by_holder),
+            handed=len(delegated_by_holder),
             refused=len(refused),
-            took=round(took, 3),
+            took=round(seconds, 3),
         )
         if outcome is WriteOutcome.DONE:
-            self._allowances.record_renewal_seconds(took)
-        if outcome is WriteOutcome.DONE and calls:
-            # Writes for waiting callers don't put off the one for all, and its own
-            # time counts as pause: others write where it comes later than theirs.
+            self._allowances.record_renewal_seconds(seconds)
+        if outcome is WriteOutcome.DONE and requests_renewals:
+            # A write for waiting callers doesn't delay the next regular one.  The
+            # interval includes the write's own duration: with a longer one the next
+            # processes of the write order would write first.
             self._renewed_at = begun
         await self._changed.set()
-        await self._tell(outcome, shard, handed_by_holder, refused)
+        await self._report_outcomes(outcome, shard, delegated_by_holder, refused)
 
-    async def _gather(self) -> None:
+    async def _gather_renewals(self) -> None:
         self._gathered.clear()
-        self._asked = await self._group.call_renewals()
-        if self._asked:
+        self._requested_count = await self._peers.request_renewals()
+        if self._requested_count:
             async with curio.ignore_after(GATHER_SECONDS):
                 await self._gathered.wait()
-        self._asked = 0
+        self._requested_count = 0
 
-    async def _tell(
+    async def _report_outcomes(
         self,
         outcome: WriteOutcome,
         shard: Shard,
-        handed_by_holder: dict[str, HandedRenewals],
+        delegated_by_holder: dict[str, HandedRenewals],
         refused: set[str],
     ) -> None:
-        done = outcome is WriteOutcome.DONE
-        summaries = {}
-        if done:
-            written = handed_by_holder.values()
+        succeeded = outcome is WriteOutcome.DONE
+        summary_by_customer = {}
+        if succeeded:
+            all_renewals = delegated_by_holder.values()
             names = {
-                name for one in written for name in customers_to_report(one, shard)
+                name
+                for peer_renewals in all_renewals
+                for name in customers_to_report(peer_renewals, shard)
             }
-            summaries = shard.summaries(names)
-        for holder, handed in handed_by_holder.items():
+            summary_by_customer = shard.summaries(names)
+        for holder, delegated in delegated_by_holder.items():
             if holder in refused:
-                answer = failure_reply(handed, WriteOutcome.NOT_DONE)
-            elif done:
-                answer = success_reply(shard, handed, summaries)
+                answer = failure_reply(delegated, WriteOutcome.NOT_DONE)
+            elif succeeded:
+                answer = success_reply(shard, delegated, summary_by_customer)
             else:
-                answer = failure_reply(handed, outcome)
-            await self._group.answer(holder, answer)
+                answer = failure_reply(delegated, outcome)
+            await self._peers.send_outcome(holder, answer)
 
-    async def _write(
-        self, handed_by_holder: dict[str, HandedRenewals]
+    async def _try_write(
+        self, delegated_by_holder: dict[str, HandedRenewals]
     ) -> tuple[WriteOutcome, Shard, set[str]]:
-        """Write; return the outcome, the ledgers and whose renewals are void."""
+        """Write; return the outcome, the ledgers and the holders that were refused."""
         try:
-            shard, refused = await self._write_until_first(handed_by_holder)
+            shard, refused = await self._write_with_retries(delegated_by_holder)
         except PlatformUnavailable as exc:
-            self._withdraw()
-            self._note_reachable(False, str(exc))
-            self._waits_until = monotonic() + RETRY_SECONDS
+            self._withdraw_renewals()
+            self._set_reachable(False, str(exc))
+            self._backoff_until = monotonic() + RETRY_SECONDS
             return WriteOutcome.UNREACHABLE, Shard(), set()
         except OutcomeUnknown as exc:
-            # The ledger itself tells what holds, so look again at once.
+            # The ledgers show whether the write took effect: read them at once.
             log_info("renewal_repeated", error=repr(exc))
-            await self._woken.set()
+            await self._write_requested.set()
             return WriteOutcome.UNKNOWN, Shard(), set()
-        except _CAME_FIRST as exc:
-            self._wrote_last = False
+        except _CONFLICTS as exc:
+            self._wrote_newest = False
             log_info("renewal_repeated", error=repr(exc), refusals=self._refusals)
-            pause = backoff_seconds(self._refusals, self._random)
-            self._waits_until = monotonic() + pause
+            backoff = backoff_seconds(self._refusals, self._random)
+            self._backoff_until = monotonic() + backoff
             return WriteOutcome.NOT_DONE, Shard(), set()
         except (LedgerError, RouterSealed) as exc:
             log_error("renewal_failed", error=repr(exc))
-            self._waits_until = monotonic() + RETRY_SECONDS
+            self._backoff_until = monotonic() + RETRY_SECONDS
             return WriteOutcome.NOT_DONE, Shard(), set()
-        self._note_reachable(True, "")
+        self._set_reachable(True, "")
         return WriteOutcome.DONE, shard, refused
 
-    async def _write_until_first(
-        self, handed_by_holder: dict[str, HandedRenewals]
+    async def _write_with_retries(
+        self, delegated_by_holder: dict[str, HandedRenewals]
     ) -> tuple[Shard, set[str]]:
-        """Write, from what each refusal brings along, until nobody comes first.
+        """Write until no other process writes first, at most a few times.
 
-        A refused write means that another was done, so a crowd gets through one by
-        one; a pause here would only make what the refusal brought old.
+        Each attempt starts from the ledgers that came with the previous refusal.  A
+        refusal means that another process's write succeeded, so all processes succeed
+        one after another.  With a backoff in between, the ledgers that came with the
+        refusal would be outdated.
         """
-        self._ledgers.forget_refusal()
-        beside_others = self._may_hand_over() and self._group.place() > 0
-        tries = TRIES_BESIDE_OTHERS if beside_others else TRIES
-        for _ in range(tries - 1):
+        self._ledgers.discard_conflict()
+        has_other_writer = self._may_delegate() and self._peers.rank() > 0
+        attempts = (
+            MAX_ATTEMPTS_WITH_OTHER_WRITER if has_other_writer else MAX_WRITE_ATTEMPTS
+        )
+        for _ in range(attempts - 1):
             try:
-                return await self._write_once(handed_by_holder)
-            except _CAME_FIRST:
-                self._wrote_last = False
+                return await self._write_once(delegated_by_holder)
+            except _CONFLICTS:
+                self._wrote_newest = False
                 self._refusals += 1
-        return await self._write_once(handed_by_holder)
+        return await self._write_once(delegated_by_holder)
 
     async def _write_once(
-        self, handed_by_holder: dict[str, HandedRenewals]
+        self, delegated_by_holder: dict[str, HandedRenewals]
     ) -> tuple[Shard, set[str]]:
         allowances = self._allowances
-        shard = await self._ledgers.read(trusts_own=self._wrote_last)
+        shard = await self._ledgers.read(use_own_write=self._wrote_newest)
         allowances.resolve(shard)
-        self._seen = None if self.merged else shard
-        if self._ledgers.outran:
+        self._start_shard = None if self.predecessors_charged else shard
+        if self._ledgers.writes_superseded:
             self._tries.record_own_failures()
             if not self._tries.any_delegated:
-                # One made from an older ledger asks for what is no longer there.
+                # Renewals that were made from older ledgers may request tokens that
+                # are no longer left.
                 allowances.withdraw()
         reading = self._clocks()
-        renewed = shard.provisioned(_prepaid(self._table), self._revision)
-        merges = not self.merged and self._may_merge(renewed, reading)
-        before = renewed
-        if merges:
+        renewed = shard.provisioned(_prepaid_by_customer(self._table), self._revision)
+        charges = not self.predecessors_charged and self._may_charge_predecessors(
+            renewed, reading
+        )
+        uncharged = renewed
+        if charges:
             renewed = allowances.charge_predecessors(renewed)
         renewed = allowances.renewed(renewed, reading)
-        renewed, refused = apply_all_delegated(renewed, handed_by_holder)
+        renewed, refused = apply_all_delegated(renewed, delegated_by_holder)
         self._tries.record_attempt(reading, delegated=False)
         begun = monotonic()
         try:
@@ -604,45 +639,50 @@
             self._tries.record_failure(reading.boot)
             raise
         finally:
-            self._wrote_in(monotonic() - begun)
+            self._record_write(monotonic() - begun)
         allowances.resolve(renewed)
-        if merges:
-            self._log_predecessors(before)
-        self.merged = self.merged or merges
+        if charges:
+            self._log_predecessors(uncharged)
+        self.predecessors_charged = self.predecessors_charged or charges
         self._tries.record_success(reading.boot)
-        self._wrote_last = True
+        self._wrote_newest = True
         self._refusals = 0
         self.read_at = reading.monotonic
         allowances.record_read(renewed.ledger_by_customer, reading.monotonic)
         return renewed, refused
 
-    def _wrote_in(self, seconds: float) -> None:
-        seconds = min(seconds, LONGEST_WRITE_SECONDS)
-        self._write_seconds += (seconds - self._write_seconds) * WRITE_WEIGHT
+    def _record_write(self, seconds: float) -> None:
+        seconds = min(seconds, MAX_WRITE_SECONDS)
+        self._mean_write_seconds += (
+            seconds - self._mean_write_seconds
+        ) * WRITE_MEAN_WEIGHT
 
-    def _may_merge(self, shard: Shard, reading: Reading) -> bool:
-        """Whether to charge predecessors now, or wait for the peers' clocks."""
+    def _may_charge_predecessors(self, shard: Shard, reading: Reading) -> bool:
+        """Return whether to charge predecessors now, or to await peers' clocks."""
         self._allowances.bound_start_time(reading)
-        return monotonic() >= self._merges_by or not self._allowances.lacks_fleet_time(
-            shard
+        return (
+            monotonic() >= self._clocks_awaited_until
+            or not self._allowances.lacks_fleet_time(shard)
         )
 
     def _log_predecessors(self, shard: Shard) -> None:
-        merged = self._allowances.charge_predecessors(shard)
-        unspent = _unspent(merged)
-        for one in self._allowances.predecessors(shard):
+        charged = self._allowances.charge_predecessors(shard)
+        unspent = _unspent(charged)
+        for predecessor in self._allowances.predecessors(shard):
             log_info(
                 "predecessor_charged",
-                holder=one.holder,
-                last_write_age=one.age_seconds,
-                granted=one.granted,
-                told=one.reported,
+                holder=predecessor.holder,
+                last_write_age=predecessor.age_seconds,
+                granted=predecessor.granted,
+                told=predecessor.reported,
                 unspent_before=_unspent(shard),
                 unspent_after=unspent,
-                prepaid=sum(one.prepaid for one in shard.ledger_by_customer.values()),
+                prepaid=sum(
+                    ledger.prepaid for ledger in shard.ledger_by_customer.values()
+                ),
             )
 
-    def _note_reachable(self, reachable: bool, error: str) -> None:
+    def _set_reachable(self, reachable: bool, error: str) -> None:
         if reachable == self.reachable:
             return
         self.reachable = reachable
@@ -657,7 +697,7 @@
     return sum(ledger.prepaid - ledger.total_spent for ledger in ledgers)
 
 
-def _prepaid(table: RoutingTable) -> dict[str, int]:
+def _prepaid_by_customer(table: RoutingTable) -> dict[str, int]:
     return {
         name: customer.prepaid
         for name, customer in table.customer_by_name.items()
