--- a/src/ragwortkeel/ingress/budget_keeper.py
+++ b/src/ragwortkeel/ingress/budget_keeper.py
@@ -7,8 +7,7 @@
 from collections.abc import Awaitable, Callable
 from time import monotonic
 
-from ragwortkeel.budget.account import AccountReservation
-from ragwortkeel.budget.account import RIDE_OUT_SECONDS, Account
+from ragwortkeel.budget.account import RIDE_OUT_SECONDS, Account, AccountReservation
 from ragwortkeel.budget.allowance import Allowances
 from ragwortkeel.budget.clocks import Reading, read_clocks
 from ragwortkeel.budget.sizing import SliceNeed
@@ -171,7 +170,9 @@
             spread=Spread.WIDE,
         )
         if self.renewals.reachable:
-            returned = await self._recall(account, account.lendable_tokens(borrower, monotonic()))
+            returned = await self._recall(
+                account, account.lendable_tokens(borrower, monotonic())
+            )
             if returned:
                 log_info("slice_recalled", customer=request.customer, tokens=returned)
                 return TokenLoan(customer=request.customer, returned=returned)
@@ -235,7 +236,9 @@
                 return None
         return None
 
-    async def _wait_for_loan(self, account: Account, tokens: int) -> AccountReservation | None:
+    async def _wait_for_loan(
+        self, account: Account, tokens: int
+    ) -> AccountReservation | None:
         seconds = RECALL_WAIT_SECONDS if self.renewals.reachable else LOAN_WAIT_SECONDS
         deadline = monotonic() + seconds
         hold = None
--- a/src/ragwortkeel/ingress/renewals.py
+++ b/src/ragwortkeel/ingress/renewals.py
@@ -19,18 +19,22 @@
 
 from ragwortkeel.budget.account import GROWTH_DELAY_SECONDS
 from ragwortkeel.budget.allowance import Allowances
-from ragwortkeel.budget.renewal_replies import apply_all_delegated
-from ragwortkeel.budget.renewal_replies import customers_to_report
-from ragwortkeel.budget.renewal_replies import failure_reply
-from ragwortkeel.budget.renewal_replies import success_reply
-from ragwortkeel.budget.write_attempts import WriteAttempts
-from ragwortkeel.budget.write_order import RENEWAL_INTERVAL_SECONDS
-from ragwortkeel.budget.write_order import FallbackWriter
-from ragwortkeel.budget.write_order import backoff_seconds
-from ragwortkeel.budget.write_order import latency_class_of
-from ragwortkeel.budget.write_order import write_delay
 from ragwortkeel.budget.clocks import Reading
+from ragwortkeel.budget.renewal_replies import (
+    apply_all_delegated,
+    customers_to_report,
+    failure_reply,
+    success_reply,
+)
 from ragwortkeel.budget.shards import Shard
+from ragwortkeel.budget.write_attempts import WriteAttempts
+from ragwortkeel.budget.write_order import (
+    RENEWAL_INTERVAL_SECONDS,
+    FallbackWriter,
+    backoff_seconds,
+    latency_class_of,
+    write_delay,
+)
 from ragwortkeel.exceptions import (
     AlreadyExists,
     LedgerError,
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -10,9 +10,7 @@
 
 import curio
 
-from ragwortkeel.budget.write_order import Writer
-from ragwortkeel.budget.write_order import first_writer
-from ragwortkeel.budget.write_order import rank_of
+from ragwortkeel.budget.write_order import Writer, first_writer, rank_of
 from ragwortkeel.links import Link
 from ragwortkeel.messages import (
     HandedRenewals,
