--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -174,7 +174,7 @@
         "TWICE",
         "a kept connection that said something is not used",
         "ingress/upstream_connection.py",
-        "if not connection.expired and not stale and connection.is_silent():",
+        "if not connection.expired and not stale and connection.is_quiet():",
         "if not connection.expired and not stale:",
     ),
     _guard(
@@ -230,14 +230,14 @@
         "ORDER",
         "part of an event is no end",
         "ingress/attempt.py",
-        "if self._relay.cutter.has_rest:",
+        "if self._relay.splitter.has_partial_event:",
         "if False:",
     ),
     _guard(
         "ORDER",
         "a new run forgets part of an event",
         "ingress/attempt.py",
-        "        cutter.restart()\n",
+        "        splitter.discard_partial_event()\n",
         "",
     ),
     _guard(
@@ -300,7 +300,7 @@
         "BUDGET",
         "upstreams get the time that is left",
         "ingress/attempt.py",
-        "str(max(1, int(left * 1000)))",
+        "str(max(1, int(seconds_left * 1000)))",
         "str(60_000)",
     ),
     _guard(
--- a/src/ragwortkeel/ingress/answers.py
+++ b/src/ragwortkeel/ingress/answers.py
@@ -78,7 +78,7 @@
 _random = Random()
 
 
-def returning(answer: Answer, seconds: float) -> Answer:
+def with_retry_after(answer: Answer, seconds: float) -> Answer:
     """Return the refusal with when to come back, of what is known of that."""
     return replace(answer, retry_after_seconds=return_after(seconds, _random))
 
--- a/src/ragwortkeel/ingress/attempt.py
+++ b/src/ragwortkeel/ingress/attempt.py
@@ -15,7 +15,7 @@
 from ragwortkeel.exceptions import CallerLeft, ConnectFailed, ExchangeBroken
 from ragwortkeel.http_responder import Responder
 from ragwortkeel.ingress.configuration import Route
-from ragwortkeel.ingress.events import EventCutter
+from ragwortkeel.ingress.events import EventSplitter
 from ragwortkeel.ingress.names import HOP_BY_HOP, HeaderNames
 from ragwortkeel.ingress.outcomes import (
     Answered,
@@ -36,15 +36,15 @@
 
 EVENT_STREAM = "text/event-stream"
 
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 """A plain answer is held whole; a larger one counts as broken."""
 
-SILENCE_SECONDS = 1.5
+MAX_SILENCE_SECONDS = 1.5
 """A pause in a resumable stream after which it goes on elsewhere: over twice the
 longest pause that callers take as on time, under the two seconds after which
 they leave."""
 
-FIRST_SILENCE_SECONDS = 3.0
+MAX_FIRST_SILENCE_SECONDS = 3.0
 """The same before the first event: an engine may be reading long prompts."""
 
 MISDIRECTED = 421
@@ -80,7 +80,7 @@
     def __init__(self, *, responder: Responder, last_event: str) -> None:
         self.responder = responder
         last_id = int(last_event) if last_event.isdecimal() else None
-        self.cutter = EventCutter(last_id=last_id)
+        self.splitter = EventSplitter(last_id=last_id)
 
     @property
     def started(self) -> bool:
@@ -135,41 +135,41 @@
             connection = await self._connections.take(upstream, fresh=fresh)
         except ConnectFailed as exc:
             return NotRun(reason=NotRunReason.UNREACHABLE, detail=str(exc))
-        kept = False
+        reusable = False
         try:
             if self._relay.responder.peer_left():
-                kept = True
+                reusable = True
                 raise CallerLeft(self._call.request_id)
             outcome = await self._exchange(connection)
-            kept = not isinstance(outcome, Broken)
+            reusable = not isinstance(outcome, Broken)
             return outcome
         finally:
-            if kept:
+            if reusable:
                 await self._connections.give_back(upstream, connection)
             else:
                 await connection.close()
 
     async def _exchange(self, connection: UpstreamConnection) -> Outcome:
-        left = self._call.deadline - monotonic()
+        seconds_left = self._call.deadline - monotonic()
         try:
-            async with curio.timeout_after(max(0.001, left)):
+            async with curio.timeout_after(max(0.001, seconds_left)):
                 self.sent = True
                 self._sent_at = monotonic()
-                await connection.send(self._outgoing(left))
-                return await self._answer(connection)
+                await connection.send(self._outgoing(seconds_left))
+                return await self._receive_response(connection)
         except curio.TaskTimeout:
             return Broken(reason=BrokenReason.DEADLINE)
         except ExchangeBroken as exc:
             return Broken(reason=BrokenReason.CLOSED, detail=str(exc))
 
-    async def _answer(self, connection: UpstreamConnection) -> Outcome:
-        head = await self._head(connection)
+    async def _receive_response(self, connection: UpstreamConnection) -> Outcome:
+        head = await self._receive_head(connection)
         if isinstance(head, Broken):
             return head
         if head.status != MISDIRECTED:
             self._on_head(head, self._sent_at)
         if head.status == MISDIRECTED or head.get(self._names.not_run):
-            await _read_all(connection)
+            await _receive_body(connection)
             return _not_run(head)
         if head.get("content-encoding"):
             return Broken(reason=BrokenReason.SPOILED, detail="an encoded body")
@@ -178,76 +178,76 @@
         streams = head.get("content-type").startswith(EVENT_STREAM)
         if streams and head.status < 300:
             return await self._stream(connection, head)
-        body = await _read_all(connection)
+        body = await _receive_body(connection)
         self._on_first_event()
         return Answered(head=head, body=body)
 
-    async def _head(self, connection: UpstreamConnection) -> Head | Broken:
+    async def _receive_head(self, connection: UpstreamConnection) -> Head | Broken:
         request_id = self._call.request_id
         if not self._call.route.resumable:
-            return await connection.head(request_id)
+            return await connection.receive_head(request_id)
         try:
-            async with curio.timeout_after(FIRST_SILENCE_SECONDS):
-                return await connection.head(request_id)
+            async with curio.timeout_after(MAX_FIRST_SILENCE_SECONDS):
+                return await connection.receive_head(request_id)
         except curio.TaskTimeout:
             return Broken(reason=BrokenReason.SILENT)
 
     async def _stream(self, connection: UpstreamConnection, head: Head) -> Outcome:
-        cutter = self._relay.cutter
-        cutter.restart()
-        silence = FIRST_SILENCE_SECONDS
+        splitter = self._relay.splitter
+        splitter.discard_partial_event()
+        max_silence_seconds = MAX_FIRST_SILENCE_SECONDS
         while True:
-            piece = await self._piece(connection, silence)
-            if isinstance(piece, Broken):
-                return piece
-            if piece is None:
-                return await self._end(head)
-            whole = cutter.cut(piece)
-            if whole:
+            chunk = await self._receive_chunk(connection, max_silence_seconds)
+            if isinstance(chunk, Broken):
+                return chunk
+            if chunk is None:
+                return await self._finish(head)
+            events = splitter.feed(chunk)
+            if events:
                 self._on_first_event()
-                silence = SILENCE_SECONDS
-                await self._pass_on(head, whole)
+                max_silence_seconds = MAX_SILENCE_SECONDS
+                await self._forward(head, events)
 
-    async def _piece(
-        self, connection: UpstreamConnection, silence: float
+    async def _receive_chunk(
+        self, connection: UpstreamConnection, max_silence_seconds: float
     ) -> bytes | Broken | None:
         if not self._call.route.resumable:
-            return await connection.piece()
+            return await connection.receive_chunk()
         try:
-            async with curio.timeout_after(silence):
-                return await connection.piece()
+            async with curio.timeout_after(max_silence_seconds):
+                return await connection.receive_chunk()
         except curio.TaskTimeout:
             return Broken(reason=BrokenReason.SILENT)
 
-    async def _pass_on(self, head: Head, whole: bytes) -> None:
+    async def _forward(self, head: Head, events: bytes) -> None:
         responder = self._relay.responder
         if not self._relay.started:
-            await responder.start_with(head.status, passed_fields(head), whole)
+            await responder.start_with(head.status, forwarded_fields(head), events)
             return
-        await responder.send(whole)
+        await responder.send(events)
 
-    async def _end(self, head: Head) -> Outcome:
-        if self._relay.cutter.has_rest:
+    async def _finish(self, head: Head) -> Outcome:
+        if self._relay.splitter.has_partial_event:
             detail = "ended within an event"
             return Broken(reason=BrokenReason.CLOSED, detail=detail)
         responder = self._relay.responder
         if not self._relay.started:
-            await responder.start(head.status, dict(passed_fields(head)))
+            await responder.start(head.status, dict(forwarded_fields(head)))
         await responder.finish()
-        return Streamed(events=self._relay.cutter.events)
+        return Streamed(events=self._relay.splitter.events)
 
-    def _outgoing(self, left: float) -> Outgoing:
+    def _outgoing(self, seconds_left: float) -> Outgoing:
         call, names = self._call, self._names
         fields = [(k, v) for k, v in call.fields if k not in names.dropped]
-        fields.append((names.deadline, str(max(1, int(left * 1000)))))
+        fields.append((names.deadline, str(max(1, int(seconds_left * 1000)))))
         fields.append((names.expect_instance, self._placed.upstream.name))
         if call.customer:
             fields.append((names.customer, call.customer))
         if call.urgency is not None:
             fields.append((names.urgency, str(call.urgency)))
-        if self._relay.cutter.events:
+        if self._relay.splitter.events:
             fields = [(k, v) for k, v in fields if k != names.last_event]
-            fields.append((names.last_event, str(self._relay.cutter.last_id)))
+            fields.append((names.last_event, str(self._relay.splitter.last_id)))
         return Outgoing(
             method=call.method,
             target=call.target,
@@ -256,7 +256,7 @@
         )
 
 
-def passed_fields(head: Head) -> list[tuple[str, str]]:
+def forwarded_fields(head: Head) -> list[tuple[str, str]]:
     """Return the headers of an upstream's answer that its caller gets."""
     return [(k, v) for k, v in head.fields if k not in HOP_BY_HOP]
 
@@ -267,12 +267,12 @@
     return NotRun(reason=NotRunReason.FULL, detail=str(head.status))
 
 
-async def _read_all(connection: UpstreamConnection) -> bytes:
-    pieces = []
+async def _receive_body(connection: UpstreamConnection) -> bytes:
+    chunks = []
     size = 0
-    while (piece := await connection.piece()) is not None:
-        size += len(piece)
-        if size > MAX_ANSWER_BYTES:
+    while (chunk := await connection.receive_chunk()) is not None:
+        size += len(chunk)
+        if size > MAX_RESPONSE_BYTES:
             raise ExchangeBroken("an answer without an end")
-        pieces.append(piece)
-    return b"".join(pieces)
+        chunks.append(chunk)
+    return b"".join(chunks)
--- a/src/ragwortkeel/ingress/crashes.py
+++ b/src/ragwortkeel/ingress/crashes.py
@@ -15,7 +15,7 @@
 """Between a broken run and the sign that the upstream had crashed: its restart
 takes some seconds, a refused connection shows at once."""
 
-KEPT_CRASHES = 100
+MAX_UNREPORTED_CRASHES = 100
 """Untold crashes; they are told several times a second."""
 
 
@@ -34,10 +34,10 @@
     """
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
-        self.found: deque[Crash] = deque(maxlen=KEPT_CRASHES)
+        self.found: deque[Crash] = deque(maxlen=MAX_UNREPORTED_CRASHES)
         self._clock = clock
         self._quarantine = Quarantine()
-        self._broken_by_upstream: dict[str, dict[str, float]] = {}
+        self._broken_at_by_upstream: dict[str, dict[str, float]] = {}
 
     def refuses(self, fingerprint: str) -> bool:
         """Whether a body has crashed so many upstreams that none may run it."""
@@ -49,20 +49,24 @@
 
     def broken(self, upstream: Upstream, fingerprint: str) -> None:
         """Note a run that broke off."""
-        broken = self._broken_by_upstream.setdefault(upstream.name, {})
-        broken[fingerprint] = self._clock()
+        broken_at = self._broken_at_by_upstream.setdefault(upstream.name, {})
+        broken_at[fingerprint] = self._clock()
 
     def down(self, upstream: Upstream) -> None:
         """Note that an upstream refuses connections."""
         now = self._clock()
-        broken = self._broken_by_upstream.pop(upstream.name, {})
-        names = {name for name, at in broken.items() if now - at < SUSPECT_SECONDS}
-        if not names:
+        broken_at = self._broken_at_by_upstream.pop(upstream.name, {})
+        suspects = {
+            fingerprint
+            for fingerprint, at in broken_at.items()
+            if now - at < SUSPECT_SECONDS
+        }
+        if not suspects:
             return
         # Several processes may find the same crash: within the time in which one
         # upstream can't crash twice it has one id.
         crash_id = f"{upstream.name}/{upstream.born}/{int(now / SUSPECT_SECONDS)}"
-        crash = Crash(crash_id=crash_id, fingerprints=frozenset(names))
+        crash = Crash(crash_id=crash_id, fingerprints=frozenset(suspects))
         if self._quarantine.crashed(crash, now):
             self.found.append(crash)
 
--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -8,16 +8,16 @@
 
 from ragwortkeel.ingress.configuration import Service
 from ragwortkeel.ingress.directory import Directory
-from ragwortkeel.ingress.placement import Job, OwnRates, Placed, Placement
+from ragwortkeel.ingress.placement import Job, OwnSendRate, Placed, Placement
 from ragwortkeel.ingress.waiting import Waiter, WaitingRoom
 from ragwortkeel.logs import log_info
 from ragwortkeel.policy.admission import Turns
 
-PLACING_SECONDS = 0.05
+QUEUE_CHECK_SECONDS = 0.05
 """How often waiting requests are looked at even if nothing was released here:
 other processes' work ends too, and is told about as often."""
 
-LATE_TURN_SECONDS = 2 * PLACING_SECONDS
+MAX_DISPATCH_DELAY_SECONDS = 2 * QUEUE_CHECK_SECONDS
 """A turn may be noticed so late: a request that would have it just in time is not held
 for it."""
 
@@ -36,18 +36,18 @@
         Those that could have got it.
     withheld : bool
         Whether there are others that must not: evacuated ones, or away from home.
-    seconds : float
+    wait_seconds : float
         How long its turn would take from now, as far as one can tell.
-    rate : float or None
+    own_per_second : float or None
         Where all upstreams announced a limit, the requests a second that this process
         may send.
     """
 
-    waiting: int
+    queued: int
     upstreams: int
     withheld: bool
-    seconds: float
-    rate: float | None = None
+    wait_seconds: float
+    own_per_second: float | None = None
 
 
 class Dispatcher:
@@ -63,8 +63,8 @@
         self.room = WaitingRoom()
         self._directory = directory
         self._placement = placement
-        self._placed_by_id: dict[str, Placed] = {}
-        self._turn_by_id: dict[str, curio.Event] = {}
+        self._assignment_by_request_id: dict[str, Placed] = {}
+        self._assigned_by_request_id: dict[str, curio.Event] = {}
         self._service_by_name: dict[str, Service] = {}
         self._turns_by_service: dict[str, Turns] = {}
 
@@ -74,7 +74,7 @@
         *,
         service: Service,
         latest_start: float,
-        tried: frozenset[str] = frozenset(),
+        tried_upstreams: frozenset[str] = frozenset(),
     ) -> Placed | NoRoom:
         """Return a place for the request, which `release` has to give back.
 
@@ -89,24 +89,27 @@
         """
         self._service_by_name[service.name] = service
         if self._directory.withholds(service=service.name, regions=job.regions):
-            return self._no_room(job)
-        ahead = self.room.waiting_before(job)
+            return self._not_assigned(job)
+        ahead = self.room.queued_ahead(job)
         if not ahead:
-            placed = self._try(job, service, tried)
+            placed = self._try_assign(job, service, tried_upstreams)
             if placed is not None:
                 return placed
-        elif monotonic() + self._seconds_to_turn(job) > latest_start:
-            return self._no_room(job)
-        rates = self._own_rates(job, tried)
-        latest_turn = latest_start - LATE_TURN_SECONDS
-        if rates and monotonic() + rates.seconds_to_turn(ahead) > latest_turn:
-            return self._no_room(job)
-        return await self._wait(job, latest_start, tried)
+        elif monotonic() + self._estimated_wait_seconds(job) > latest_start:
+            return self._not_assigned(job)
+        send_rate = self._own_send_rate(job, tried_upstreams)
+        latest_send = latest_start - MAX_DISPATCH_DELAY_SECONDS
+        if (
+            send_rate
+            and monotonic() + send_rate.seconds_until_send(ahead) > latest_send
+        ):
+            return self._not_assigned(job)
+        return await self._wait(job, latest_start, tried_upstreams)
 
     async def release(self, placed: Placed) -> None:
         """Give a place back and let the next one have it."""
         self._placement.release(placed)
-        self.room.ended(placed.job)
+        self.room.record_ended(placed.job)
         await self.place_waiting()
 
     def replaced(self, upstream: str) -> None:
@@ -119,93 +122,109 @@
         for name in self.room.services():
             service = self._service_by_name[name]
             for waiter in self.room.in_order(name):
-                placed = self._try(waiter.job, service, waiter.tried)
+                placed = self._try_assign(waiter.job, service, waiter.tried_upstreams)
                 if placed is None and waiter.job.regions is not None:
                     # Full at home; others may go elsewhere.
                     continue
                 if placed is None:
                     break
-                self._placed_by_id[waiter.job.request_id] = placed
+                self._assignment_by_request_id[waiter.job.request_id] = placed
                 self.room.remove(waiter.job)
                 self._turns(name).taken(0.0, monotonic())
-                await self._turn_by_id[waiter.job.request_id].set()
+                await self._assigned_by_request_id[waiter.job.request_id].set()
 
     async def run(self) -> None:
         """Look after waiting requests until cancelled."""
         while True:
-            await curio.sleep(PLACING_SECONDS)
+            await curio.sleep(QUEUE_CHECK_SECONDS)
             if len(self.room):
                 await self.place_waiting()
 
-    def _try(self, job: Job, service: Service, tried: frozenset[str]) -> Placed | None:
-        placed = self._placement.choose(
+    def _try_assign(
+        self, job: Job, service: Service, tried_upstreams: frozenset[str]
+    ) -> Placed | None:
+        placed = self._placement.assign(
             job,
             service=service,
             upstream_by_name=self._directory.usable(
                 service=service.name, regions=job.regions
             ),
-            tried=tried,
+            tried_upstreams=tried_upstreams,
             now=monotonic(),
         )
         if placed is not None:
-            self.room.started(job)
+            self.room.record_started(job)
         return placed
 
     async def _wait(
-        self, job: Job, latest_start: float, tried: frozenset[str]
+        self, job: Job, latest_start: float, tried_upstreams: frozenset[str]
     ) -> Placed | NoRoom:
         now = monotonic()
-        turn = self._turn_by_id[job.request_id] = curio.Event()
+        assigned = self._assigned_by_request_id[job.request_id] = curio.Event()
         if job.service not in self.room.services():
             self._turns(job.service).waiting_from(now)
         self.room.add(
-            Waiter(job=job, arrived_at=now, latest_start=latest_start, tried=tried)
+            Waiter(
+                job=job,
+                arrived_at=now,
+                latest_start=latest_start,
+                tried_upstreams=tried_upstreams,
+            )
         )
         try:
             async with curio.ignore_after(max(0.0, latest_start - now)):
-                await turn.wait()
-            placed = self._placed_by_id.pop(job.request_id, None)
+                await assigned.wait()
+            placed = self._assignment_by_request_id.pop(job.request_id, None)
             if placed is not None:
                 return placed
-            return self._no_room(job)
+            return self._not_assigned(job)
         finally:
             self.room.remove(job)
-            self._turn_by_id.pop(job.request_id, None)
-            left = self._placed_by_id.pop(job.request_id, None)
-            if left is not None:
+            self._assigned_by_request_id.pop(job.request_id, None)
+            unclaimed = self._assignment_by_request_id.pop(job.request_id, None)
+            if unclaimed is not None:
                 # The caller left in the moment in which its turn came.
-                self._placement.release(left)
-                self.room.ended(job)
+                self._placement.release(unclaimed)
+                self.room.record_ended(job)
 
-    def _no_room(self, job: Job) -> NoRoom:
+    def _not_assigned(self, job: Job) -> NoRoom:
         usable = self._directory.usable(service=job.service, regions=job.regions)
         withheld = self._directory.withholds(service=job.service, regions=job.regions)
-        waiting = self.room.waiting_before(job)
-        rates = self._own_rates(job, frozenset())
-        seconds = self._seconds_to_turn(job)
-        if rates is not None:
-            to_rate = rates.seconds_to_turn(waiting)
-            seconds = max(seconds, to_rate if isfinite(to_rate) else ELSEWHERE_SECONDS)
+        queued = self.room.queued_ahead(job)
+        send_rate = self._own_send_rate(job, frozenset())
+        seconds = self._estimated_wait_seconds(job)
+        if send_rate is not None:
+            rate_wait_seconds = send_rate.seconds_until_send(queued)
+            seconds = max(
+                seconds,
+                rate_wait_seconds if isfinite(rate_wait_seconds) else ELSEWHERE_SECONDS,
+            )
         return NoRoom(
-            waiting=waiting,
+            queued=queued,
             upstreams=len(usable),
             withheld=withheld,
-            seconds=seconds,
-            rate=rates.per_second if rates else None,
+            wait_seconds=seconds,
+            own_per_second=send_rate.per_second if send_rate else None,
         )
 
-    def _own_rates(self, job: Job, tried: frozenset[str]) -> OwnRates | None:
+    def _own_send_rate(
+        self, job: Job, tried_upstreams: frozenset[str]
+    ) -> OwnSendRate | None:
         usable = self._directory.usable(service=job.service, regions=job.regions)
-        return self._placement.own_rates(
+        return self._placement.own_send_rate(
             service=self._service_by_name[job.service],
-            upstreams=[one for name, one in usable.items() if name not in tried],
+            upstreams=[
+                upstream
+                for name, upstream in usable.items()
+                if name not in tried_upstreams
+            ],
             now=monotonic(),
         )
 
     def _turns(self, service: str) -> Turns:
         return self._turns_by_service.setdefault(service, Turns())
 
-    def _seconds_to_turn(self, job: Job) -> float:
+    def _estimated_wait_seconds(self, job: Job) -> float:
         idle = job.service not in self.room.services()
         each = self._turns(job.service).seconds_each(0.0, idle=idle, now=monotonic())
-        return each * (self.room.waiting_before(job) + 1)
+        return each * (self.room.queued_ahead(job) + 1)
--- a/src/ragwortkeel/ingress/events.py
+++ b/src/ragwortkeel/ingress/events.py
@@ -11,7 +11,7 @@
 _ID = b"id:"
 
 
-class EventCutter:
+class EventSplitter:
     """Cuts the bytes of a run into whole events.
 
     Parameters
@@ -28,9 +28,9 @@
     def __init__(self, *, last_id: int | None = None) -> None:
         self.last_id = last_id
         self.events = 0
-        self._rest = b""
+        self._buffer = b""
 
-    def cut(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Return the whole events in what came so far and not yet returned.
 
         Raises
@@ -38,26 +38,26 @@
         ExchangeBroken
             An event's id does not follow the one before.
         """
-        data = self._rest + data.replace(b"\r\n", b"\n")
+        data = self._buffer + data.replace(b"\r\n", b"\n")
         end = data.rfind(_END)
         if end < 0:
-            self._rest = data
+            self._buffer = data
             return b""
-        whole, self._rest = data[: end + 2], data[end + 2 :]
-        for event in whole[:-2].split(_END):
-            self._count(event)
-        return whole
+        complete, self._buffer = data[: end + 2], data[end + 2 :]
+        for event in complete[:-2].split(_END):
+            self._check_order(event)
+        return complete
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether part of an event has come and its end has not."""
-        return bool(self._rest.strip())
+        return bool(self._buffer.strip())
 
-    def restart(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget the part of an event that a broken run left."""
-        self._rest = b""
+        self._buffer = b""
 
-    def _count(self, event: bytes) -> None:
+    def _check_order(self, event: bytes) -> None:
         event_id = _event_id(event)
         if event_id is None:
             return
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -16,10 +16,10 @@
     TIMED_OUT,
     UPSTREAMS_WITHHELD,
     Answer,
-    returning,
     send_answer,
+    with_retry_after,
 )
-from ragwortkeel.ingress.attempt import Attempt, Call, Relay, passed_fields
+from ragwortkeel.ingress.attempt import Attempt, Call, Relay, forwarded_fields
 from ragwortkeel.ingress.configuration import Customer, Route, Service
 from ragwortkeel.ingress.dispatch import NoRoom
 from ragwortkeel.ingress.front_parts import FrontParts
@@ -37,15 +37,15 @@
 from ragwortkeel.logs import log_info
 from ragwortkeel.policy.facts import Failure
 
-MAX_TURNED_AWAY = 2
+MAX_REJECTED_SENDS = 2
 """Sends that were turned away before a request is refused: each one is an arrival
 at a busy service, and the third finds no more than the second."""
 
-WAIT_SHARE = 0.5
+MAX_QUEUE_TIME_FRACTION = 0.5
 """Of the time left, spent waiting for a place at the most: the rest has to be
 enough for the run."""
 
-SERVER_ERROR = 500
+SERVER_ERROR_STATUS = 500
 """An upstream's failures from here on may be gone at another one; what it says of
 the request itself (4xx) is not."""
 
@@ -94,12 +94,12 @@
         self._retries = parts.retries.of(accepted.service.name)
         self._relay = Relay(responder=to, last_event=accepted.call.last_event)
         self._runs = 0
-        self._turned_away = 0
-        self._first_after: float | None = None
-        self._ran = False
-        self._whole = False
-        self._tried: frozenset[str] = frozenset()
-        self._failure: tuple[Placed, Answered] | None = None
+        self._rejected_sends = 0
+        self._first_token_seconds: float | None = None
+        self._may_have_run = False
+        self._complete = False
+        self._tried_upstreams: frozenset[str] = frozenset()
+        self._upstream_failure: tuple[Placed, Answered] | None = None
 
     async def run(self) -> None:
         """Bring the request to its final answer, unless its caller leaves before.
@@ -110,7 +110,7 @@
             There is nobody to answer.
         """
         accepted = self._accepted
-        self._check_caller("arrived")
+        self._raise_if_caller_left("arrived")
         if self._parts.crashes.refuses(accepted.fingerprint):
             await self._answer(QUARANTINED)
             return
@@ -120,12 +120,12 @@
             return
         self._retries.earn()
         try:
-            answer = await self._tries()
+            answer = await self._run_until_answered()
             if answer is not None:
                 await self._answer(answer)
         finally:
             if hold is not None:
-                spent = self._spent()
+                spent = self._spent_tokens()
                 self._parts.keeper.settle(hold, spent=spent)
                 log_info(
                     "settled",
@@ -147,57 +147,57 @@
         keeper.log_lack(accepted.call.request_id, customer, usage.total)
         if keeper.is_exhausted(customer, usage.total):
             return BUDGET_EXHAUSTED
-        return returning(BUDGET_UNREACHABLE, keeper.seconds_to_tokens())
+        return with_retry_after(BUDGET_UNREACHABLE, keeper.seconds_to_tokens())
 
-    def _spent(self) -> int:
-        if not self._ran:
+    def _spent_tokens(self) -> int:
+        if not self._may_have_run:
             return 0
         engine = self._accepted.service.engine
         return self._accepted.usage.cost(
-            events=self._relay.cutter.events,
+            events=self._relay.splitter.events,
             event_tokens=engine.event_tokens if engine else 1,
-            whole=self._whole,
+            complete=self._complete,
         )
 
-    async def _tries(self) -> Answer | None:
+    async def _run_until_answered(self) -> Answer | None:
         """Try upstreams until there is a final answer; return an own one."""
         while True:
-            placed = await self._place()
+            placed = await self._acquire()
             if isinstance(placed, Answer):
                 return await self._give_up(placed)
             try:
                 outcome = await self._run_at(placed)
             finally:
                 await self._parts.dispatcher.release(placed)
-            done = await self._conclude(placed, outcome)
+            done = await self._handle_outcome(placed, outcome)
             if not isinstance(done, _TryAgain):
                 return await self._give_up(done) if done else None
 
     async def _give_up(self, answer: Answer) -> Answer | None:
-        if self._failure is not None:
+        if self._upstream_failure is not None:
             # The upstream's own failure tells the caller more than ours would.
-            await self._pass_on(*self._failure)
+            await self._forward(*self._upstream_failure)
             return None
-        return await self._broken_off(answer)
+        return await self._abort_if_started(answer)
 
-    async def _pass_on(self, placed: Placed, answered: Answered) -> None:
+    async def _forward(self, placed: Placed, answered: Answered) -> None:
         head = answered.head
-        fields = passed_fields(head)
+        fields = forwarded_fields(head)
         await self._responder.respond(head.status, answered.body, fields)
-        self._ended(placed, status=head.status)
+        self._log_served(placed, status=head.status)
 
-    async def _place(self) -> Placed | Answer:
+    async def _acquire(self) -> Placed | Answer:
         accepted, now = self._accepted, monotonic()
         left = accepted.call.deadline - now
         placed = await self._parts.dispatcher.acquire(
             accepted.job,
             service=accepted.service,
-            latest_start=now + left * WAIT_SHARE,
-            tried=self._tried,
+            latest_start=now + left * MAX_QUEUE_TIME_FRACTION,
+            tried_upstreams=self._tried_upstreams,
         )
         if not isinstance(placed, NoRoom):
             return placed
-        if self._ran:
+        if self._may_have_run:
             return BROKEN
         if placed.withheld:
             return UPSTREAMS_WITHHELD
@@ -207,12 +207,12 @@
             "no_room",
             request=accepted.call.request_id,
             service=accepted.service.name,
-            waiting=placed.waiting,
+            waiting=placed.queued,
             upstreams=placed.upstreams,
-            seconds=round(placed.seconds, 3),
-            rate=placed.rate,
+            seconds=round(placed.wait_seconds, 3),
+            rate=placed.own_per_second,
         )
-        return returning(OVERLOADED, placed.seconds)
+        return with_retry_after(OVERLOADED, placed.wait_seconds)
 
     async def _run_at(self, placed: Placed) -> Outcome:
         parts, accepted = self._parts, self._accepted
@@ -237,27 +237,27 @@
             on_head=lambda head, sent_at: parts.stated_limits.note(
                 placed.upstream.name, head, sent_at=sent_at
             ),
-            on_first_event=lambda: self._begun(placed),
+            on_first_event=lambda: self._record_first_token(placed),
         )
         outcome: Outcome | None = None
         try:
             outcome = await attempt.run()
             return outcome
         except CallerLeft:
-            self._log_left("placed")
+            self._log_caller_left("placed")
             raise
         finally:
             # Left by its caller in the middle, it may have run as well.
             if attempt.sent and not isinstance(outcome, NotRun):
-                self._ran = True
+                self._may_have_run = True
                 self._runs += 1
 
-    def _check_caller(self, stage: str) -> None:
+    def _raise_if_caller_left(self, stage: str) -> None:
         if self._responder.peer_left():
-            self._log_left(stage)
+            self._log_caller_left(stage)
             raise CallerLeft(self._accepted.call.request_id)
 
-    def _log_left(self, stage: str) -> None:
+    def _log_caller_left(self, stage: str) -> None:
         log_info(
             "caller_left",
             request=self._accepted.call.request_id,
@@ -265,34 +265,34 @@
             after=round(monotonic() - self._accepted.arrived_at, 3),
         )
 
-    def _begun(self, placed: Placed) -> None:
+    def _record_first_token(self, placed: Placed) -> None:
         if not placed.begun:
             self._parts.placement.begun(placed)
             waited = monotonic() - self._accepted.arrived_at
-            self._first_after = self._first_after or waited
+            self._first_token_seconds = self._first_token_seconds or waited
             self._parts.metrics.first_token(
                 service=self._accepted.route.repeats, seconds=waited
             )
 
-    async def _conclude(
+    async def _handle_outcome(
         self, placed: Placed, outcome: Outcome
     ) -> Answer | _TryAgain | None:
         """Return an own answer, None for one that was sent, or `_AGAIN`."""
         parts, name = self._parts, placed.upstream.name
         match outcome:
             case Answered(head=head) as answered:
-                if head.status >= SERVER_ERROR and self._may_run_again("error"):
+                if head.status >= SERVER_ERROR_STATUS and self._may_run_again("error"):
                     self._log_failure(placed, "error", str(head.status))
-                    self._failure = placed, answered
-                    self._tried |= {name}
+                    self._upstream_failure = placed, answered
+                    self._tried_upstreams |= {name}
                     return _AGAIN
-                self._succeeded(placed)
-                await self._pass_on(placed, answered)
+                self._record_success(placed)
+                await self._forward(placed, answered)
                 return None
             case Streamed():
-                self._whole = True
-                self._succeeded(placed)
-                self._ended(placed, status=200)
+                self._complete = True
+                self._record_success(placed)
+                self._log_served(placed, status=200)
                 return None
             case NotRun(reason=reason, detail=detail):
                 self._log_failure(placed, reason, detail)
@@ -310,19 +310,19 @@
         if reason is NotRunReason.OTHER_INSTANCE:
             parts.dispatcher.replaced(name)
         if reason is not NotRunReason.UNREACHABLE:
-            self._turned_away += 1
-        self._tried |= {name}
-        if self._turned_away > MAX_TURNED_AWAY or self._time_left() <= 0:
-            return BROKEN if self._ran else OVERLOADED
+            self._rejected_sends += 1
+        self._tried_upstreams |= {name}
+        if self._rejected_sends > MAX_REJECTED_SENDS or self._time_left() <= 0:
+            return BROKEN if self._may_have_run else OVERLOADED
         if reason is NotRunReason.UNREACHABLE:
             # Nothing arrived there, so what is sent on is no repeat.
             self._log_retry(reason, allowed=True, charged=False)
-        elif not self._take_retry(reason):
-            return BROKEN if self._ran else OVERLOADED
+        elif not self._spend_retry(reason):
+            return BROKEN if self._may_have_run else OVERLOADED
         return _AGAIN
 
     def _after_broken(self, name: str, reason: BrokenReason) -> Answer | _TryAgain:
-        self._tried |= {name}
+        self._tried_upstreams |= {name}
         if reason is BrokenReason.DEADLINE:
             return TIMED_OUT
         self._parts.placement.failed(name, Failure.ERROR, monotonic())
@@ -333,9 +333,9 @@
         route = self._accepted.route
         if not route.repeatable or self._runs >= route.max_attempts:
             return False
-        return self._time_left() > 0 and self._take_retry(cause)
+        return self._time_left() > 0 and self._spend_retry(cause)
 
-    def _take_retry(self, cause: str) -> bool:
+    def _spend_retry(self, cause: str) -> bool:
         """Spend one retry if there is one."""
         allowed = self._retries.take()
         self._log_retry(cause, allowed=allowed, charged=allowed)
@@ -357,11 +357,11 @@
     def _time_left(self) -> float:
         return self._accepted.call.deadline - monotonic()
 
-    def _succeeded(self, placed: Placed) -> None:
+    def _record_success(self, placed: Placed) -> None:
         self._parts.placement.succeeded(placed.upstream.name, monotonic())
         self._parts.crashes.finished(self._accepted.fingerprint)
 
-    async def _broken_off(self, answer: Answer) -> Answer | None:
+    async def _abort_if_started(self, answer: Answer) -> Answer | None:
         """Break off an answer that has begun: it must not look whole."""
         if not self._relay.started:
             return answer
@@ -385,15 +385,15 @@
         )
         await send_answer(self._responder, answer)
 
-    def _ended(self, placed: Placed, *, status: int) -> None:
+    def _log_served(self, placed: Placed, *, status: int) -> None:
         accepted = self._accepted
         log_info(
             "served",
             request=accepted.call.request_id,
             upstream=placed.upstream.name,
             status=status,
-            events=self._relay.cutter.events,
-            first=round(self._first_after or 0.0, 3),
+            events=self._relay.splitter.events,
+            first=round(self._first_token_seconds or 0.0, 3),
             took=round(monotonic() - accepted.arrived_at, 3),
         )
         self._parts.metrics.request_ended(
@@ -407,7 +407,7 @@
             upstream=placed.upstream.name,
             reason=reason,
             detail=detail,
-            events=self._relay.cutter.events,
+            events=self._relay.splitter.events,
             after=round(monotonic() - self._accepted.arrived_at, 3),
         )
         self._parts.metrics.attempt_failed(failure=reason)
--- a/src/ragwortkeel/ingress/routing.py
+++ b/src/ragwortkeel/ingress/routing.py
@@ -71,8 +71,8 @@
 
     def _admit(self, route: Route, key: str) -> Routing:
         customer = self._customer_by_key.get(key)
-        wants_key = bool(self.customer_by_name) and not route.public
-        if wants_key and customer is None:
+        requires_key = bool(self.customer_by_name) and not route.public
+        if requires_key and customer is None:
             return UnknownKey()
         return Routed(route=route, customer=None if route.public else customer)
 
--- a/src/ragwortkeel/ingress/stated_limits.py
+++ b/src/ragwortkeel/ingress/stated_limits.py
@@ -11,7 +11,7 @@
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.policy.announced_limits import AnnouncedLimits, Statement
 
-LOGGED_CHARACTERS = 40
+MAX_LOGGED_CHARACTERS = 40
 """Of a value that can't be read."""
 
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{0,12})?|\.[0-9]{1,12}")
@@ -49,8 +49,8 @@
         self.limits = AnnouncedLimits()
         self._header = header
         self._metrics = metrics
-        self._unreadable: set[str] = set()
-        self._born_by_upstream: dict[str, int] = {}
+        self._unreadable_upstreams: set[str] = set()
+        self._started_by_upstream: dict[str, int] = {}
 
     def note(self, upstream: str, head: Head, *, sent_at: float) -> None:
         """Take in the head of an answer to a request sent at that second."""
@@ -59,10 +59,10 @@
         except LimitUnreadable as exc:
             self._log_unreadable(upstream, str(exc))
             return
-        self._unreadable.discard(upstream)
-        was = self.limits.of(upstream)
+        self._unreadable_upstreams.discard(upstream)
+        previous = self.limits.of(upstream)
         if self.limits.answered(upstream, per_second, sent_at=sent_at, now=monotonic()):
-            self._log_change(upstream, was, source="answer")
+            self._log_change(upstream, previous, source="answer")
 
     def recent(self) -> dict[str, AnnouncedLimit]:
         """Return what answers to this process said lately, for its peers."""
@@ -79,49 +79,51 @@
         """Take in what answers to a peer said."""
         now = monotonic()
         for name, reported in limit_by_upstream.items():
-            was = self.limits.of(name)
+            previous = self.limits.of(name)
             statement = Statement(
                 per_second=reported.per_second, at=now - reported.age_seconds, own=False
             )
             if self.limits.take(name, statement):
-                self._log_change(name, was, source="peer")
+                self._log_change(name, previous, source="peer")
 
     def note_instance(self, upstream: Upstream) -> None:
         """Drop what an earlier instance of that name said."""
-        known = self._born_by_upstream.get(upstream.name)
-        self._born_by_upstream[upstream.name] = upstream.born
+        known = self._started_by_upstream.get(upstream.name)
+        self._started_by_upstream[upstream.name] = upstream.born
         if known is None or upstream.born <= known:
             return
-        was = self.limits.of(upstream.name)
+        previous = self.limits.of(upstream.name)
         self.limits.forget(upstream.name)
-        if was is not None:
-            self._log_change(upstream.name, was, source="restart")
+        if previous is not None:
+            self._log_change(upstream.name, previous, source="restart")
 
     def keep(self, upstreams: set[str]) -> None:
         """Drop what upstreams said that are gone."""
         for gone in self.limits.keep(upstreams):
             self._metrics.upstream_announced(name=gone, limit=None)
-        self._unreadable &= upstreams
-        for gone in self._born_by_upstream.keys() - upstreams:
-            del self._born_by_upstream[gone]
+        self._unreadable_upstreams &= upstreams
+        for gone in self._started_by_upstream.keys() - upstreams:
+            del self._started_by_upstream[gone]
 
-    def _log_change(self, upstream: str, was: float | None, *, source: str) -> None:
+    def _log_change(
+        self, upstream: str, previous: float | None, *, source: str
+    ) -> None:
         limit = self.limits.of(upstream)
         log_info(
             "upstream_limit_changed",
             upstream=upstream,
             limit=limit,
-            was=was,
+            was=previous,
             source=source,
         )
         self._metrics.upstream_announced(name=upstream, limit=limit)
 
     def _log_unreadable(self, upstream: str, value: str) -> None:
-        if upstream in self._unreadable:
+        if upstream in self._unreadable_upstreams:
             return
-        self._unreadable.add(upstream)
+        self._unreadable_upstreams.add(upstream)
         log_warning(
             "upstream_limit_unreadable",
             upstream=upstream,
-            value=value[:LOGGED_CHARACTERS],
+            value=value[:MAX_LOGGED_CHARACTERS],
         )
--- a/src/ragwortkeel/ingress/upstream_connection.py
+++ b/src/ragwortkeel/ingress/upstream_connection.py
@@ -26,15 +26,15 @@
 """Over a hundred round trips inside a region; a lost opening packet alone is sent
 again after a second, and by then another upstream has answered."""
 
-UNACKNOWLEDGED_MILLISECONDS = 2000
+MAX_UNACKNOWLEDGED_MILLISECONDS = 2000
 """Sent bytes that nobody acknowledged for so long: the path is gone."""
 
-KEEPALIVE_IDLE_SECONDS = 1
-KEEPALIVE_PROBES = 3
+TCP_KEEPALIVE_IDLE_SECONDS = 1
+TCP_KEEPALIVE_PROBES = 3
 """A silent path to a working upstream shows after idle time plus the probes,
 one a second: well before callers give a stream up."""
 
-KEEP_ALIVE_SECONDS = 4.0
+DEFAULT_KEEP_ALIVE_SECONDS = 4.0
 """Idle time where the upstream names no other: under the shortest that servers
 commonly use, 5 s."""
 
@@ -45,7 +45,7 @@
 """Idle time after which a connection may be about to close: the shortest
 time-out that can be named is a whole second."""
 
-MAX_IDLE = 24
+MAX_IDLE_CONNECTIONS = 24
 """Kept for each upstream; more than its share of most services' slots."""
 
 
@@ -88,7 +88,7 @@
         self._id_header = id_header
         self._conn = h11.Connection(h11.CLIENT)
         self._request: h11.Request | None = None
-        self._idle_seconds = KEEP_ALIVE_SECONDS
+        self._keep_alive_seconds = DEFAULT_KEEP_ALIVE_SECONDS
         self._used_at = monotonic()
         self._framed = True
 
@@ -112,7 +112,7 @@
         return cls(sock=sock, id_header=id_header)
 
     @property
-    def idle_for(self) -> float:
+    def idle_seconds(self) -> float:
         """Seconds since the last use."""
         return monotonic() - self._used_at
 
@@ -125,9 +125,9 @@
     @property
     def expired(self) -> bool:
         """Whether the upstream may be closing it by now."""
-        return self.idle_for > self._idle_seconds
+        return self.idle_seconds > self._keep_alive_seconds
 
-    def is_silent(self) -> bool:
+    def is_quiet(self) -> bool:
         """Whether nothing, no byte and no end, came while it was idle."""
         try:
             self._sock._socket.recv(1, _socket.MSG_PEEK | _socket.MSG_DONTWAIT)
@@ -158,7 +158,7 @@
         except OSError as exc:
             raise ExchangeBroken(str(exc)) from exc
 
-    async def head(self, request_id: str) -> Head:
+    async def receive_head(self, request_id: str) -> Head:
         """Return the head of this request's answer, skipping those of others."""
         while True:
             event = await next_event(self._sock, self._conn)
@@ -166,16 +166,16 @@
                 continue
             if not isinstance(event, h11.Response):
                 raise ExchangeBroken("closed without an answer")
-            head = _head(event)
+            head = _response_head(event)
             echoed = head.get(self._id_header)
             if echoed == request_id:
-                self._note(head)
+                self._record_head(head)
                 return head
             if not echoed:
                 raise ExchangeBroken("an answer without the id of its request")
-            await self._skip()
+            await self._skip_response()
 
-    async def piece(self) -> bytes | None:
+    async def receive_chunk(self) -> bytes | None:
         """Return the next bytes of the body; None at its end."""
         match await next_event(self._sock, self._conn):
             case h11.Data(data=data):
@@ -190,9 +190,9 @@
         """Close at once: an upstream drops the work of a closed connection."""
         await self._sock.close()
 
-    async def _skip(self) -> None:
+    async def _skip_response(self) -> None:
         """Read past another request's answer and wait for the own one again."""
-        while await self.piece() is not None:
+        while await self.receive_chunk() is not None:
             pass
         rest, _ = self._conn.trailing_data
         # h11 takes one answer a request, so the request is told to it again.
@@ -201,12 +201,14 @@
         self._conn.send(h11.EndOfMessage())
         self._conn.receive_data(rest)
 
-    def _note(self, head: Head) -> None:
+    def _record_head(self, head: Head) -> None:
         self._framed = bool(head.get("content-length") or head.get("transfer-encoding"))
         for item in head.get("keep-alive").split(","):
             name, _, value = item.strip().partition("=")
             if name == "timeout" and value.isdecimal():
-                self._idle_seconds = max(0.0, int(value) - KEEP_ALIVE_MARGIN_SECONDS)
+                self._keep_alive_seconds = max(
+                    0.0, int(value) - KEEP_ALIVE_MARGIN_SECONDS
+                )
 
 
 class UpstreamConnections:
@@ -227,8 +229,8 @@
         idle = self._idle_by_upstream.get((upstream.name, upstream.born), [])
         while idle:
             connection = idle.pop()
-            stale = fresh and connection.idle_for > FRESH_SECONDS
-            if not connection.expired and not stale and connection.is_silent():
+            stale = fresh and connection.idle_seconds > FRESH_SECONDS
+            if not connection.expired and not stale and connection.is_quiet():
                 return connection
             await connection.close()
         return await UpstreamConnection.open(upstream, id_header=self._id_header)
@@ -236,7 +238,7 @@
     async def give_back(self, upstream: Upstream, connection: UpstreamConnection):
         """Keep a connection whose answer is whole; close any other."""
         idle = self._idle_by_upstream.setdefault((upstream.name, upstream.born), [])
-        if connection.reusable and len(idle) < MAX_IDLE:
+        if connection.reusable and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(connection)
             return
         await connection.close()
@@ -265,7 +267,7 @@
                 self._idle_by_upstream.pop(key, None)
 
 
-def _head(event: h11.Response) -> Head:
+def _response_head(event: h11.Response) -> Head:
     fields = tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in event.headers
@@ -277,11 +279,13 @@
     raw = sock._socket
     raw.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_NODELAY, 1)
     raw.setsockopt(_socket.SOL_SOCKET, _socket.SO_KEEPALIVE, 1)
-    raw.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    raw.setsockopt(
+        _socket.IPPROTO_TCP, _socket.TCP_KEEPIDLE, TCP_KEEPALIVE_IDLE_SECONDS
+    )
     raw.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPINTVL, 1)
-    raw.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    raw.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_KEEPCNT, TCP_KEEPALIVE_PROBES)
     raw.setsockopt(
         _socket.IPPROTO_TCP,
         _socket.TCP_USER_TIMEOUT,
-        UNACKNOWLEDGED_MILLISECONDS,
+        MAX_UNACKNOWLEDGED_MILLISECONDS,
     )
--- a/src/ragwortkeel/ingress/usage.py
+++ b/src/ragwortkeel/ingress/usage.py
@@ -4,7 +4,7 @@
 
 from ragwortkeel.ingress.prefixes import Part
 
-UNSEEN_EVENTS = 3
+MAX_UNRECEIVED_EVENTS = 3
 """Events an upstream may have made between the last one that got here and the
 close of a stream that was broken off; one step of its batch makes one."""
 
@@ -27,18 +27,20 @@
         """Tokens to set aside."""
         return self.prompt_tokens + self.answer_tokens
 
-    def cost(self, *, events: int, event_tokens: int, whole: bool) -> int:
+    def cost(self, *, events: int, event_tokens: int, complete: bool) -> int:
         """Return the tokens to charge once a run has ended.
 
         Parameters
         ----------
         events : int
             Events of the answer that were seen here.
-        whole : bool
+        complete : bool
             Whether the answer came to its end.
         """
-        seen = events if whole else events + UNSEEN_EVENTS
-        return self.prompt_tokens + min(self.answer_tokens, seen * event_tokens)
+        charged_events = events if complete else events + MAX_UNRECEIVED_EVENTS
+        return self.prompt_tokens + min(
+            self.answer_tokens, charged_events * event_tokens
+        )
 
 
 def parse_usage(text: str) -> Usage | None:
--- a/src/ragwortkeel/ingress/waiting.py
+++ b/src/ragwortkeel/ingress/waiting.py
@@ -23,40 +23,40 @@
     ----------
     latest_start : float
         Monotonic second after which a start is of no use to the caller.
-    tried : frozenset of str
+    tried_upstreams : frozenset of str
         Upstreams that it was at already.
     """
 
     job: Job
     arrived_at: float
     latest_start: float
-    tried: frozenset[str] = frozenset()
+    tried_upstreams: frozenset[str] = frozenset()
 
 
 class WaitingRoom:
     """The waiting requests of each service, and what runs for each customer."""
 
     def __init__(self) -> None:
-        self._waiter_by_id: dict[str, dict[str, Waiter]] = {}
+        self._queued_by_service: dict[str, dict[str, Waiter]] = {}
         self._running_by_customer: Counter[str] = Counter()
 
     def __len__(self) -> int:
-        return sum(len(waiters) for waiters in self._waiter_by_id.values())
+        return sum(len(queued) for queued in self._queued_by_service.values())
 
     def add(self, waiter: Waiter) -> None:
         """Let a request wait."""
-        waiters = self._waiter_by_id.setdefault(waiter.job.service, {})
-        waiters[waiter.job.request_id] = waiter
+        queued = self._queued_by_service.setdefault(waiter.job.service, {})
+        queued[waiter.job.request_id] = waiter
 
     def remove(self, job: Job) -> None:
         """Take a request out that was placed, refused or left by its caller."""
-        self._waiter_by_id.get(job.service, {}).pop(job.request_id, None)
+        self._queued_by_service.get(job.service, {}).pop(job.request_id, None)
 
-    def started(self, job: Job) -> None:
+    def record_started(self, job: Job) -> None:
         """Note that a customer's request runs."""
         self._running_by_customer[job.customer] += 1
 
-    def ended(self, job: Job) -> None:
+    def record_ended(self, job: Job) -> None:
         """Note that it does not any more."""
         self._running_by_customer[job.customer] -= 1
         if not self._running_by_customer[job.customer]:
@@ -64,17 +64,17 @@
 
     def services(self) -> list[str]:
         """Return the services for which requests wait."""
-        return [name for name, waiters in self._waiter_by_id.items() if waiters]
+        return [name for name, queued in self._queued_by_service.items() if queued]
 
-    def waiting_before(self, job: Job) -> int:
+    def queued_ahead(self, job: Job) -> int:
         """Return how many requests of the service go before this one."""
-        waiters = self._waiter_by_id.get(job.service, {}).values()
-        return sum(1 for one in waiters if one.job.priority <= job.priority)
+        queued = self._queued_by_service.get(job.service, {}).values()
+        return sum(1 for one in queued if one.job.priority <= job.priority)
 
     def in_order(self, service: str) -> list[Waiter]:
         """Return the service's waiting requests, the next one first."""
-        waiters = self._waiter_by_id.get(service, {}).values()
-        return sorted(waiters, key=self._rank)
+        queued = self._queued_by_service.get(service, {}).values()
+        return sorted(queued, key=self._rank)
 
     def _rank(self, waiter: Waiter) -> tuple[int, int, float]:
         running = self._running_by_customer[waiter.job.customer]
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -71,8 +71,8 @@
 
     refused, left = run(scenario)
     assert isinstance(refused, NoRoom)
-    assert refused.waiting == left == 80
-    assert refused.seconds > 1.0
+    assert refused.queued == left == 80
+    assert refused.wait_seconds > 1.0
 
 
 def test_while_turns_come_quickly_all_wait():
@@ -131,8 +131,8 @@
         refused = self.run(scenario, limit=1.0, processes=30)
         assert isinstance(refused, NoRoom)
         assert monotonic() - begun < 0.5
-        assert refused.seconds > 1.0
-        assert refused.rate == pytest.approx(1 / 30)
+        assert refused.wait_seconds > 1.0
+        assert refused.own_per_second == pytest.approx(1 / 30)
 
     def test_a_request_whose_part_comes_in_time_waits_for_it(self):
         """Guards against a limit that is taken for a closed door."""
@@ -173,5 +173,5 @@
             return await scenario(dispatcher(6, limits, rates))
 
         refused = curio.run(main)
-        assert refused.seconds == ELSEWHERE_SECONDS
-        assert refused.rate == 0.0
+        assert refused.wait_seconds == ELSEWHERE_SECONDS
+        assert refused.own_per_second == 0.0
--- a/tests/ingress/test_placement.py
+++ b/tests/ingress/test_placement.py
@@ -26,12 +26,12 @@
 
 
 def place(placement, one, service, upstream_by_name, now=0.0, tried=frozenset()):
-    return placement.choose(
+    return placement.assign(
         one,
         service=service,
         upstream_by_name=upstream_by_name,
         now=now,
-        tried=tried,
+        tried_upstreams=tried,
     )
 
 
--- a/tests/ingress/test_prefixes.py
+++ b/tests/ingress/test_prefixes.py
@@ -8,16 +8,16 @@
 class TestPrefixMemory:
     def test_only_the_unbroken_beginning_is_held(self):
         memory = PrefixMemory(capacity_tokens=1000)
-        memory.read(parts(("a", 100), ("b", 200)))
-        assert memory.held(parts(("a", 100), ("b", 200), ("c", 5))) == 300
-        assert memory.held(parts(("a", 100), ("x", 200))) == 100
-        assert memory.held(parts(("x", 100), ("b", 200))) == 0
+        memory.record_read(parts(("a", 100), ("b", 200)))
+        assert memory.cached_tokens(parts(("a", 100), ("b", 200), ("c", 5))) == 300
+        assert memory.cached_tokens(parts(("a", 100), ("x", 200))) == 100
+        assert memory.cached_tokens(parts(("x", 100), ("b", 200))) == 0
 
     def test_the_longest_unused_part_yields(self):
         memory = PrefixMemory(capacity_tokens=250)
-        memory.read(parts(("a", 100)))
-        memory.read(parts(("b", 100)))
-        memory.read(parts(("a", 100)))
-        memory.read(parts(("c", 100)))
-        assert memory.held(parts(("a", 100))) == 100
-        assert memory.held(parts(("b", 100))) == 0
+        memory.record_read(parts(("a", 100)))
+        memory.record_read(parts(("b", 100)))
+        memory.record_read(parts(("a", 100)))
+        memory.record_read(parts(("c", 100)))
+        assert memory.cached_tokens(parts(("a", 100))) == 100
+        assert memory.cached_tokens(parts(("b", 100))) == 0
--- a/tests/ingress/test_request_usage.py
+++ b/tests/ingress/test_request_usage.py
@@ -24,10 +24,10 @@
     usage = Usage(prompt_tokens=100, answer_tokens=60)
 
     def test_a_whole_answer_costs_what_came(self):
-        assert self.usage.cost(events=4, event_tokens=6, whole=True) == 124
+        assert self.usage.cost(events=4, event_tokens=6, complete=True) == 124
 
     def test_a_broken_one_costs_what_may_have_been_made_unseen(self):
-        assert self.usage.cost(events=4, event_tokens=6, whole=False) == 142
+        assert self.usage.cost(events=4, event_tokens=6, complete=False) == 142
 
     def test_never_more_than_what_was_set_aside(self):
-        assert self.usage.cost(events=40, event_tokens=6, whole=False) == 160
+        assert self.usage.cost(events=40, event_tokens=6, complete=False) == 160
--- a/tests/ingress/test_waiting.py
+++ b/tests/ingress/test_waiting.py
@@ -25,7 +25,7 @@
         """One customer sends many times its usual and all others wait behind it."""
         room = WaitingRoom()
         for i in range(3):
-            room.started(job(f"run{i}", customer="large"))
+            room.record_started(job(f"run{i}", customer="large"))
         room.add(waiter("of-large", arrived_at=0.0, customer="large"))
         room.add(waiter("of-small", arrived_at=1.0, customer="small"))
         assert order(room) == ["of-small", "of-large"]
@@ -33,8 +33,8 @@
     def test_only_requests_as_urgent_count_as_ahead(self):
         room = WaitingRoom()
         room.add(waiter("r1", priority=2))
-        assert room.waiting_before(job("r2", priority=1)) == 0
-        assert room.waiting_before(job("r2", priority=2)) == 1
+        assert room.queued_ahead(job("r2", priority=1)) == 0
+        assert room.queued_ahead(job("r2", priority=2)) == 1
 
     def test_a_request_that_left_is_forgotten(self):
         room = WaitingRoom()
