--- a/src/ragwortkeel/ingress/attempt.py
+++ b/src/ragwortkeel/ingress/attempt.py
@@ -1,9 +1,10 @@
-"""One run of a request at one upstream, relayed to the caller.
+"""One run of a request at one upstream, with its response forwarded to the caller.
 
-Failures it guards against: half an answer, another request's answer, an answer
-without its signature, or bytes that are no answer must never look like a good
-one.  A plain answer is read whole before any of it goes to the caller; a stream
-passes whole events only, and its end only where the upstream marked it.
+Failures it guards against: an incomplete response, the response to another request, a
+response without its signature, or bytes that are no response must never look like a
+valid response.  A plain response is received in full before any of it goes to the
+caller.  A stream is forwarded in complete events, and its end only if the upstream
+marked it.
 """
 
 from collections.abc import Callable
@@ -37,29 +38,39 @@
 EVENT_STREAM = "text/event-stream"
 
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-"""A plain answer is held whole; a larger one counts as broken."""
+"""Largest plain response, as it is held in memory; a larger one counts as broken."""
 
 MAX_SILENCE_SECONDS = 1.5
-"""A pause in a resumable stream after which it goes on elsewhere: over twice the
-longest pause that callers take as on time, under the two seconds after which
-they leave."""
+"""Pause in a resumable stream after which it is resumed at another upstream.
+
+Over twice the longest pause that callers count as on time, and less than the 2 s after
+which they leave.
+"""
 
 MAX_FIRST_SILENCE_SECONDS = 3.0
-"""The same before the first event: an engine may be reading long prompts."""
+"""Pause before the first event of a resumable stream after which it runs elsewhere.
+
+Longer than between events, because the engine may be reading long prompts.
+"""
 
 MISDIRECTED = 421
 
 
 @dataclass(frozen=True, kw_only=True)
 class Call:
-    """A caller's request as it is sent on.
+    """A caller's request, to be sent to upstreams.
 
     Attributes
     ----------
+    fields : tuple of pairs of str
+        Headers as the caller sent them.
     deadline : float
-        Monotonic second by which the answer has to be there.
+        Monotonic second by which the response has to be complete.
     urgency : int or None
-        For engines; None leaves the header out.
+        Rank among the requests of an engine, 0 first; None omits the header.
+    last_event : str
+        Id of the last event that the caller received in an earlier request; may be
+        empty.
     """
 
     request_id: str
@@ -75,7 +86,7 @@
 
 
 class Relay:
-    """What of a stream has gone to the caller, over all runs of the request."""
+    """The response that the caller receives, over all runs of its request."""
 
     def __init__(self, *, responder: Responder, last_event: str) -> None:
         self.responder = responder
@@ -84,20 +95,26 @@
 
     @property
     def started(self) -> bool:
-        """Whether the caller has the head of its answer."""
+        """Whether the head of the response was sent to the caller."""
         return self.responder.started
 
 
 class Attempt:
-    """Runs one call at one upstream.
+    """Runs one request at one upstream.
 
     Parameters
     ----------
-    on_head
-        Called with the head of each answer that is the upstream's own, and the
-        monotonic second at which its request was sent.
-    on_first_event
-        Called once the prompt has been read.
+    on_head : callable
+        Called with the head of a response unless another instance sent it, and the
+        monotonic second at which the request was sent.
+    on_first_event : callable
+        Called when the response shows that the prompt has been read, and again for
+        each later chunk of a stream.
+
+    Attributes
+    ----------
+    sent : bool
+        Whether sending the request has begun, so that the upstream may run it.
     """
 
     def __init__(
@@ -122,12 +139,12 @@
         self.sent = False
 
     async def run(self) -> Outcome:
-        """Run the call; whatever happens, the connection is closed or kept.
+        """Run the request, then close the connection or return it to the pool.
 
         Raises
         ------
         CallerLeft
-            The caller has gone and the call was not sent.
+            The caller closed its connection; the request was not sent.
         """
         upstream = self._placed.upstream
         fresh = not self._call.route.repeatable
@@ -257,7 +274,7 @@
 
 
 def forwarded_fields(head: Head) -> list[tuple[str, str]]:
-    """Return the headers of an upstream's answer that its caller gets."""
+    """Return the headers of a response that are forwarded to the caller."""
     return [(k, v) for k, v in head.fields if k not in HOP_BY_HOP]
 
 
--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -1,4 +1,4 @@
-"""Gives waiting requests their places, in order, as soon as there is room."""
+"""Assigns queued requests to upstreams, in order, as soon as there is headroom."""
 
 from dataclasses import dataclass
 from math import isfinite
@@ -14,33 +14,42 @@
 from ragwortkeel.policy.admission import Turns
 
 QUEUE_CHECK_SECONDS = 0.05
-"""How often waiting requests are looked at even if nothing was released here:
-other processes' work ends too, and is told about as often."""
+"""Interval at which the queue is checked even if no request ended here.
+
+Requests of other processes end too, and peers report their loads about as often.
+"""
 
 MAX_DISPATCH_DELAY_SECONDS = 2 * QUEUE_CHECK_SECONDS
-"""A turn may be noticed so late: a request that would have it just in time is not held
-for it."""
+"""Time by which a queued request may be sent later than its rate limit allows.
+
+A request that could be sent this close to its latest start is refused at once.
+"""
 
 ELSEWHERE_SECONDS = 1.0
-"""When to come back where all that limited upstreams take is other processes' to send:
-the caller's next connection is likely to meet one of them."""
+"""Estimated wait where other processes share all of the upstreams' rate limits.
+
+The next connection of the caller probably reaches one of those processes.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class NoRoom:
-    """The request got no place in time, or could not have; it did not run.
+    """The request could not be assigned to an upstream in time; it did not run.
 
     Attributes
     ----------
+    queued : int
+        Queued requests that go first.
     upstreams : int
-        Those that could have got it.
+        Upstreams to which the request could be assigned.
     withheld : bool
-        Whether there are others that must not: evacuated ones, or away from home.
+        Whether the service has ready upstreams, but all of them are evacuated or
+        outside the request's regions.
     wait_seconds : float
-        How long its turn would take from now, as far as one can tell.
+        Estimated seconds until the request could be assigned.
     own_per_second : float or None
-        Where all upstreams announced a limit, the requests a second that this process
-        may send.
+        Requests a second that this process may send if all upstreams announced a
+        limit; None otherwise.
     """
 
     queued: int
@@ -51,12 +60,14 @@
 
 
 class Dispatcher:
-    """Hands out places at upstreams.
+    """Assigns requests to upstreams, or queues them until one has headroom.
 
     Parameters
     ----------
-    directory, placement
-        Which upstreams there are, and which of them is best.
+    directory : Directory
+        The upstreams of each service.
+    placement : Placement
+        Chooses one of them.
     """
 
     def __init__(self, *, directory: Directory, placement: Placement) -> None:
@@ -76,16 +87,26 @@
         latest_start: float,
         tried_upstreams: frozenset[str] = frozenset(),
     ) -> Placed | NoRoom:
-        """Return a place for the request, which `release` has to give back.
-
-        Pattern of load: a service is full and more wait for it than it can serve in
-        their time.  Whoever's turn can't come before `latest_start` is told at once,
-        by how often turns came lately: held until then, it could not come back.  The
-        first in line always waits, or no turn would ever correct the estimate.
-
-        So is whoever may go to none of the upstreams there are, as in an evacuation of
-        all availability zones: nobody knows how long that lasts.  And so is who would
-        wait too long for its part of the limits that all upstreams announced.
+        """Assign the request to an upstream; `release` has to end the assignment.
+
+        Pattern of load: a service is full, and more requests are queued for it than it
+        can serve before their deadlines.  A request that is not expected to start
+        before `latest_start` is refused at once, because a caller that is held until
+        then has no time left to come back.  The estimate rests on the rate at which
+        requests left the queue lately.  The first request in the queue always waits;
+        otherwise no request would leave the queue to correct the estimate.
+
+        Two other requests are refused at once: one that must not use any of the ready
+        upstreams, as when all availability zones are evacuated for an unknown time, and
+        one that would wait too long for this process's share of the limits that all
+        upstreams announced.
+
+        Parameters
+        ----------
+        latest_start : float
+            Monotonic second after which the request is not worth starting.
+        tried_upstreams : frozenset of str
+            Upstreams to exclude because the request was sent to them before.
         """
         self._service_by_name[service.name] = service
         if self._directory.withholds(service=service.name, regions=job.regions):
@@ -107,24 +128,24 @@
         return await self._wait(job, latest_start, tried_upstreams)
 
     async def release(self, placed: Placed) -> None:
-        """Give a place back and let the next one have it."""
+        """End an assignment and assign queued requests to the freed upstream."""
         self._placement.release(placed)
         self.room.record_ended(placed.job)
         await self.place_waiting()
 
     def replaced(self, upstream: str) -> None:
-        """Place nothing more at an upstream whose address another instance has."""
+        """Stop using an upstream whose address now belongs to another instance."""
         if self._directory.replaced(upstream):
             log_info("upstream_replaced", upstream=upstream)
 
     async def place_waiting(self) -> None:
-        """Give places to those who wait, as far as there is room."""
+        """Assign queued requests in order, as far as there is headroom."""
         for name in self.room.services():
             service = self._service_by_name[name]
             for waiter in self.room.in_order(name):
                 placed = self._try_assign(waiter.job, service, waiter.tried_upstreams)
                 if placed is None and waiter.job.regions is not None:
-                    # Full at home; others may go elsewhere.
+                    # Its regions are full; later requests may run in others.
                     continue
                 if placed is None:
                     break
@@ -134,7 +155,7 @@
                 await self._assigned_by_request_id[waiter.job.request_id].set()
 
     async def run(self) -> None:
-        """Look after waiting requests until cancelled."""
+        """Check the queue regularly until cancelled."""
         while True:
             await curio.sleep(QUEUE_CHECK_SECONDS)
             if len(self.room):
@@ -183,7 +204,7 @@
             self._assigned_by_request_id.pop(job.request_id, None)
             unclaimed = self._assignment_by_request_id.pop(job.request_id, None)
             if unclaimed is not None:
-                # The caller left in the moment in which its turn came.
+                # The request was assigned just as its caller left.
                 self._placement.release(unclaimed)
                 self.room.record_ended(job)
 
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -1,4 +1,4 @@
-"""One request that belongs to a route, from its reservation to its final answer."""
+"""One request that matched a route, from its reservation to its final response."""
 
 from dataclasses import dataclass
 from time import monotonic
@@ -38,23 +38,37 @@
 from ragwortkeel.policy.facts import Failure
 
 MAX_REJECTED_SENDS = 2
-"""Sends that were turned away before a request is refused: each one is an arrival
-at a busy service, and the third finds no more than the second."""
+"""Rejected sends of a request after which it is sent once more, at the most.
+
+Each send adds load to a busy service, and a later one finds no more headroom than the
+ones before.
+"""
 
 MAX_QUEUE_TIME_FRACTION = 0.5
-"""Of the time left, spent waiting for a place at the most: the rest has to be
-enough for the run."""
+"""Fraction of the time left that a request may be queued for.
+
+The rest has to be enough for its run.
+"""
 
 SERVER_ERROR_STATUS = 500
-"""An upstream's failures from here on may be gone at another one; what it says of
-the request itself (4xx) is not."""
+"""Lowest status of a failure that another upstream may not have.
+
+A 4xx status is about the request itself and would be the same at each upstream.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Accepted:
-    """A request that belongs to a route and may be tried.
+    """A request that matched a route and may run.
 
-    `revision` is that of the configuration that decided so.
+    Attributes
+    ----------
+    fingerprint : str
+        Hash of target, customer and body, by which the quarantine knows the request.
+    arrived_at : float
+        Monotonic second at which the request arrived.
+    revision : int
+        Revision of the configuration that accepted the request.
     """
 
     call: Call
@@ -70,21 +84,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _TryAgain:
-    """Another upstream may still serve the request."""
+    """The request may run at another upstream."""
 
 
 _AGAIN = _TryAgain()
 
 
 class Exchange:
-    """One accepted request on its way through budget, places and runs.
+    """Reserves tokens for one accepted request, runs it and sends the response.
 
     Parameters
     ----------
     parts : FrontParts
-        What requests share.
+        Objects that all requests share.
     to : Responder
-        Where the answer goes.
+        Sends the response to the caller.
     """
 
     def __init__(self, *, parts: FrontParts, accepted: Accepted, to: Responder) -> None:
@@ -102,12 +116,12 @@
         self._upstream_failure: tuple[Placed, Answered] | None = None
 
     async def run(self) -> None:
-        """Bring the request to its final answer, unless its caller leaves before.
+        """Run the request and send its final response.
 
         Raises
         ------
         CallerLeft
-            There is nobody to answer.
+            The caller closed its connection before the response.
         """
         accepted = self._accepted
         self._raise_if_caller_left("arrived")
@@ -160,7 +174,7 @@
         )
 
     async def _run_until_answered(self) -> Answer | None:
-        """Try upstreams until there is a final answer; return an own one."""
+        """Run at upstreams until the response is final; return one left to send."""
         while True:
             placed = await self._acquire()
             if isinstance(placed, Answer):
@@ -175,7 +189,7 @@
 
     async def _give_up(self, answer: Answer) -> Answer | None:
         if self._upstream_failure is not None:
-            # The upstream's own failure tells the caller more than ours would.
+            # The upstream's response says more than one of the ingress would.
             await self._forward(*self._upstream_failure)
             return None
         return await self._abort_if_started(answer)
@@ -247,7 +261,7 @@
             self._log_caller_left("placed")
             raise
         finally:
-            # Left by its caller in the middle, it may have run as well.
+            # A request that is cancelled after sending may have run as well.
             if attempt.sent and not isinstance(outcome, NotRun):
                 self._may_have_run = True
                 self._runs += 1
@@ -277,7 +291,7 @@
     async def _handle_outcome(
         self, placed: Placed, outcome: Outcome
     ) -> Answer | _TryAgain | None:
-        """Return an own answer, None for one that was sent, or `_AGAIN`."""
+        """Return an answer to send, None if one was sent, or `_AGAIN` to retry."""
         parts, name = self._parts, placed.upstream.name
         match outcome:
             case Answered(head=head) as answered:
@@ -315,7 +329,7 @@
         if self._rejected_sends > MAX_REJECTED_SENDS or self._time_left() <= 0:
             return BROKEN if self._may_have_run else OVERLOADED
         if reason is NotRunReason.UNREACHABLE:
-            # Nothing arrived there, so what is sent on is no repeat.
+            # Nothing reached the upstream, so sending elsewhere is no repetition.
             self._log_retry(reason, allowed=True, charged=False)
         elif not self._spend_retry(reason):
             return BROKEN if self._may_have_run else OVERLOADED
@@ -329,14 +343,17 @@
         return _AGAIN if self._may_run_again(reason) else BROKEN
 
     def _may_run_again(self, cause: str) -> bool:
-        """Whether another run is allowed, pays, and is in the budget of retries."""
+        """Return whether route, deadline and retry budget allow another run.
+
+        If so, one retry is spent.
+        """
         route = self._accepted.route
         if not route.repeatable or self._runs >= route.max_attempts:
             return False
         return self._time_left() > 0 and self._spend_retry(cause)
 
     def _spend_retry(self, cause: str) -> bool:
-        """Spend one retry if there is one."""
+        """Spend one retry of the service; return whether there was one."""
         allowed = self._retries.take()
         self._log_retry(cause, allowed=allowed, charged=allowed)
         return allowed
@@ -362,7 +379,10 @@
         self._parts.crashes.finished(self._accepted.fingerprint)
 
     async def _abort_if_started(self, answer: Answer) -> Answer | None:
-        """Break off an answer that has begun: it must not look whole."""
+        """Abort a response that has started, so that it does not look complete.
+
+        Return the answer if nothing was sent yet.
+        """
         if not self._relay.started:
             return answer
         self._parts.refused(
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -1,22 +1,24 @@
-"""Where a request goes: room first, then the least time to its first token.
-
-Patterns of load: long prompts beside short ones, prefixes that most prompts
-share, several ingress processes that choose at the same moment, and upstreams
-that fail fast and so look idle.
-
-- An upstream has room while its slots, its memory and its connections hold one
-  more request, counted at its largest, own work and what the other ingress
-  processes told of theirs.  Without the bound on memory engines evict running
-  requests in the middle of their streams.
-- Among those with room the cheapest wins.  For an engine the cost is the tokens
-  it has to read before the first one comes: what it lacks of this prompt, what
-  it still has to read for others, and `RUNNING_REQUEST_COST_TOKENS` for each request
-  that runs.  Without the first term shared parts are read again at each engine;
-  without the others one hot prefix overloads one engine.
-- A prefix nobody has placed yet goes to its first engine in rendezvous order:
-  ingress processes agree on it without a message.  Where load made one choose
-  another engine it tells its peers, or each of them would have the shared parts read
-  once more, and all of them again after each restart.
+"""Assigns requests to upstreams: headroom first, then least time to the first token.
+
+Patterns of load: long prompts beside short ones, prefixes that most prompts share,
+several ingress processes that choose at the same moment, and upstreams that fail fast
+and therefore look idle.
+
+- An upstream has headroom while its slots, memory and connections can hold one more
+  request.  The request counts with its largest answer; the load of the upstream is
+  that of this process plus what other ingress processes last reported.  Without the
+  memory bound, engines evict running requests in the middle of their streams.
+- Among the upstreams with headroom, the cheapest wins.  The cost of an engine is
+  counted in tokens that it has to read before the first token of the answer: those of
+  this prompt that it has not cached, those still to be read for other requests, and
+  `RUNNING_REQUEST_COST_TOKENS` for each running request.  Without the first term, each
+  engine reads the shared prefixes again; without the others, one popular prefix
+  overloads one engine.
+- A prefix that no engine has cached goes to its first engine in rendezvous order, so
+  that ingress processes agree on it without a message.  Load may make a process choose
+  another engine, so processes report to their peers which shared prompt blocks an
+  engine began to read.  Otherwise each peer would have them read once more, and all
+  of them again after each restart.
 """
 
 from collections.abc import Callable, Iterable
@@ -33,43 +35,59 @@
 from ragwortkeel.policy.fleet_rates import EqualShare, FleetRate, FleetRates
 
 RUNNING_REQUEST_COST_TOKENS = 250
-"""Each running request slows the others' steps; over an answer of 300 tokens
-that is about the time of reading this many (measured on the engines' sheet:
-0.1 ms a step against 57 tokens read in a millisecond, halved as answers end)."""
+"""Cost of one running request, in prompt tokens to read.
+
+Each running request slows the decoding steps of the others by 0.1 ms, and an engine
+reads 57 prompt tokens per millisecond.  The value holds for answers of 300 tokens and
+is halved because answers end.
+"""
 
 MAX_MEMORY_FRACTION = 0.92
-"""Of an engine's memory, filled by running requests at their largest; the rest
-absorbs what other processes have placed since they last told."""
+"""Fraction of an engine's memory that running requests may fill at their largest size.
+
+The remaining 8% absorbs requests that other processes assigned after their last report.
+"""
 
 OTHER_ZONE_COST_REQUESTS = 0.05
-"""Of one request: breaks ties towards the own zone, where no byte is charged."""
+"""Cost of an upstream in another availability zone, in running requests.
+
+It breaks ties in favour of the own zone, where traffic is not charged.
+"""
 
 SHARED_TOKEN_COST_FACTOR = 4.0
-"""Cost of reading a shared token that another engine holds, against one that has
-to be read anyway: beside its time it takes the memory of parts in use, and the
-engine's other requests wait for it too."""
+"""Cost of reading a token of a shared block, relative to a token of the own block.
+
+Besides the time to read it, a shared token displaces cached blocks that are in use, and
+the other requests of the engine wait for it too.
+"""
 
 PLAIN_QUEUE_FRACTION = 1.0
-"""Of a plain upstream's slots, placed there beyond them by all processes together
-(one alone never has more there than slots): it queues a few more, and most of what
-counts as running is on its way there or back.  With the slots alone one upstream that
-was busy for 1.2 requests at a time counted as full: slow processes hold a place for
-0.2 s around 22 ms of work, and loads are told up to half a second late."""
+"""Requests that all processes together may assign to a plain upstream beyond its slots.
+
+A fraction of its slots; one process alone never assigns more than the slots.  Most
+requests that count as running are on their way to the upstream or back: a slow process
+holds an assignment for 0.2 s around 22 ms of work, and loads are reported up to 0.5 s
+late.  Without the extra requests, an upstream that is working on 1.2 requests at a time
+may count as full.
+"""
 
 MAX_CONNECTIONS_FRACTION = 0.8
-"""Of an upstream's connections; the rest is for health checks and late closes."""
+"""Fraction of an upstream's connections that requests may use.
+
+The rest is for health checks and for connections that close late.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Job:
-    """One request as the placement sees it.
+    """What decides which upstream a request is assigned to.
 
     Attributes
     ----------
     memory_tokens : int
-        Prompt and largest answer.
+        Tokens of the prompt and of the largest answer together.
     regions : frozenset of str or None
-        Where it may run; None for everywhere.
+        Regions in which the request may run; None for all regions.
     """
 
     request_id: str
@@ -83,13 +101,16 @@
 
     @property
     def affinity_block_id(self) -> str:
-        """The last part that others share: the last one is the request's own."""
+        """Id of the last shared block of the prompt; empty if there is none.
+
+        The last block of a prompt is not shared with other requests.
+        """
         return self.parts[-2].part_id if len(self.parts) > 1 else ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Load:
-    """What one process has at one upstream, in requests and tokens."""
+    """Requests and tokens that one process has assigned to one upstream."""
 
     running: int = 0
     memory_tokens: int = 0
@@ -110,9 +131,14 @@
 
 @dataclass(kw_only=True)
 class Placed:
-    """A request's place at an upstream, until `Placement.release`.
+    """The assignment of a request to an upstream, until `Placement.release`.
 
-    `load` is what was known to be there when it was chosen.
+    Attributes
+    ----------
+    load : Load
+        Known load of the upstream, of all processes, just before the assignment.
+    begun : bool
+        Whether the first token was received, so that the prompt has been read.
     """
 
     upstream: Upstream
@@ -124,21 +150,22 @@
 
 @dataclass(frozen=True, kw_only=True)
 class OwnSendRate:
-    """What one process may send to a service whose upstreams all announced a limit.
+    """Rate of one process at a service whose upstreams all announced a limit.
 
     Attributes
     ----------
     per_second : float
-        Requests a second, to all of them.
+        Requests a second to all upstreams of the service together.
     seconds_to_next : float
-        When it may send one more; infinite where all is others' to send.
+        Seconds until the process may send one more request; infinite if other
+        processes share all of the limits.
     """
 
     per_second: float
     seconds_to_next: float
 
     def seconds_until_send(self, ahead: int) -> float:
-        """Return when a request may be sent that has so many before it."""
+        """Return the seconds until a request may be sent, with `ahead` before it."""
         if not ahead:
             return self.seconds_to_next
         if not self.per_second:
@@ -148,10 +175,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Cold:
-    """An upstream that is cold for `seconds` from the monotonic second `at`.
+    """A cold period of an upstream.
 
-    One that was not reached may have restarted since, so it stays cold for as long as
-    its service says after it is reached again.  `told` is whether its entry says so.
+    An unreachable upstream may have restarted, so it is cold until it is reached again
+    and for the `cold_seconds` of its service after that.
+
+    Attributes
+    ----------
+    since_at : float
+        Monotonic second at which the period begins.
+    seconds : float
+        Length of the period; 0 for a warm upstream.
+    known_to_peers : bool
+        Whether the entry of the upstream states the period, so that all processes know
+        of it.
     """
 
     since_at: float = 0.0
@@ -160,7 +197,10 @@
     known_to_peers: bool = True
 
     def is_cold(self, service: Service, now: float) -> bool:
-        """Whether it is cold now; a longer time than the service's is no use."""
+        """Return whether the upstream is cold now.
+
+        The period is at most the `cold_seconds` of the service.
+        """
         if self.unreachable:
             return True
         return now < self.since_at + min(self.seconds, service.cold_seconds)
@@ -171,7 +211,7 @@
 
 @dataclass(kw_only=True)
 class _UpstreamRecord:
-    """What is known of one upstream."""
+    """What this process knows about one upstream."""
 
     running: int = 0
     memory_tokens: int = 0
@@ -198,18 +238,18 @@
 
 
 class Placement:
-    """Chooses upstreams and counts what is placed at each.
+    """Assigns requests to upstreams and counts the load of each upstream.
 
     Parameters
     ----------
     zone : str
         Availability zone of this process.
     ejections : Ejections
-        Which upstreams fail.
+        Health of each upstream.
     rates : FleetRates
-        How often upstreams with a bound on the fleet may be sent a request.
+        Requests that this process may send to upstreams with a fleet-wide rate limit.
     limits : AnnouncedLimits
-        The bounds that upstreams themselves have named.
+        Rate limits that upstreams announced.
     """
 
     def __init__(
@@ -236,14 +276,14 @@
         tried_upstreams: frozenset[str] = frozenset(),
         now: float,
     ) -> Placed | None:
-        """Place the request, or return None where no upstream has room.
+        """Assign the request to an upstream; return None if none has headroom.
 
         Parameters
         ----------
         upstream_by_name : dict
-            The service's upstreams that may get new work.
+            Upstreams of the service that accept new requests.
         tried_upstreams : frozenset of str
-            Upstreams to leave out, as the request was there already.
+            Upstreams to exclude because the request was sent to them before.
         now : float
             Monotonic seconds.
         """
@@ -267,9 +307,9 @@
     def own_send_rate(
         self, *, service: Service, upstreams: Iterable[Upstream], now: float
     ) -> OwnSendRate | None:
-        """Return what this process may send where all upstreams announced a limit.
+        """Return the rate of this process; None unless all upstreams have a limit.
 
-        None where one has not, or is only cold: that passes within seconds.
+        Only announced limits count, as cold periods end within seconds.
         """
         upstreams = list(upstreams)
         if not upstreams or any(self._limits.of(u.name) is None for u in upstreams):
@@ -283,20 +323,20 @@
         )
 
     def begun(self, placed: Placed) -> None:
-        """Note the first token: the prompt has been read."""
+        """Record the first token, which shows that the prompt has been read."""
         if not placed.begun:
             placed.begun = True
             self._record(placed.upstream).unread_tokens -= placed.unread_tokens
 
     def release(self, placed: Placed) -> None:
-        """Take the request's place back, however it ended."""
+        """Remove the request from the load of its upstream, however it ended."""
         self.begun(placed)
         record = self._record(placed.upstream)
         record.running -= 1
         record.memory_tokens -= placed.job.memory_tokens
 
     def failed(self, upstream: str, failure: Failure, now: float) -> bool:
-        """Note a failure; return whether the upstream is left alone now."""
+        """Record a failure; return whether it ejected the upstream."""
         if failure in _MAY_HAVE_RESTARTED and upstream in self._record_by_upstream:
             self._record_by_upstream[upstream].cold = _Cold(
                 unreachable=True, known_to_peers=False
@@ -304,7 +344,7 @@
         return self.ejections.failed(upstream, failure, now)
 
     def succeeded(self, upstream: str, now: float) -> None:
-        """Note an answer of the upstream's own."""
+        """Record a response that the upstream itself sent."""
         record = self._record_by_upstream.get(upstream)
         if record is not None and record.cold.unreachable:
             record.cold = _Cold(
@@ -313,20 +353,20 @@
         self.ejections.succeeded(upstream)
 
     def note_cold(self, upstream: str, seconds: float, now: float) -> None:
-        """Take an upstream for cold for so long from now; 0 for warm."""
+        """Mark an upstream as cold for `seconds` from now; 0 marks it as warm."""
         record = self._record_by_upstream.setdefault(upstream, _UpstreamRecord())
         record.cold = _Cold(since_at=now, seconds=seconds)
         if not seconds and self._limits.of(upstream) is None:
             self._rates.forget(upstream)
 
     def forget(self, upstream: str) -> None:
-        """Drop what a restarted or gone upstream no longer holds."""
+        """Drop the modelled prefix cache of a restarted or removed upstream."""
         record = self._record_by_upstream.get(upstream)
         if record is not None:
             record.prefix_cache = None
 
     def own_loads(self) -> dict[str, Load]:
-        """Return what this process has at each upstream, for its peers."""
+        """Return the load of this process at each upstream, for its peers."""
         return {
             name: record.own_load
             for name, record in self._record_by_upstream.items()
@@ -334,15 +374,18 @@
         }
 
     def news(self) -> dict[str, dict[int, int]]:
-        """Return the shared parts that upstreams began to read since the last call.
+        """Return and clear the shared blocks that upstreams began to read.
 
-        By upstream, tokens by chain; see `PrefixMemory`.
+        Returns
+        -------
+        dict
+            By upstream, the tokens of each block by its prefix hash.
         """
         news, self._new_blocks_by_upstream = self._new_blocks_by_upstream, {}
         return news
 
     def all_parts(self) -> dict[str, dict[int, int]]:
-        """Return all shared parts that upstreams hold, for a process that is new."""
+        """Return all shared blocks that upstreams have cached, for a new process."""
         return {
             name: record.prefix_cache.shared_blocks()
             for name, record in self._record_by_upstream.items()
@@ -350,7 +393,7 @@
         }
 
     def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
-        """Take in which shared parts another process let an upstream read."""
+        """Merge shared blocks that an upstream read for another process."""
         record = self._record_by_upstream.setdefault(upstream, _UpstreamRecord())
         record.prefix_cache = record.prefix_cache or PrefixMemory(capacity_tokens=None)
         record.prefix_cache.merge(tokens_by_chain)
@@ -358,7 +401,7 @@
     def heard(
         self, process: str, load_by_upstream: dict[str, Load], valid_until: float
     ) -> None:
-        """Take in what another process has at each upstream until that second."""
+        """Merge the loads of another process, which expire at `valid_until`."""
         for name in load_by_upstream:
             self._record_by_upstream.setdefault(name, _UpstreamRecord())
         for name, record in self._record_by_upstream.items():
@@ -366,7 +409,7 @@
             record.peer_load_by_process[process] = (valid_until, load)
 
     def keep(self, upstreams: set[str]) -> None:
-        """Forget upstreams that are gone and hold no own work."""
+        """Drop all other upstreams, but those with requests of this process."""
         self.ejections.keep(upstreams)
         self._rates.keep(upstreams)
         self._record_by_upstream = {
@@ -378,7 +421,7 @@
     def _record(self, upstream: Upstream) -> _UpstreamRecord:
         record = self._record_by_upstream.setdefault(upstream.name, _UpstreamRecord())
         if record.started != upstream.born:
-            # What peers told before this process knew the upstream still holds.
+            # Blocks that peers reported before the upstream was known here stay valid.
             if record.started is not None:
                 record.prefix_cache = None
             record.started = upstream.born
@@ -405,14 +448,14 @@
     def _may_send_one_more(
         self, upstream: Upstream, service: Service, now: float
     ) -> bool:
-        """Whether the upstream has no bound, or is due a request of this process."""
+        """Return whether no rate limit forbids one more request to the upstream."""
         rate = self._rate_limit(upstream, service, now)
         return rate is None or self._rates.may_send(upstream.name, rate, now=now)
 
     def _rate_limit(
         self, upstream: Upstream, service: Service, now: float
     ) -> FleetRate | None:
-        """Return the bound on the upstream's requests, of several the least."""
+        """Return the lowest rate limit of the upstream; None if it has none."""
         announced = self._limits.rate(upstream.name, now)
         cold = self._record(upstream).cold
         if not service.cold_per_second or not cold.is_cold(service, now):
@@ -442,7 +485,7 @@
         )
         shared = sum(part.tokens for part in job.parts[:-1])
         if any(self._cached_tokens(name, job) >= shared for name in names):
-            # Somebody has placed it, so nothing has to be guessed.
+            # An engine has cached the shared blocks, so none has to be predicted.
             first = ""
 
         def cost(upstream: Upstream) -> float:
@@ -454,7 +497,7 @@
                 else 0
             )
             if job.affinity_block_id and upstream.name == first:
-                # Another process is likely to have placed it there.
+                # Another process has probably assigned the prefix to this engine.
                 held = max(held, shared)
             missing = max(0, job.prompt_tokens - held)
             missing += max(0, shared - held) * (SHARED_TOKEN_COST_FACTOR - 1)
--- a/src/ragwortkeel/ingress/upstream_connection.py
+++ b/src/ragwortkeel/ingress/upstream_connection.py
@@ -1,14 +1,14 @@
-"""One connection to an upstream: a request out, its own answer back.
+"""One connection to an upstream, which sends a request and receives its response.
 
 Failures it guards against:
 
-- An answer to an earlier request comes late, where the next one is due.  The
-  echoed request id tells it, and it is skipped.
-- Bytes follow a whole answer.  They belong to no request, so the connection is
-  not used again.
-- The upstream closes a kept connection while a request is on its way to it:
-  nobody knows whether it ran.  So a request that must not repeat only takes a
-  connection that was used a moment ago.
+- The response to an earlier request arrives late, where the next one is due.  It is
+  recognised by the echoed request id and skipped.
+- Bytes follow a complete response.  They belong to no request, so the connection is not
+  used again.
+- The upstream closes an idle connection while a request is on its way to it, so that it
+  is unknown whether the request ran.  A request that must not run twice therefore only
+  uses a connection that was in use a moment ago.
 """
 
 import socket as _socket
@@ -23,41 +23,55 @@
 from ragwortkeel.ingress.configuration import Upstream
 
 CONNECT_SECONDS = 0.4
-"""Over a hundred round trips inside a region; a lost opening packet alone is sent
-again after a second, and by then another upstream has answered."""
+"""Time limit of a connect, over a hundred round trips inside a region.
+
+TCP repeats a lost SYN only after 1 s; by then another upstream has responded.
+"""
 
 MAX_UNACKNOWLEDGED_MILLISECONDS = 2000
-"""Sent bytes that nobody acknowledged for so long: the path is gone."""
+"""Age of unacknowledged bytes at which TCP drops the connection as unreachable."""
 
 TCP_KEEPALIVE_IDLE_SECONDS = 1
 TCP_KEEPALIVE_PROBES = 3
-"""A silent path to a working upstream shows after idle time plus the probes,
-one a second: well before callers give a stream up."""
+"""An unreachable upstream is detected after the idle time and the probes, 1 s apart.
+
+Callers wait longer than that for a stream.
+"""
 
 DEFAULT_KEEP_ALIVE_SECONDS = 4.0
-"""Idle time where the upstream names no other: under the shortest that servers
-commonly use, 5 s."""
+"""Longest idle time of a connection if the upstream states no timeout.
+
+Less than 5 s, the shortest timeout that servers commonly use.
+"""
 
 KEEP_ALIVE_MARGIN_SECONDS = 0.8
-"""Off what the upstream names: it states whole seconds and counts its own."""
+"""Subtracted from the timeout that the upstream states.
+
+The upstream states whole seconds and counts from its own last use.
+"""
 
 FRESH_SECONDS = 1.0
-"""Idle time after which a connection may be about to close: the shortest
-time-out that can be named is a whole second."""
+"""Idle time after which a connection may be about to close.
+
+1 s is the shortest timeout that an upstream can state.
+"""
 
 MAX_IDLE_CONNECTIONS = 24
-"""Kept for each upstream; more than its share of most services' slots."""
+"""Idle connections kept for each upstream.
+
+More than one process's share of the upstream's slots in most services.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Head:
-    """The head of an upstream's answer, names in lower case."""
+    """The head of an upstream's response, with header names in lower case."""
 
     status: int
     fields: tuple[tuple[str, str], ...]
 
     def get(self, name: str) -> str:
-        """Return a header's value; empty where there is none."""
+        """Return the first value of a header; empty if it is missing."""
         for key, value in self.fields:
             if key == name:
                 return value
@@ -66,7 +80,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Outgoing:
-    """A request as it goes to an upstream."""
+    """A request in the form in which it is sent to an upstream."""
 
     method: str
     target: str
@@ -80,7 +94,7 @@
     Parameters
     ----------
     id_header : str
-        Header in which upstreams echo the id of a request.
+        Name of the header in which upstreams echo the request id.
     """
 
     def __init__(self, *, sock, id_header: str) -> None:
@@ -94,7 +108,13 @@
 
     @classmethod
     async def open(cls, upstream: Upstream, *, id_header: str) -> "UpstreamConnection":
-        """Connect; `ConnectFailed` where the request surely was not sent."""
+        """Connect to an upstream.
+
+        Raises
+        ------
+        ConnectFailed
+            There is no connection, so the request was not sent.
+        """
         sock = curio.socket.socket(_socket.AF_INET, _socket.SOCK_STREAM)
         connected = False
         try:
@@ -113,22 +133,22 @@
 
     @property
     def idle_seconds(self) -> float:
-        """Seconds since the last use."""
+        """Seconds since the connection was opened or a response was complete."""
         return monotonic() - self._used_at
 
     @property
     def reusable(self) -> bool:
-        """Whether the answer is whole and another request may follow."""
+        """Whether the response is complete and another request may follow."""
         done = self._conn.our_state is h11.DONE and self._conn.their_state is h11.DONE
         return done and not self._conn.trailing_data[0] and self._framed
 
     @property
     def expired(self) -> bool:
-        """Whether the upstream may be closing it by now."""
+        """Whether the upstream may have closed the connection by now."""
         return self.idle_seconds > self._keep_alive_seconds
 
     def is_quiet(self) -> bool:
-        """Whether nothing, no byte and no end, came while it was idle."""
+        """Return whether neither data nor a close arrived on the idle connection."""
         try:
             self._sock._socket.recv(1, _socket.MSG_PEEK | _socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -138,7 +158,7 @@
         return False
 
     async def send(self, outgoing: Outgoing) -> None:
-        """Send the whole request."""
+        """Send the request."""
         if self._request is not None:
             self._conn.start_next_cycle()
         self._request = h11.Request(
@@ -159,7 +179,7 @@
             raise ExchangeBroken(str(exc)) from exc
 
     async def receive_head(self, request_id: str) -> Head:
-        """Return the head of this request's answer, skipping those of others."""
+        """Return the head of this request's response, and skip other responses."""
         while True:
             event = await next_event(self._sock, self._conn)
             if isinstance(event, h11.InformationalResponse):
@@ -176,7 +196,7 @@
             await self._skip_response()
 
     async def receive_chunk(self) -> bytes | None:
-        """Return the next bytes of the body; None at its end."""
+        """Return the next chunk of the body; None at its end."""
         match await next_event(self._sock, self._conn):
             case h11.Data(data=data):
                 return bytes(data)
@@ -187,15 +207,15 @@
                 raise ExchangeBroken("the answer broke off")
 
     async def close(self) -> None:
-        """Close at once: an upstream drops the work of a closed connection."""
+        """Close at once, so that the upstream drops the work of the request."""
         await self._sock.close()
 
     async def _skip_response(self) -> None:
-        """Read past another request's answer and wait for the own one again."""
+        """Read to the end of another request's response and expect the next one."""
         while await self.receive_chunk() is not None:
             pass
         rest, _ = self._conn.trailing_data
-        # h11 takes one answer a request, so the request is told to it again.
+        # h11 accepts one response per request, so the request is repeated to h11.
         self._conn = h11.Connection(h11.CLIENT)
         self._conn.send(h11.Request(method="GET", target="/", headers=[("host", "-")]))
         self._conn.send(h11.EndOfMessage())
@@ -212,19 +232,24 @@
 
 
 class UpstreamConnections:
-    """Kept connections by upstream instance."""
+    """A pool of idle connections for each upstream instance."""
 
     def __init__(self, *, id_header: str) -> None:
         self._id_header = id_header
         self._idle_by_upstream: dict[tuple[str, int], list[UpstreamConnection]] = {}
 
     async def take(self, upstream: Upstream, *, fresh: bool) -> UpstreamConnection:
-        """Return a connection; with `fresh`, one that can't be about to close.
+        """Return an idle connection or open one.
+
+        Parameters
+        ----------
+        fresh : bool
+            Whether to exclude idle connections that may be about to close.
 
         Raises
         ------
         ConnectFailed
-            There is none and none could be made.
+            There is no idle connection, and none could be opened.
         """
         idle = self._idle_by_upstream.get((upstream.name, upstream.born), [])
         while idle:
@@ -236,7 +261,7 @@
         return await UpstreamConnection.open(upstream, id_header=self._id_header)
 
     async def give_back(self, upstream: Upstream, connection: UpstreamConnection):
-        """Keep a connection whose answer is whole; close any other."""
+        """Keep a connection that can be used again; close any other."""
         idle = self._idle_by_upstream.setdefault((upstream.name, upstream.born), [])
         if connection.reusable and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(connection)
@@ -244,7 +269,7 @@
         await connection.close()
 
     async def is_down(self, upstream: Upstream) -> bool:
-        """Whether the upstream refuses a connection."""
+        """Return whether the upstream refuses connections."""
         try:
             connection = await UpstreamConnection.open(
                 upstream, id_header=self._id_header
@@ -257,7 +282,7 @@
         return False
 
     async def sweep(self) -> None:
-        """Close what has been idle for too long."""
+        """Close the connections that were idle for too long."""
         for key, idle in list(self._idle_by_upstream.items()):
             expired = [one for one in idle if one.expired]
             idle[:] = [one for one in idle if not one.expired]
--- a/src/ragwortkeel/ingress/waiting.py
+++ b/src/ragwortkeel/ingress/waiting.py
@@ -1,12 +1,12 @@
-"""Requests that wait for room at a service, and who goes first.
+"""The queue of requests for each service, and the order in which they are assigned.
 
-Pattern of load: a burst, one customer that sends many times its usual, and short
-work behind long.  Urgent requests go first; among equals the customer that has
-fewest running here; then the one that came first.  Without the second rule one
-customer's burst makes all others wait behind it.
+Pattern of load: a burst, one customer that sends many times its usual rate, and short
+requests behind long ones.  Requests of the most urgent priority go first; among those,
+requests of the customer with the fewest running requests here; then the one that
+arrived first.  Without the second rule, a burst of one customer delays all others.
 
-Who can't be served in time is told at once: a request whose turn can't come
-before `latest_start` leaves the queue with a refusal, not with its deadline.
+A request that is not assigned before its `latest_start` is refused then, so that its
+caller gets an answer before the deadline.
 """
 
 from collections import Counter
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Waiter:
-    """One request that waits.
+    """One request in the queue of its service.
 
     Attributes
     ----------
     latest_start : float
-        Monotonic second after which a start is of no use to the caller.
+        Monotonic second after which the request is not worth starting.
     tried_upstreams : frozenset of str
-        Upstreams that it was at already.
+        Upstreams to exclude because the request was sent to them before.
     """
 
     job: Job
@@ -34,7 +34,7 @@
 
 
 class WaitingRoom:
-    """The waiting requests of each service, and what runs for each customer."""
+    """The queue of each service, and the running requests of each customer."""
 
     def __init__(self) -> None:
         self._queued_by_service: dict[str, dict[str, Waiter]] = {}
@@ -44,35 +44,38 @@
         return sum(len(queued) for queued in self._queued_by_service.values())
 
     def add(self, waiter: Waiter) -> None:
-        """Let a request wait."""
+        """Append a request to the queue of its service."""
         queued = self._queued_by_service.setdefault(waiter.job.service, {})
         queued[waiter.job.request_id] = waiter
 
     def remove(self, job: Job) -> None:
-        """Take a request out that was placed, refused or left by its caller."""
+        """Remove a request that was assigned, refused or abandoned by its caller."""
         self._queued_by_service.get(job.service, {}).pop(job.request_id, None)
 
     def record_started(self, job: Job) -> None:
-        """Note that a customer's request runs."""
+        """Count one more running request of the customer."""
         self._running_by_customer[job.customer] += 1
 
     def record_ended(self, job: Job) -> None:
-        """Note that it does not any more."""
+        """Count one running request of the customer less."""
         self._running_by_customer[job.customer] -= 1
         if not self._running_by_customer[job.customer]:
             del self._running_by_customer[job.customer]
 
     def services(self) -> list[str]:
-        """Return the services for which requests wait."""
+        """Return the names of the services that have queued requests."""
         return [name for name, queued in self._queued_by_service.items() if queued]
 
     def queued_ahead(self, job: Job) -> int:
-        """Return how many requests of the service go before this one."""
+        """Return the number of queued requests of the service that go first.
+
+        These are all of the same or a more urgent priority.
+        """
         queued = self._queued_by_service.get(job.service, {}).values()
         return sum(1 for one in queued if one.job.priority <= job.priority)
 
     def in_order(self, service: str) -> list[Waiter]:
-        """Return the service's waiting requests, the next one first."""
+        """Return the queued requests of the service, the next one first."""
         queued = self._queued_by_service.get(service, {}).values()
         return sorted(queued, key=self._rank)
 
