--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -230,7 +230,7 @@
         "ORDER",
         "part of an event is no end",
         "ingress/attempt.py",
-        "if self._relay.splitter.has_partial_event:",
+        "if self._caller_response.splitter.has_partial_event:",
         "if False:",
     ),
     _guard(
@@ -258,7 +258,7 @@
         "ROUTE",
         "the instance is named",
         "ingress/attempt.py",
-        "fields.append((names.expect_instance, self._placed.upstream.name))",
+        "fields.append((names.expect_instance, self._assignment.upstream.name))",
         "pass",
     ),
     _guard(
@@ -293,7 +293,7 @@
         "BUDGET",
         "a request that crashed upstreams is not tried on",
         "ingress/exchange.py",
-        "if self._parts.crashes.refuses(accepted.fingerprint):",
+        "if self._parts.crashes.is_quarantined(accepted.fingerprint):",
         "if False:",
     ),
     _guard(
--- a/src/ragwortkeel/ingress/attempt.py
+++ b/src/ragwortkeel/ingress/attempt.py
@@ -19,20 +19,20 @@
 from ragwortkeel.ingress.events import EventSplitter
 from ragwortkeel.ingress.names import HOP_BY_HOP, HeaderNames
 from ragwortkeel.ingress.outcomes import (
-    Answered,
     Broken,
     BrokenReason,
+    FullResponse,
     NotRun,
     NotRunReason,
     Outcome,
-    Streamed,
+    StreamCompleted,
 )
-from ragwortkeel.ingress.placement import Placed
+from ragwortkeel.ingress.placement import Assignment
 from ragwortkeel.ingress.upstream_connection import (
-    Head,
-    Outgoing,
+    ConnectionPool,
+    ResponseHead,
     UpstreamConnection,
-    UpstreamConnections,
+    UpstreamRequest,
 )
 
 EVENT_STREAM = "text/event-stream"
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Call:
+class CallerRequest:
     """A caller's request, to be sent to upstreams.
 
     Attributes
@@ -85,7 +85,7 @@
     last_event: str = ""
 
 
-class Relay:
+class CallerResponse:
     """The response that the caller receives, over all runs of its request."""
 
     def __init__(self, *, responder: Responder, last_event: str) -> None:
@@ -120,17 +120,17 @@
     def __init__(
         self,
         *,
-        call: Call,
-        placed: Placed,
-        relay: Relay,
+        call: CallerRequest,
+        assignment: Assignment,
+        caller_response: CallerResponse,
         names: HeaderNames,
-        connections: UpstreamConnections,
-        on_head: Callable[[Head, float], None],
+        connections: ConnectionPool,
+        on_head: Callable[[ResponseHead, float], None],
         on_first_event: Callable[[], None],
     ) -> None:
         self._call = call
-        self._placed = placed
-        self._relay = relay
+        self._assignment = assignment
+        self._caller_response = caller_response
         self._names = names
         self._connections = connections
         self._on_head = on_head
@@ -146,15 +146,15 @@
         CallerLeft
             The caller closed its connection; the request was not sent.
         """
-        upstream = self._placed.upstream
+        upstream = self._assignment.upstream
         fresh = not self._call.route.repeatable
         try:
-            connection = await self._connections.take(upstream, fresh=fresh)
+            connection = await self._connections.acquire(upstream, fresh=fresh)
         except ConnectFailed as exc:
             return NotRun(reason=NotRunReason.UNREACHABLE, detail=str(exc))
         reusable = False
         try:
-            if self._relay.responder.peer_left():
+            if self._caller_response.responder.peer_left():
                 reusable = True
                 raise CallerLeft(self._call.request_id)
             outcome = await self._exchange(connection)
@@ -162,7 +162,7 @@
             return outcome
         finally:
             if reusable:
-                await self._connections.give_back(upstream, connection)
+                await self._connections.release(upstream, connection)
             else:
                 await connection.close()
 
@@ -172,7 +172,7 @@
             async with curio.timeout_after(max(0.001, seconds_left)):
                 self.sent = True
                 self._sent_at = monotonic()
-                await connection.send(self._outgoing(seconds_left))
+                await connection.send(self._upstream_request(seconds_left))
                 return await self._receive_response(connection)
         except curio.TaskTimeout:
             return Broken(reason=BrokenReason.DEADLINE)
@@ -197,9 +197,11 @@
             return await self._stream(connection, head)
         body = await _receive_body(connection)
         self._on_first_event()
-        return Answered(head=head, body=body)
+        return FullResponse(head=head, body=body)
 
-    async def _receive_head(self, connection: UpstreamConnection) -> Head | Broken:
+    async def _receive_head(
+        self, connection: UpstreamConnection
+    ) -> ResponseHead | Broken:
         request_id = self._call.request_id
         if not self._call.route.resumable:
             return await connection.receive_head(request_id)
@@ -209,8 +211,10 @@
         except curio.TaskTimeout:
             return Broken(reason=BrokenReason.SILENT)
 
-    async def _stream(self, connection: UpstreamConnection, head: Head) -> Outcome:
-        splitter = self._relay.splitter
+    async def _stream(
+        self, connection: UpstreamConnection, head: ResponseHead
+    ) -> Outcome:
+        splitter = self._caller_response.splitter
         splitter.discard_partial_event()
         max_silence_seconds = MAX_FIRST_SILENCE_SECONDS
         while True:
@@ -236,36 +240,38 @@
         except curio.TaskTimeout:
             return Broken(reason=BrokenReason.SILENT)
 
-    async def _forward(self, head: Head, events: bytes) -> None:
-        responder = self._relay.responder
-        if not self._relay.started:
+    async def _forward(self, head: ResponseHead, events: bytes) -> None:
+        responder = self._caller_response.responder
+        if not self._caller_response.started:
             await responder.start_with(head.status, forwarded_fields(head), events)
             return
         await responder.send(events)
 
-    async def _finish(self, head: Head) -> Outcome:
-        if self._relay.splitter.has_partial_event:
+    async def _finish(self, head: ResponseHead) -> Outcome:
+        if self._caller_response.splitter.has_partial_event:
             detail = "ended within an event"
             return Broken(reason=BrokenReason.CLOSED, detail=detail)
-        responder = self._relay.responder
-        if not self._relay.started:
+        responder = self._caller_response.responder
+        if not self._caller_response.started:
             await responder.start(head.status, dict(forwarded_fields(head)))
         await responder.finish()
-        return Streamed(events=self._relay.splitter.events)
+        return StreamCompleted(events=self._caller_response.splitter.events)
 
-    def _outgoing(self, seconds_left: float) -> Outgoing:
+    def _upstream_request(self, seconds_left: float) -> UpstreamRequest:
         call, names = self._call, self._names
         fields = [(k, v) for k, v in call.fields if k not in names.dropped]
         fields.append((names.deadline, str(max(1, int(seconds_left * 1000)))))
-        fields.append((names.expect_instance, self._placed.upstream.name))
+        fields.append((names.expect_instance, self._assignment.upstream.name))
         if call.customer:
             fields.append((names.customer, call.customer))
         if call.urgency is not None:
             fields.append((names.urgency, str(call.urgency)))
-        if self._relay.splitter.events:
+        if self._caller_response.splitter.events:
             fields = [(k, v) for k, v in fields if k != names.last_event]
-            fields.append((names.last_event, str(self._relay.splitter.last_id)))
-        return Outgoing(
+            fields.append(
+                (names.last_event, str(self._caller_response.splitter.last_id))
+            )
+        return UpstreamRequest(
             method=call.method,
             target=call.target,
             fields=tuple(fields),
@@ -273,12 +279,12 @@
         )
 
 
-def forwarded_fields(head: Head) -> list[tuple[str, str]]:
+def forwarded_fields(head: ResponseHead) -> list[tuple[str, str]]:
     """Return the headers of a response that are forwarded to the caller."""
     return [(k, v) for k, v in head.fields if k not in HOP_BY_HOP]
 
 
-def _not_run(head: Head) -> NotRun:
+def _not_run(head: ResponseHead) -> NotRun:
     if head.status == MISDIRECTED:
         return NotRun(reason=NotRunReason.OTHER_INSTANCE)
     return NotRun(reason=NotRunReason.FULL, detail=str(head.status))
--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -8,8 +8,8 @@
 
 from ragwortkeel.ingress.configuration import Service
 from ragwortkeel.ingress.directory import Directory
-from ragwortkeel.ingress.placement import Job, OwnSendRate, Placed, Placement
-from ragwortkeel.ingress.waiting import Waiter, WaitingRoom
+from ragwortkeel.ingress.placement import Assignment, Job, OwnSendRate, Placement
+from ragwortkeel.ingress.request_queue import QueuedRequest, RequestQueue
 from ragwortkeel.logs import log_info
 from ragwortkeel.policy.admission import Turns
 
@@ -25,7 +25,7 @@
 A request that could be sent this close to its latest start is refused at once.
 """
 
-ELSEWHERE_SECONDS = 1.0
+RETRY_ELSEWHERE_SECONDS = 1.0
 """Estimated wait where other processes share all of the upstreams' rate limits.
 
 The next connection of the caller probably reaches one of those processes.
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class NoRoom:
+class NotAssigned:
     """The request could not be assigned to an upstream in time; it did not run.
 
     Attributes
@@ -71,10 +71,10 @@
     """
 
     def __init__(self, *, directory: Directory, placement: Placement) -> None:
-        self.room = WaitingRoom()
+        self.queue = RequestQueue()
         self._directory = directory
         self._placement = placement
-        self._assignment_by_request_id: dict[str, Placed] = {}
+        self._assignment_by_request_id: dict[str, Assignment] = {}
         self._assigned_by_request_id: dict[str, curio.Event] = {}
         self._service_by_name: dict[str, Service] = {}
         self._turns_by_service: dict[str, Turns] = {}
@@ -86,7 +86,7 @@
         service: Service,
         latest_start: float,
         tried_upstreams: frozenset[str] = frozenset(),
-    ) -> Placed | NoRoom:
+    ) -> Assignment | NotAssigned:
         """Assign the request to an upstream; `release` has to end the assignment.
 
         Pattern of load: a service is full, and more requests are queued for it than it
@@ -111,11 +111,11 @@
         self._service_by_name[service.name] = service
         if self._directory.withholds(service=service.name, regions=job.regions):
             return self._not_assigned(job)
-        ahead = self.room.queued_ahead(job)
+        ahead = self.queue.queued_ahead(job)
         if not ahead:
-            placed = self._try_assign(job, service, tried_upstreams)
-            if placed is not None:
-                return placed
+            assignment = self._try_assign(job, service, tried_upstreams)
+            if assignment is not None:
+                return assignment
         elif monotonic() + self._estimated_wait_seconds(job) > latest_start:
             return self._not_assigned(job)
         send_rate = self._own_send_rate(job, tried_upstreams)
@@ -127,44 +127,48 @@
             return self._not_assigned(job)
         return await self._wait(job, latest_start, tried_upstreams)
 
-    async def release(self, placed: Placed) -> None:
+    async def release(self, assignment: Assignment) -> None:
         """End an assignment and assign queued requests to the freed upstream."""
-        self._placement.release(placed)
-        self.room.record_ended(placed.job)
-        await self.place_waiting()
+        self._placement.release(assignment)
+        self.queue.record_ended(assignment.job)
+        await self.assign_queued()
 
-    def replaced(self, upstream: str) -> None:
+    def record_replaced(self, upstream: str) -> None:
         """Stop using an upstream whose address now belongs to another instance."""
         if self._directory.replaced(upstream):
             log_info("upstream_replaced", upstream=upstream)
 
-    async def place_waiting(self) -> None:
+    async def assign_queued(self) -> None:
         """Assign queued requests in order, as far as there is headroom."""
-        for name in self.room.services():
+        for name in self.queue.services():
             service = self._service_by_name[name]
-            for waiter in self.room.in_order(name):
-                placed = self._try_assign(waiter.job, service, waiter.tried_upstreams)
-                if placed is None and waiter.job.regions is not None:
+            for queued_request in self.queue.in_order(name):
+                assignment = self._try_assign(
+                    queued_request.job, service, queued_request.tried_upstreams
+                )
+                if assignment is None and queued_request.job.regions is not None:
                     # Its regions are full; later requests may run in others.
                     continue
-                if placed is None:
+                if assignment is None:
                     break
-                self._assignment_by_request_id[waiter.job.request_id] = placed
-                self.room.remove(waiter.job)
+                self._assignment_by_request_id[queued_request.job.request_id] = (
+                    assignment
+                )
+                self.queue.remove(queued_request.job)
                 self._turns(name).taken(0.0, monotonic())
-                await self._assigned_by_request_id[waiter.job.request_id].set()
+                await self._assigned_by_request_id[queued_request.job.request_id].set()
 
     async def run(self) -> None:
         """Check the queue regularly until cancelled."""
         while True:
             await curio.sleep(QUEUE_CHECK_SECONDS)
-            if len(self.room):
-                await self.place_waiting()
+            if len(self.queue):
+                await self.assign_queued()
 
     def _try_assign(
         self, job: Job, service: Service, tried_upstreams: frozenset[str]
-    ) -> Placed | None:
-        placed = self._placement.assign(
+    ) -> Assignment | None:
+        assignment = self._placement.assign(
             job,
             service=service,
             upstream_by_name=self._directory.usable(
@@ -173,19 +177,19 @@
             tried_upstreams=tried_upstreams,
             now=monotonic(),
         )
-        if placed is not None:
-            self.room.record_started(job)
-        return placed
+        if assignment is not None:
+            self.queue.record_started(job)
+        return assignment
 
     async def _wait(
         self, job: Job, latest_start: float, tried_upstreams: frozenset[str]
-    ) -> Placed | NoRoom:
+    ) -> Assignment | NotAssigned:
         now = monotonic()
         assigned = self._assigned_by_request_id[job.request_id] = curio.Event()
-        if job.service not in self.room.services():
+        if job.service not in self.queue.services():
             self._turns(job.service).waiting_from(now)
-        self.room.add(
-            Waiter(
+        self.queue.add(
+            QueuedRequest(
                 job=job,
                 arrived_at=now,
                 latest_start=latest_start,
@@ -195,32 +199,34 @@
         try:
             async with curio.ignore_after(max(0.0, latest_start - now)):
                 await assigned.wait()
-            placed = self._assignment_by_request_id.pop(job.request_id, None)
-            if placed is not None:
-                return placed
+            assignment = self._assignment_by_request_id.pop(job.request_id, None)
+            if assignment is not None:
+                return assignment
             return self._not_assigned(job)
         finally:
-            self.room.remove(job)
+            self.queue.remove(job)
             self._assigned_by_request_id.pop(job.request_id, None)
             unclaimed = self._assignment_by_request_id.pop(job.request_id, None)
             if unclaimed is not None:
                 # The request was assigned just as its caller left.
                 self._placement.release(unclaimed)
-                self.room.record_ended(job)
+                self.queue.record_ended(job)
 
-    def _not_assigned(self, job: Job) -> NoRoom:
+    def _not_assigned(self, job: Job) -> NotAssigned:
         usable = self._directory.usable(service=job.service, regions=job.regions)
         withheld = self._directory.withholds(service=job.service, regions=job.regions)
-        queued = self.room.queued_ahead(job)
+        queued = self.queue.queued_ahead(job)
         send_rate = self._own_send_rate(job, frozenset())
         seconds = self._estimated_wait_seconds(job)
         if send_rate is not None:
             rate_wait_seconds = send_rate.seconds_until_send(queued)
             seconds = max(
                 seconds,
-                rate_wait_seconds if isfinite(rate_wait_seconds) else ELSEWHERE_SECONDS,
+                rate_wait_seconds
+                if isfinite(rate_wait_seconds)
+                else RETRY_ELSEWHERE_SECONDS,
             )
-        return NoRoom(
+        return NotAssigned(
             queued=queued,
             upstreams=len(usable),
             withheld=withheld,
@@ -246,6 +252,6 @@
         return self._turns_by_service.setdefault(service, Turns())
 
     def _estimated_wait_seconds(self, job: Job) -> float:
-        idle = job.service not in self.room.services()
+        idle = job.service not in self.queue.services()
         each = self._turns(job.service).seconds_each(0.0, idle=idle, now=monotonic())
-        return each * (self.room.queued_ahead(job) + 1)
+        return each * (self.queue.queued_ahead(job) + 1)
--- a/src/ragwortkeel/ingress/answers.py
+++ b/src/ragwortkeel/ingress/error_responses.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Answer:
+class ErrorResponse:
     """A final answer of the ingress's own.
 
     `retry_after_seconds` is None where coming back does not help.
@@ -39,59 +39,61 @@
     reason: str
 
 
-NO_CONFIGURATION = Answer(
+NO_CONFIGURATION = ErrorResponse(
     status=503,
     reason="no_configuration",
     result=Result.NOT_RUN,
     retry_after_seconds=0.5,
 )
-NO_ROUTE = Answer(status=404, reason="no_route", result=Result.NOT_RUN)
-UNKNOWN_KEY = Answer(status=401, reason="unknown_key", result=Result.NOT_RUN)
-BAD_REQUEST = Answer(status=400, reason="bad_headers", result=Result.NOT_RUN)
-BUDGET_EXHAUSTED = Answer(status=402, reason="budget_exhausted", result=Result.NOT_RUN)
-BUDGET_UNREACHABLE = Answer(
+NO_ROUTE = ErrorResponse(status=404, reason="no_route", result=Result.NOT_RUN)
+UNKNOWN_KEY = ErrorResponse(status=401, reason="unknown_key", result=Result.NOT_RUN)
+BAD_REQUEST = ErrorResponse(status=400, reason="bad_headers", result=Result.NOT_RUN)
+BUDGET_EXHAUSTED = ErrorResponse(
+    status=402, reason="budget_exhausted", result=Result.NOT_RUN
+)
+BUDGET_UNREACHABLE = ErrorResponse(
     status=503,
     reason="budget_unreachable",
     result=Result.NOT_RUN,
     retry_after_seconds=0.7,
 )
-QUARANTINED = Answer(status=503, reason="quarantined", result=Result.NOT_RUN)
-NO_UPSTREAM = Answer(
+QUARANTINED = ErrorResponse(status=503, reason="quarantined", result=Result.NOT_RUN)
+NO_UPSTREAM = ErrorResponse(
     status=503, reason="no_upstream", result=Result.NOT_RUN, retry_after_seconds=0.6
 )
-UPSTREAMS_WITHHELD = Answer(
+UPSTREAMS_WITHHELD = ErrorResponse(
     status=503,
     reason="upstreams_withheld",
     result=Result.NOT_RUN,
     retry_after_seconds=1.0,
 )
-OVERLOADED = Answer(
+OVERLOADED = ErrorResponse(
     status=503, reason="overloaded", result=Result.NOT_RUN, retry_after_seconds=0.8
 )
-STOPPING = Answer(
+STOPPING = ErrorResponse(
     status=503, reason="stopping", result=Result.NOT_RUN, retry_after_seconds=0.05
 )
-TIMED_OUT = Answer(status=504, reason="timed_out", result=Result.UNKNOWN)
-BROKEN = Answer(status=502, reason="upstream_broke_off", result=Result.UNKNOWN)
+TIMED_OUT = ErrorResponse(status=504, reason="timed_out", result=Result.UNKNOWN)
+BROKEN = ErrorResponse(status=502, reason="upstream_broke_off", result=Result.UNKNOWN)
 
 
 _random = Random()
 
 
-def with_retry_after(answer: Answer, seconds: float) -> Answer:
+def with_retry_after(error: ErrorResponse, seconds: float) -> ErrorResponse:
     """Return the refusal with when to come back, of what is known of that."""
-    return replace(answer, retry_after_seconds=return_after(seconds, _random))
+    return replace(error, retry_after_seconds=return_after(seconds, _random))
 
 
-async def send_answer(responder: Responder, answer: Answer) -> None:
+async def send_error(responder: Responder, error: ErrorResponse) -> None:
     """Send an own answer; its connection stays usable."""
     problem = _Problem(
-        status=answer.status,
-        title=answer.reason.replace("_", " "),
-        outcome=answer.result,
-        reason=answer.reason,
+        status=error.status,
+        title=error.reason.replace("_", " "),
+        outcome=error.result,
+        reason=error.reason,
     )
     headers = {"content-type": PROBLEM_TYPE}
-    if answer.retry_after_seconds is not None:
-        headers["retry-after"] = f"{answer.retry_after_seconds:g}"
-    await responder.respond(answer.status, msgspec.json.encode(problem), headers)
+    if error.retry_after_seconds is not None:
+        headers["retry-after"] = f"{error.retry_after_seconds:g}"
+    await responder.respond(error.status, msgspec.json.encode(problem), headers)
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -6,7 +6,15 @@
 from ragwortkeel.budget.account import Hold
 from ragwortkeel.exceptions import CallerLeft
 from ragwortkeel.http_responder import Responder
-from ragwortkeel.ingress.answers import (
+from ragwortkeel.ingress.attempt import (
+    Attempt,
+    CallerRequest,
+    CallerResponse,
+    forwarded_fields,
+)
+from ragwortkeel.ingress.configuration import Customer, Route, Service
+from ragwortkeel.ingress.dispatch import NotAssigned
+from ragwortkeel.ingress.error_responses import (
     BROKEN,
     BUDGET_EXHAUSTED,
     BUDGET_UNREACHABLE,
@@ -15,24 +23,21 @@
     QUARANTINED,
     TIMED_OUT,
     UPSTREAMS_WITHHELD,
-    Answer,
-    send_answer,
+    ErrorResponse,
+    send_error,
     with_retry_after,
 )
-from ragwortkeel.ingress.attempt import Attempt, Call, Relay, forwarded_fields
-from ragwortkeel.ingress.configuration import Customer, Route, Service
-from ragwortkeel.ingress.dispatch import NoRoom
 from ragwortkeel.ingress.front_parts import FrontParts
 from ragwortkeel.ingress.outcomes import (
-    Answered,
     Broken,
     BrokenReason,
+    FullResponse,
     NotRun,
     NotRunReason,
     Outcome,
-    Streamed,
+    StreamCompleted,
 )
-from ragwortkeel.ingress.placement import Job, Placed
+from ragwortkeel.ingress.placement import Assignment, Job
 from ragwortkeel.ingress.usage import Usage
 from ragwortkeel.logs import log_info
 from ragwortkeel.policy.facts import Failure
@@ -58,7 +63,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Accepted:
+class AcceptedRequest:
     """A request that matched a route and may run.
 
     Attributes
@@ -71,7 +76,7 @@
         Revision of the configuration that accepted the request.
     """
 
-    call: Call
+    call: CallerRequest
     job: Job
     service: Service
     route: Route
@@ -101,19 +106,23 @@
         Sends the response to the caller.
     """
 
-    def __init__(self, *, parts: FrontParts, accepted: Accepted, to: Responder) -> None:
+    def __init__(
+        self, *, parts: FrontParts, accepted: AcceptedRequest, to: Responder
+    ) -> None:
         self._parts = parts
         self._accepted = accepted
         self._responder = to
         self._retries = parts.retries.of(accepted.service.name)
-        self._relay = Relay(responder=to, last_event=accepted.call.last_event)
+        self._caller_response = CallerResponse(
+            responder=to, last_event=accepted.call.last_event
+        )
         self._runs = 0
         self._rejected_sends = 0
         self._first_token_seconds: float | None = None
         self._may_have_run = False
         self._complete = False
         self._tried_upstreams: frozenset[str] = frozenset()
-        self._upstream_failure: tuple[Placed, Answered] | None = None
+        self._upstream_failure: tuple[Assignment, FullResponse] | None = None
 
     async def run(self) -> None:
         """Run the request and send its final response.
@@ -125,18 +134,18 @@
         """
         accepted = self._accepted
         self._raise_if_caller_left("arrived")
-        if self._parts.crashes.refuses(accepted.fingerprint):
-            await self._answer(QUARANTINED)
+        if self._parts.crashes.is_quarantined(accepted.fingerprint):
+            await self._send_error(QUARANTINED)
             return
         hold = await self._reserve()
-        if isinstance(hold, Answer):
-            await self._answer(hold)
+        if isinstance(hold, ErrorResponse):
+            await self._send_error(hold)
             return
         self._retries.earn()
         try:
-            answer = await self._run_until_answered()
-            if answer is not None:
-                await self._answer(answer)
+            error = await self._run_until_answered()
+            if error is not None:
+                await self._send_error(error)
         finally:
             if hold is not None:
                 spent = self._spent_tokens()
@@ -149,17 +158,19 @@
                     spent=spent,
                 )
 
-    async def _reserve(self) -> Hold | Answer | None:
+    async def _reserve(self) -> Hold | ErrorResponse | None:
         accepted, keeper = self._accepted, self._parts.keeper
         customer, usage = accepted.customer, accepted.usage
         if customer is None or customer.prepaid is None or usage is None:
             return None
         seconds_left = accepted.call.deadline - monotonic()
-        hold = await keeper.reserve(customer, usage.total, seconds_left=seconds_left)
+        hold = await keeper.reserve(
+            customer, usage.total_tokens, seconds_left=seconds_left
+        )
         if hold is not None:
             return hold
-        keeper.log_lack(accepted.call.request_id, customer, usage.total)
-        if keeper.is_exhausted(customer, usage.total):
+        keeper.log_lack(accepted.call.request_id, customer, usage.total_tokens)
+        if keeper.is_exhausted(customer, usage.total_tokens):
             return BUDGET_EXHAUSTED
         return with_retry_after(BUDGET_UNREACHABLE, keeper.seconds_to_tokens())
 
@@ -168,90 +179,90 @@
             return 0
         engine = self._accepted.service.engine
         return self._accepted.usage.cost(
-            events=self._relay.splitter.events,
+            events=self._caller_response.splitter.events,
             event_tokens=engine.event_tokens if engine else 1,
             complete=self._complete,
         )
 
-    async def _run_until_answered(self) -> Answer | None:
+    async def _run_until_answered(self) -> ErrorResponse | None:
         """Run at upstreams until the response is final; return one left to send."""
         while True:
-            placed = await self._acquire()
-            if isinstance(placed, Answer):
-                return await self._give_up(placed)
+            assignment = await self._acquire()
+            if isinstance(assignment, ErrorResponse):
+                return await self._give_up(assignment)
             try:
-                outcome = await self._run_at(placed)
+                outcome = await self._run_at(assignment)
             finally:
-                await self._parts.dispatcher.release(placed)
-            done = await self._handle_outcome(placed, outcome)
+                await self._parts.dispatcher.release(assignment)
+            done = await self._handle_outcome(assignment, outcome)
             if not isinstance(done, _TryAgain):
                 return await self._give_up(done) if done else None
 
-    async def _give_up(self, answer: Answer) -> Answer | None:
+    async def _give_up(self, error: ErrorResponse) -> ErrorResponse | None:
         if self._upstream_failure is not None:
             # The upstream's response says more than one of the ingress would.
             await self._forward(*self._upstream_failure)
             return None
-        return await self._abort_if_started(answer)
+        return await self._abort_if_started(error)
 
-    async def _forward(self, placed: Placed, answered: Answered) -> None:
-        head = answered.head
+    async def _forward(self, assignment: Assignment, response: FullResponse) -> None:
+        head = response.head
         fields = forwarded_fields(head)
-        await self._responder.respond(head.status, answered.body, fields)
-        self._log_served(placed, status=head.status)
+        await self._responder.respond(head.status, response.body, fields)
+        self._log_served(assignment, status=head.status)
 
-    async def _acquire(self) -> Placed | Answer:
+    async def _acquire(self) -> Assignment | ErrorResponse:
         accepted, now = self._accepted, monotonic()
         left = accepted.call.deadline - now
-        placed = await self._parts.dispatcher.acquire(
+        acquired = await self._parts.dispatcher.acquire(
             accepted.job,
             service=accepted.service,
             latest_start=now + left * MAX_QUEUE_TIME_FRACTION,
             tried_upstreams=self._tried_upstreams,
         )
-        if not isinstance(placed, NoRoom):
-            return placed
+        if not isinstance(acquired, NotAssigned):
+            return acquired
         if self._may_have_run:
             return BROKEN
-        if placed.withheld:
+        if acquired.withheld:
             return UPSTREAMS_WITHHELD
-        if not placed.upstreams:
+        if not acquired.upstreams:
             return NO_UPSTREAM
         log_info(
             "no_room",
             request=accepted.call.request_id,
             service=accepted.service.name,
-            waiting=placed.queued,
-            upstreams=placed.upstreams,
-            seconds=round(placed.wait_seconds, 3),
-            rate=placed.own_per_second,
+            waiting=acquired.queued,
+            upstreams=acquired.upstreams,
+            seconds=round(acquired.wait_seconds, 3),
+            rate=acquired.own_per_second,
         )
-        return with_retry_after(OVERLOADED, placed.wait_seconds)
+        return with_retry_after(OVERLOADED, acquired.wait_seconds)
 
-    async def _run_at(self, placed: Placed) -> Outcome:
+    async def _run_at(self, assignment: Assignment) -> Outcome:
         parts, accepted = self._parts, self._accepted
         log_info(
             "dispatched",
             request=accepted.call.request_id,
             route=accepted.route.name,
-            upstream=placed.upstream.name,
+            upstream=assignment.upstream.name,
             run=self._runs + 1,
-            unread=placed.unread_tokens,
-            running=placed.load.running,
-            unread_there=placed.load.unread_tokens,
+            unread=assignment.unread_tokens,
+            running=assignment.load.running,
+            unread_there=assignment.load.unread_tokens,
             waited=round(monotonic() - accepted.arrived_at, 3),
             configuration=accepted.revision,
         )
         attempt = Attempt(
             call=accepted.call,
-            placed=placed,
-            relay=self._relay,
+            assignment=assignment,
+            caller_response=self._caller_response,
             names=parts.names,
             connections=parts.connections,
-            on_head=lambda head, sent_at: parts.stated_limits.note(
-                placed.upstream.name, head, sent_at=sent_at
+            on_head=lambda head, sent_at: parts.limit_reader.receive_head(
+                assignment.upstream.name, head, sent_at=sent_at
             ),
-            on_first_event=lambda: self._record_first_token(placed),
+            on_first_event=lambda: self._record_first_token(assignment),
         )
         outcome: Outcome | None = None
         try:
@@ -279,9 +290,9 @@
             after=round(monotonic() - self._accepted.arrived_at, 3),
         )
 
-    def _record_first_token(self, placed: Placed) -> None:
-        if not placed.begun:
-            self._parts.placement.begun(placed)
+    def _record_first_token(self, assignment: Assignment) -> None:
+        if not assignment.prompt_read:
+            self._parts.placement.record_first_token(assignment)
             waited = monotonic() - self._accepted.arrived_at
             self._first_token_seconds = self._first_token_seconds or waited
             self._parts.metrics.first_token(
@@ -289,40 +300,42 @@
             )
 
     async def _handle_outcome(
-        self, placed: Placed, outcome: Outcome
-    ) -> Answer | _TryAgain | None:
+        self, assignment: Assignment, outcome: Outcome
+    ) -> ErrorResponse | _TryAgain | None:
         """Return an answer to send, None if one was sent, or `_AGAIN` to retry."""
-        parts, name = self._parts, placed.upstream.name
+        parts, name = self._parts, assignment.upstream.name
         match outcome:
-            case Answered(head=head) as answered:
+            case FullResponse(head=head) as response:
                 if head.status >= SERVER_ERROR_STATUS and self._may_run_again("error"):
-                    self._log_failure(placed, "error", str(head.status))
-                    self._upstream_failure = placed, answered
+                    self._log_failure(assignment, "error", str(head.status))
+                    self._upstream_failure = assignment, response
                     self._tried_upstreams |= {name}
                     return _AGAIN
-                self._record_success(placed)
-                await self._forward(placed, answered)
+                self._record_success(assignment)
+                await self._forward(assignment, response)
                 return None
-            case Streamed():
+            case StreamCompleted():
                 self._complete = True
-                self._record_success(placed)
-                self._log_served(placed, status=200)
+                self._record_success(assignment)
+                self._log_served(assignment, status=200)
                 return None
             case NotRun(reason=reason, detail=detail):
-                self._log_failure(placed, reason, detail)
+                self._log_failure(assignment, reason, detail)
                 return self._after_not_run(name, reason)
             case Broken(reason=reason, detail=detail):
-                self._log_failure(placed, reason, detail)
+                self._log_failure(assignment, reason, detail)
                 if reason is BrokenReason.CLOSED:
-                    await parts.suspect(placed.upstream, self._accepted.fingerprint)
+                    await parts.suspect(assignment.upstream, self._accepted.fingerprint)
                 return self._after_broken(name, reason)
 
-    def _after_not_run(self, name: str, reason: NotRunReason) -> Answer | _TryAgain:
+    def _after_not_run(
+        self, name: str, reason: NotRunReason
+    ) -> ErrorResponse | _TryAgain:
         parts = self._parts
         if reason is not NotRunReason.FULL:
-            parts.placement.failed(name, Failure.UNREACHABLE, monotonic())
+            parts.placement.record_failure(name, Failure.UNREACHABLE, monotonic())
         if reason is NotRunReason.OTHER_INSTANCE:
-            parts.dispatcher.replaced(name)
+            parts.dispatcher.record_replaced(name)
         if reason is not NotRunReason.UNREACHABLE:
             self._rejected_sends += 1
         self._tried_upstreams |= {name}
@@ -335,11 +348,13 @@
             return BROKEN if self._may_have_run else OVERLOADED
         return _AGAIN
 
-    def _after_broken(self, name: str, reason: BrokenReason) -> Answer | _TryAgain:
+    def _after_broken(
+        self, name: str, reason: BrokenReason
+    ) -> ErrorResponse | _TryAgain:
         self._tried_upstreams |= {name}
         if reason is BrokenReason.DEADLINE:
             return TIMED_OUT
-        self._parts.placement.failed(name, Failure.ERROR, monotonic())
+        self._parts.placement.record_failure(name, Failure.ERROR, monotonic())
         return _AGAIN if self._may_run_again(reason) else BROKEN
 
     def _may_run_again(self, cause: str) -> bool:
@@ -374,20 +389,20 @@
     def _time_left(self) -> float:
         return self._accepted.call.deadline - monotonic()
 
-    def _record_success(self, placed: Placed) -> None:
-        self._parts.placement.succeeded(placed.upstream.name, monotonic())
-        self._parts.crashes.finished(self._accepted.fingerprint)
+    def _record_success(self, assignment: Assignment) -> None:
+        self._parts.placement.record_success(assignment.upstream.name, monotonic())
+        self._parts.crashes.record_finished(self._accepted.fingerprint)
 
-    async def _abort_if_started(self, answer: Answer) -> Answer | None:
+    async def _abort_if_started(self, error: ErrorResponse) -> ErrorResponse | None:
         """Abort a response that has started, so that it does not look complete.
 
         Return the answer if nothing was sent yet.
         """
-        if not self._relay.started:
-            return answer
+        if not self._caller_response.started:
+            return error
         self._parts.refused(
             self._accepted.call.request_id,
-            answer,
+            error,
             route=self._accepted.route.name,
             waited=monotonic() - self._accepted.arrived_at,
             revision=self._accepted.revision,
@@ -395,24 +410,24 @@
         await self._responder.abort()
         return None
 
-    async def _answer(self, answer: Answer) -> None:
+    async def _send_error(self, error: ErrorResponse) -> None:
         self._parts.refused(
             self._accepted.call.request_id,
-            answer,
+            error,
             route=self._accepted.route.name,
             waited=monotonic() - self._accepted.arrived_at,
             revision=self._accepted.revision,
         )
-        await send_answer(self._responder, answer)
+        await send_error(self._responder, error)
 
-    def _log_served(self, placed: Placed, *, status: int) -> None:
+    def _log_served(self, assignment: Assignment, *, status: int) -> None:
         accepted = self._accepted
         log_info(
             "served",
             request=accepted.call.request_id,
-            upstream=placed.upstream.name,
+            upstream=assignment.upstream.name,
             status=status,
-            events=self._relay.splitter.events,
+            events=self._caller_response.splitter.events,
             first=round(self._first_token_seconds or 0.0, 3),
             took=round(monotonic() - accepted.arrived_at, 3),
         )
@@ -420,14 +435,14 @@
             service=accepted.route.repeats, outcome="ok", reason=""
         )
 
-    def _log_failure(self, placed: Placed, reason: str, detail: str) -> None:
+    def _log_failure(self, assignment: Assignment, reason: str, detail: str) -> None:
         log_info(
             "run_failed",
             request=self._accepted.call.request_id,
-            upstream=placed.upstream.name,
+            upstream=assignment.upstream.name,
             reason=reason,
             detail=detail,
-            events=self._relay.splitter.events,
+            events=self._caller_response.splitter.events,
             after=round(monotonic() - self._accepted.arrived_at, 3),
         )
         self._parts.metrics.attempt_failed(failure=reason)
--- a/src/ragwortkeel/ingress/front.py
+++ b/src/ragwortkeel/ingress/front.py
@@ -3,19 +3,19 @@
 from hashlib import blake2b
 
 from ragwortkeel.http_responder import Request, Responder
-from ragwortkeel.ingress.answers import (
+from ragwortkeel.ingress.attempt import CallerRequest
+from ragwortkeel.ingress.configuration import Customer, Route
+from ragwortkeel.ingress.error_responses import (
     BAD_REQUEST,
     NO_CONFIGURATION,
     NO_ROUTE,
     NO_UPSTREAM,
     STOPPING,
     UNKNOWN_KEY,
-    Answer,
-    send_answer,
+    ErrorResponse,
+    send_error,
 )
-from ragwortkeel.ingress.attempt import Call
-from ragwortkeel.ingress.configuration import Customer, Route
-from ragwortkeel.ingress.exchange import Accepted, Exchange
+from ragwortkeel.ingress.exchange import AcceptedRequest, Exchange
 from ragwortkeel.ingress.front_parts import FrontParts
 from ragwortkeel.ingress.placement import Job
 from ragwortkeel.ingress.routing import (
@@ -25,7 +25,7 @@
     UnknownKey,
     split_service,
 )
-from ragwortkeel.ingress.usage import parse_parts, parse_usage
+from ragwortkeel.ingress.usage import parse_prompt_blocks, parse_usage
 
 BEARER = "bearer "
 LOWEST_URGENCY = 9
@@ -55,19 +55,19 @@
     async def handle(self, request: Request, responder: Responder) -> None:
         """Serve one request."""
         match self._accept(request):
-            case Accepted() as accepted:
+            case AcceptedRequest() as accepted:
                 exchange = Exchange(parts=self._parts, accepted=accepted, to=responder)
                 await exchange.run()
-            case Answer() as answer:
+            case ErrorResponse() as answer:
                 request_id = request.headers.get(self._names.request_id, "")
                 table = self.table
                 revision = table.configuration.revision if table else None
                 self._parts.refused(
                     request_id, answer, route="", waited=0.0, revision=revision
                 )
-                await send_answer(responder, answer)
+                await send_error(responder, answer)
 
-    def _accept(self, request: Request) -> Accepted | Answer:
+    def _accept(self, request: Request) -> AcceptedRequest | ErrorResponse:
         if self.table is None:
             return NO_CONFIGURATION
         if self.stopping:
@@ -88,7 +88,7 @@
 
     def _routed(
         self, request: Request, route: Route, customer: Customer | None
-    ) -> Accepted | Answer:
+    ) -> AcceptedRequest | ErrorResponse:
         names, headers = self._names, request.headers
         request_id = headers.get(names.request_id, "")
         service = self.table.service_by_name.get(split_service(route, request_id))
@@ -102,13 +102,13 @@
             service=service.name,
             priority=_priority(route, customer),
             customer=customer.name if customer else "",
-            parts=parse_parts(headers.get(names.parts, "")),
+            prompt_blocks=parse_prompt_blocks(headers.get(names.parts, "")),
             prompt_tokens=usage.prompt_tokens if usage else 0,
-            memory_tokens=usage.total if usage else 0,
+            memory_tokens=usage.total_tokens if usage else 0,
             regions=_regions(route, customer),
         )
         patience = min(_deadline(headers.get(names.deadline)), route.timeout_seconds)
-        call = Call(
+        call = CallerRequest(
             request_id=request_id,
             method=request.method,
             target=request.target,
@@ -120,7 +120,7 @@
             urgency=min(LOWEST_URGENCY, job.priority) if service.engine else None,
             last_event=headers.get(names.last_event, ""),
         )
-        return Accepted(
+        return AcceptedRequest(
             call=call,
             job=job,
             service=service,
--- a/src/ragwortkeel/ingress/front_parts.py
+++ b/src/ragwortkeel/ingress/front_parts.py
@@ -5,15 +5,15 @@
 
 import curio
 
-from ragwortkeel.ingress.answers import Answer
 from ragwortkeel.ingress.budget_keeper import BudgetKeeper
 from ragwortkeel.ingress.configuration import Upstream
-from ragwortkeel.ingress.crashes import CrashWatch
+from ragwortkeel.ingress.crashes import CrashDetector
 from ragwortkeel.ingress.dispatch import Dispatcher
+from ragwortkeel.ingress.error_responses import ErrorResponse
+from ragwortkeel.ingress.limit_reader import LimitReader
 from ragwortkeel.ingress.names import HeaderNames
 from ragwortkeel.ingress.placement import Placement
-from ragwortkeel.ingress.stated_limits import StatedLimits
-from ragwortkeel.ingress.upstream_connection import UpstreamConnections
+from ragwortkeel.ingress.upstream_connection import ConnectionPool
 from ragwortkeel.logs import log_info
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.policy.facts import Failure
@@ -28,16 +28,16 @@
     dispatcher: Dispatcher
     placement: Placement
     keeper: BudgetKeeper
-    crashes: CrashWatch
-    connections: UpstreamConnections
+    crashes: CrashDetector
+    connections: ConnectionPool
     retries: RetryBudgets
-    stated_limits: StatedLimits
+    limit_reader: LimitReader
     metrics: Metrics
 
     def refused(
         self,
         request_id: str,
-        answer: Answer,
+        answer: ErrorResponse,
         *,
         route: str,
         waited: float,
@@ -60,10 +60,10 @@
 
     async def suspect(self, upstream: Upstream, fingerprint: str) -> None:
         """Look, beside the request, whether an upstream that broke off is down."""
-        self.crashes.broken(upstream, fingerprint)
+        self.crashes.record_broken_run(upstream, fingerprint)
         await curio.spawn(self._look_at, upstream, daemon=True)
 
     async def _look_at(self, upstream: Upstream) -> None:
-        if await self.connections.is_down(upstream):
-            self.crashes.down(upstream)
-            self.placement.failed(upstream.name, Failure.CRASHED, monotonic())
+        if await self.connections.refuses_connection(upstream):
+            self.crashes.record_refused_connection(upstream)
+            self.placement.record_failure(upstream.name, Failure.CRASHED, monotonic())
--- a/src/ragwortkeel/ingress/stated_limits.py
+++ b/src/ragwortkeel/ingress/limit_reader.py
@@ -5,7 +5,7 @@
 
 from ragwortkeel.exceptions import LimitUnreadable
 from ragwortkeel.ingress.configuration import Upstream
-from ragwortkeel.ingress.upstream_connection import Head
+from ragwortkeel.ingress.upstream_connection import ResponseHead
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import AnnouncedLimit
 from ragwortkeel.metrics import Metrics
@@ -17,7 +17,7 @@
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{0,12})?|\.[0-9]{1,12}")
 
 
-def read_limit(head: Head, header: str) -> float | None:
+def read_limit(head: ResponseHead, header: str) -> float | None:
     """Return the limit that an answer names, in requests a second; None for none.
 
     Raises
@@ -36,7 +36,7 @@
     return float(value)
 
 
-class StatedLimits:
+class LimitReader:
     """Takes in what answers say of their upstreams' limits.
 
     Parameters
@@ -50,9 +50,11 @@
         self._header = header
         self._metrics = metrics
         self._unreadable_upstreams: set[str] = set()
-        self._started_by_upstream: dict[str, int] = {}
+        self._started_ms_by_upstream: dict[str, int] = {}
 
-    def note(self, upstream: str, head: Head, *, sent_at: float) -> None:
+    def receive_head(
+        self, upstream: str, head: ResponseHead, *, sent_at: float
+    ) -> None:
         """Take in the head of an answer to a request sent at that second."""
         try:
             per_second = read_limit(head, self._header)
@@ -86,10 +88,10 @@
             if self.limits.take(name, statement):
                 self._log_change(name, previous, source="peer")
 
-    def note_instance(self, upstream: Upstream) -> None:
+    def record_start(self, upstream: Upstream) -> None:
         """Drop what an earlier instance of that name said."""
-        known = self._started_by_upstream.get(upstream.name)
-        self._started_by_upstream[upstream.name] = upstream.born
+        known = self._started_ms_by_upstream.get(upstream.name)
+        self._started_ms_by_upstream[upstream.name] = upstream.born
         if known is None or upstream.born <= known:
             return
         previous = self.limits.of(upstream.name)
@@ -97,13 +99,13 @@
         if previous is not None:
             self._log_change(upstream.name, previous, source="restart")
 
-    def keep(self, upstreams: set[str]) -> None:
+    def retain(self, upstreams: set[str]) -> None:
         """Drop what upstreams said that are gone."""
         for gone in self.limits.keep(upstreams):
             self._metrics.upstream_announced(name=gone, limit=None)
         self._unreadable_upstreams &= upstreams
-        for gone in self._started_by_upstream.keys() - upstreams:
-            del self._started_by_upstream[gone]
+        for gone in self._started_ms_by_upstream.keys() - upstreams:
+            del self._started_ms_by_upstream[gone]
 
     def _log_change(
         self, upstream: str, previous: float | None, *, source: str
--- a/src/ragwortkeel/ingress/outcomes.py
+++ b/src/ragwortkeel/ingress/outcomes.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from ragwortkeel.ingress.upstream_connection import Head
+from ragwortkeel.ingress.upstream_connection import ResponseHead
 
 
 class NotRunReason(StrEnum):
@@ -24,15 +24,15 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Answered:
+class FullResponse:
     """The upstream's whole answer to a plain request."""
 
-    head: Head
+    head: ResponseHead
     body: bytes
 
 
 @dataclass(frozen=True, kw_only=True)
-class Streamed:
+class StreamCompleted:
     """A stream went to its end and to the caller."""
 
     events: int
@@ -54,4 +54,4 @@
     detail: str = ""
 
 
-Outcome = Answered | Streamed | NotRun | Broken
+Outcome = FullResponse | StreamCompleted | NotRun | Broken
--- a/src/ragwortkeel/ingress/peer_handler.py
+++ b/src/ragwortkeel/ingress/peer_handler.py
@@ -35,12 +35,12 @@
         """Return what this process has at each upstream."""
 
     def parts_news(self) -> dict[str, dict[int, int]]:
-        """Return what upstreams began to read; see `Placement.news`."""
+        """Return what upstreams began to read; see `Placement.drain_prompt_blocks`."""
 
     def all_parts(self) -> dict[str, dict[int, int]]:
         """Return what upstreams hold of shared prompt parts."""
 
-    def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
+    def heard_parts(self, upstream: str, tokens_by_prefix_hash: dict[int, int]) -> None:
         """Take in what a peer let an upstream read."""
 
     def configuration_object(self) -> VersionedObject | None:
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -28,7 +28,7 @@
 from random import Random
 
 from ragwortkeel.ingress.configuration import Engine, Service, Upstream
-from ragwortkeel.ingress.prefixes import PREFIX_CACHE_FRACTION, Part, PrefixMemory
+from ragwortkeel.ingress.prefixes import PREFIX_CACHE_FRACTION, PrefixCache, PromptBlock
 from ragwortkeel.policy.announced_limits import AnnouncedLimits
 from ragwortkeel.policy.ejection import Ejections
 from ragwortkeel.policy.facts import Failure
@@ -94,7 +94,7 @@
     service: str
     priority: int
     customer: str
-    parts: tuple[Part, ...] = ()
+    prompt_blocks: tuple[PromptBlock, ...] = ()
     prompt_tokens: int = 0
     memory_tokens: int = 0
     regions: frozenset[str] | None = None
@@ -105,7 +105,7 @@
 
         The last block of a prompt is not shared with other requests.
         """
-        return self.parts[-2].part_id if len(self.parts) > 1 else ""
+        return self.prompt_blocks[-2].block_id if len(self.prompt_blocks) > 1 else ""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -130,14 +130,14 @@
 
 
 @dataclass(kw_only=True)
-class Placed:
+class Assignment:
     """The assignment of a request to an upstream, until `Placement.release`.
 
     Attributes
     ----------
     load : Load
         Known load of the upstream, of all processes, just before the assignment.
-    begun : bool
+    prompt_read : bool
         Whether the first token was received, so that the prompt has been read.
     """
 
@@ -145,7 +145,7 @@
     job: Job
     unread_tokens: int
     load: Load
-    begun: bool = False
+    prompt_read: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -216,8 +216,8 @@
     running: int = 0
     memory_tokens: int = 0
     unread_tokens: int = 0
-    started: int | None = None
-    prefix_cache: PrefixMemory | None = None
+    started_ms: int | None = None
+    prefix_cache: PrefixCache | None = None
     peer_load_by_process: dict[str, tuple[float, Load]] = field(default_factory=dict)
     cold: _Cold = _WARM
 
@@ -275,7 +275,7 @@
         upstream_by_name: dict[str, Upstream],
         tried_upstreams: frozenset[str] = frozenset(),
         now: float,
-    ) -> Placed | None:
+    ) -> Assignment | None:
         """Assign the request to an upstream; return None if none has headroom.
 
         Parameters
@@ -322,20 +322,20 @@
             ),
         )
 
-    def begun(self, placed: Placed) -> None:
+    def record_first_token(self, assignment: Assignment) -> None:
         """Record the first token, which shows that the prompt has been read."""
-        if not placed.begun:
-            placed.begun = True
-            self._record(placed.upstream).unread_tokens -= placed.unread_tokens
+        if not assignment.prompt_read:
+            assignment.prompt_read = True
+            self._record(assignment.upstream).unread_tokens -= assignment.unread_tokens
 
-    def release(self, placed: Placed) -> None:
+    def release(self, assignment: Assignment) -> None:
         """Remove the request from the load of its upstream, however it ended."""
-        self.begun(placed)
-        record = self._record(placed.upstream)
+        self.record_first_token(assignment)
+        record = self._record(assignment.upstream)
         record.running -= 1
-        record.memory_tokens -= placed.job.memory_tokens
+        record.memory_tokens -= assignment.job.memory_tokens
 
-    def failed(self, upstream: str, failure: Failure, now: float) -> bool:
+    def record_failure(self, upstream: str, failure: Failure, now: float) -> bool:
         """Record a failure; return whether it ejected the upstream."""
         if failure in _MAY_HAVE_RESTARTED and upstream in self._record_by_upstream:
             self._record_by_upstream[upstream].cold = _Cold(
@@ -343,7 +343,7 @@
             )
         return self.ejections.failed(upstream, failure, now)
 
-    def succeeded(self, upstream: str, now: float) -> None:
+    def record_success(self, upstream: str, now: float) -> None:
         """Record a response that the upstream itself sent."""
         record = self._record_by_upstream.get(upstream)
         if record is not None and record.cold.unreachable:
@@ -352,14 +352,14 @@
             )
         self.ejections.succeeded(upstream)
 
-    def note_cold(self, upstream: str, seconds: float, now: float) -> None:
+    def set_cold(self, upstream: str, seconds: float, now: float) -> None:
         """Mark an upstream as cold for `seconds` from now; 0 marks it as warm."""
         record = self._record_by_upstream.setdefault(upstream, _UpstreamRecord())
         record.cold = _Cold(since_at=now, seconds=seconds)
         if not seconds and self._limits.of(upstream) is None:
             self._rates.forget(upstream)
 
-    def forget(self, upstream: str) -> None:
+    def discard_prefix_cache(self, upstream: str) -> None:
         """Drop the modelled prefix cache of a restarted or removed upstream."""
         record = self._record_by_upstream.get(upstream)
         if record is not None:
@@ -373,7 +373,7 @@
             if record.running
         }
 
-    def news(self) -> dict[str, dict[int, int]]:
+    def drain_prompt_blocks(self) -> dict[str, dict[int, int]]:
         """Return and clear the shared blocks that upstreams began to read.
 
         Returns
@@ -381,10 +381,10 @@
         dict
             By upstream, the tokens of each block by its prefix hash.
         """
-        news, self._new_blocks_by_upstream = self._new_blocks_by_upstream, {}
-        return news
+        new_blocks, self._new_blocks_by_upstream = self._new_blocks_by_upstream, {}
+        return new_blocks
 
-    def all_parts(self) -> dict[str, dict[int, int]]:
+    def all_prompt_blocks(self) -> dict[str, dict[int, int]]:
         """Return all shared blocks that upstreams have cached, for a new process."""
         return {
             name: record.prefix_cache.shared_blocks()
@@ -392,13 +392,15 @@
             if record.prefix_cache is not None
         }
 
-    def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
+    def merge_prompt_blocks(
+        self, upstream: str, tokens_by_prefix_hash: dict[int, int]
+    ) -> None:
         """Merge shared blocks that an upstream read for another process."""
         record = self._record_by_upstream.setdefault(upstream, _UpstreamRecord())
-        record.prefix_cache = record.prefix_cache or PrefixMemory(capacity_tokens=None)
-        record.prefix_cache.merge(tokens_by_chain)
+        record.prefix_cache = record.prefix_cache or PrefixCache(capacity_tokens=None)
+        record.prefix_cache.merge(tokens_by_prefix_hash)
 
-    def heard(
+    def merge_loads(
         self, process: str, load_by_upstream: dict[str, Load], valid_until: float
     ) -> None:
         """Merge the loads of another process, which expire at `valid_until`."""
@@ -408,7 +410,7 @@
             load = load_by_upstream.get(name, NO_LOAD)
             record.peer_load_by_process[process] = (valid_until, load)
 
-    def keep(self, upstreams: set[str]) -> None:
+    def retain(self, upstreams: set[str]) -> None:
         """Drop all other upstreams, but those with requests of this process."""
         self.ejections.keep(upstreams)
         self._rates.keep(upstreams)
@@ -420,11 +422,11 @@
 
     def _record(self, upstream: Upstream) -> _UpstreamRecord:
         record = self._record_by_upstream.setdefault(upstream.name, _UpstreamRecord())
-        if record.started != upstream.born:
+        if record.started_ms != upstream.born:
             # Blocks that peers reported before the upstream was known here stay valid.
-            if record.started is not None:
+            if record.started_ms is not None:
                 record.prefix_cache = None
-            record.started = upstream.born
+            record.started_ms = upstream.born
         return record
 
     def _has_headroom(
@@ -483,7 +485,7 @@
         first = max(
             names, key=lambda n: _rendezvous(job.affinity_block_id, n), default=""
         )
-        shared = sum(part.tokens for part in job.parts[:-1])
+        shared = sum(block.tokens for block in job.prompt_blocks[:-1])
         if any(self._cached_tokens(name, job) >= shared for name in names):
             # An engine has cached the shared blocks, so none has to be predicted.
             first = ""
@@ -492,7 +494,7 @@
             record = self._record(upstream)
             total = record.total_load(now)
             held = (
-                record.prefix_cache.cached_tokens(job.parts)
+                record.prefix_cache.cached_tokens(job.prompt_blocks)
                 if record.prefix_cache
                 else 0
             )
@@ -512,22 +514,28 @@
         record = self._record_by_upstream.get(name)
         if record is None or record.prefix_cache is None:
             return 0
-        return record.prefix_cache.cached_tokens(job.parts)
+        return record.prefix_cache.cached_tokens(job.prompt_blocks)
 
     def _other_zone_cost(self, upstream: Upstream) -> float:
         return 0.0 if upstream.zone == self._zone else OTHER_ZONE_COST_REQUESTS
 
     def _assign(
         self, upstream: Upstream, service: Service, job: Job, now: float
-    ) -> Placed:
+    ) -> Assignment:
         record = self._record(upstream)
         unread = job.prompt_tokens
         if service.engine is not None:
             record.prefix_cache = _resized(record.prefix_cache, service.engine)
-            unread = max(0, unread - record.prefix_cache.cached_tokens(job.parts))
-            new = record.prefix_cache.record_read(job.parts)
-            if new:
-                self._new_blocks_by_upstream.setdefault(upstream.name, {}).update(new)
+            unread = max(
+                0, unread - record.prefix_cache.cached_tokens(job.prompt_blocks)
+            )
+            new_tokens_by_prefix_hash = record.prefix_cache.record_read(
+                job.prompt_blocks
+            )
+            if new_tokens_by_prefix_hash:
+                self._new_blocks_by_upstream.setdefault(upstream.name, {}).update(
+                    new_tokens_by_prefix_hash
+                )
         load = record.total_load(now)
         record.running += 1
         record.memory_tokens += job.memory_tokens
@@ -535,7 +543,7 @@
         if self._rate_limit(upstream, service, now) is not None:
             self._rates.sent(upstream.name)
         self.ejections.assigned(upstream.name, now)
-        return Placed(upstream=upstream, job=job, unread_tokens=unread, load=load)
+        return Assignment(upstream=upstream, job=job, unread_tokens=unread, load=load)
 
 
 def _sole_sender_rates() -> FleetRates:
@@ -544,8 +552,8 @@
     )
 
 
-def _resized(memory: PrefixMemory | None, engine: Engine) -> PrefixMemory:
-    memory = memory or PrefixMemory(capacity_tokens=None)
+def _resized(memory: PrefixCache | None, engine: Engine) -> PrefixCache:
+    memory = memory or PrefixCache(capacity_tokens=None)
     memory.capacity_tokens = int(engine.memory_tokens * PREFIX_CACHE_FRACTION)
     return memory
 
--- a/src/ragwortkeel/ingress/prefixes.py
+++ b/src/ragwortkeel/ingress/prefixes.py
@@ -4,7 +4,7 @@
 each upstream reads all of them, half of its time goes into prompts that another
 one has in memory.  The model here is what was sent there, by this process or, as
 they tell, by others, the longest unused parts first out, as the engines do it.  A
-part counts only behind the same parts: a prefix is known by the hash of all its ids
+part counts only behind the same blocks: a prefix is known by the hash of all its ids
 up to there.
 """
 
@@ -19,14 +19,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Part:
+class PromptBlock:
     """One part of a prompt: its id and length in tokens."""
 
-    part_id: str
+    block_id: str
     tokens: int
 
 
-class PrefixMemory:
+class PrefixCache:
     """The parts that one upstream is taken to hold.
 
     Attributes
@@ -41,16 +41,16 @@
         self._shared_prefix_hashes: set[int] = set()
         self._total_tokens = 0
 
-    def cached_tokens(self, parts: tuple[Part, ...]) -> int:
+    def cached_tokens(self, blocks: tuple[PromptBlock, ...]) -> int:
         """Return how many of the prompt's first tokens need not be read."""
         cached = 0
-        for prefix_hash, part in _prefix_hashes(parts):
+        for prefix_hash, block in _prefix_hashes(blocks):
             if prefix_hash not in self._tokens_by_prefix_hash:
                 break
-            cached += part.tokens
+            cached += block.tokens
         return cached
 
-    def record_read(self, parts: tuple[Part, ...]) -> dict[int, int]:
+    def record_read(self, blocks: tuple[PromptBlock, ...]) -> dict[int, int]:
         """Note that the upstream reads this prompt now.
 
         Returns
@@ -60,18 +60,18 @@
             last, which is the request's own.
         """
         new = {}
-        last = len(parts) - 1
-        for index, (prefix_hash, part) in enumerate(_prefix_hashes(parts)):
+        last = len(blocks) - 1
+        for index, (prefix_hash, block) in enumerate(_prefix_hashes(blocks)):
             if prefix_hash not in self._tokens_by_prefix_hash and index < last:
-                new[prefix_hash] = part.tokens
+                new[prefix_hash] = block.tokens
                 self._shared_prefix_hashes.add(prefix_hash)
-            self._touch(prefix_hash, part.tokens)
+            self._touch(prefix_hash, block.tokens)
         self._evict()
         return new
 
-    def merge(self, tokens_by_chain: dict[int, int]) -> None:
+    def merge(self, tokens_by_prefix_hash: dict[int, int]) -> None:
         """Note shared parts that another process let the upstream read."""
-        for prefix_hash, tokens in tokens_by_chain.items():
+        for prefix_hash, tokens in tokens_by_prefix_hash.items():
             self._shared_prefix_hashes.add(prefix_hash)
             self._touch(prefix_hash, tokens)
         self._evict()
@@ -99,10 +99,12 @@
             self._total_tokens -= tokens
 
 
-def _prefix_hashes(parts: tuple[Part, ...]) -> Iterator[tuple[int, Part]]:
+def _prefix_hashes(
+    blocks: tuple[PromptBlock, ...],
+) -> Iterator[tuple[int, PromptBlock]]:
     """Return each part with a number for it and all before it, equal everywhere."""
     digest = blake2b(digest_size=8)
-    for part in parts:
-        digest.update(part.part_id.encode())
+    for block in blocks:
+        digest.update(block.block_id.encode())
         digest.update(b",")
-        yield int.from_bytes(digest.digest()), part
+        yield int.from_bytes(digest.digest()), block
--- a/src/ragwortkeel/ingress/relay_worker.py
+++ b/src/ragwortkeel/ingress/relay_worker.py
@@ -101,7 +101,7 @@
         """Return that it knows of no upstream."""
         return {}
 
-    def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
+    def heard_parts(self, upstream: str, tokens_by_prefix_hash: dict[int, int]) -> None:
         """Leave it; nothing is placed here."""
 
     def configuration_object(self) -> VersionedObject | None:
--- a/src/ragwortkeel/ingress/waiting.py
+++ b/src/ragwortkeel/ingress/request_queue.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Waiter:
+class QueuedRequest:
     """One request in the queue of its service.
 
     Attributes
@@ -33,20 +33,20 @@
     tried_upstreams: frozenset[str] = frozenset()
 
 
-class WaitingRoom:
+class RequestQueue:
     """The queue of each service, and the running requests of each customer."""
 
     def __init__(self) -> None:
-        self._queued_by_service: dict[str, dict[str, Waiter]] = {}
+        self._queued_by_service: dict[str, dict[str, QueuedRequest]] = {}
         self._running_by_customer: Counter[str] = Counter()
 
     def __len__(self) -> int:
         return sum(len(queued) for queued in self._queued_by_service.values())
 
-    def add(self, waiter: Waiter) -> None:
+    def add(self, queued_request: QueuedRequest) -> None:
         """Append a request to the queue of its service."""
-        queued = self._queued_by_service.setdefault(waiter.job.service, {})
-        queued[waiter.job.request_id] = waiter
+        queued = self._queued_by_service.setdefault(queued_request.job.service, {})
+        queued[queued_request.job.request_id] = queued_request
 
     def remove(self, job: Job) -> None:
         """Remove a request that was assigned, refused or abandoned by its caller."""
@@ -74,11 +74,11 @@
         queued = self._queued_by_service.get(job.service, {}).values()
         return sum(1 for one in queued if one.job.priority <= job.priority)
 
-    def in_order(self, service: str) -> list[Waiter]:
+    def in_order(self, service: str) -> list[QueuedRequest]:
         """Return the queued requests of the service, the next one first."""
         queued = self._queued_by_service.get(service, {}).values()
         return sorted(queued, key=self._rank)
 
-    def _rank(self, waiter: Waiter) -> tuple[int, int, float]:
-        running = self._running_by_customer[waiter.job.customer]
-        return waiter.job.priority, running, waiter.arrived_at
+    def _rank(self, queued_request: QueuedRequest) -> tuple[int, int, float]:
+        running = self._running_by_customer[queued_request.job.customer]
+        return queued_request.job.priority, running, queued_request.arrived_at
--- a/src/ragwortkeel/ingress/upstream_connection.py
+++ b/src/ragwortkeel/ingress/upstream_connection.py
@@ -50,7 +50,7 @@
 The upstream states whole seconds and counts from its own last use.
 """
 
-FRESH_SECONDS = 1.0
+FRESH_IDLE_SECONDS = 1.0
 """Idle time after which a connection may be about to close.
 
 1 s is the shortest timeout that an upstream can state.
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Head:
+class ResponseHead:
     """The head of an upstream's response, with header names in lower case."""
 
     status: int
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Outgoing:
+class UpstreamRequest:
     """A request in the form in which it is sent to an upstream."""
 
     method: str
@@ -157,7 +157,7 @@
             return False
         return False
 
-    async def send(self, outgoing: Outgoing) -> None:
+    async def send(self, outgoing: UpstreamRequest) -> None:
         """Send the request."""
         if self._request is not None:
             self._conn.start_next_cycle()
@@ -178,7 +178,7 @@
         except OSError as exc:
             raise ExchangeBroken(str(exc)) from exc
 
-    async def receive_head(self, request_id: str) -> Head:
+    async def receive_head(self, request_id: str) -> ResponseHead:
         """Return the head of this request's response, and skip other responses."""
         while True:
             event = await next_event(self._sock, self._conn)
@@ -221,7 +221,7 @@
         self._conn.send(h11.EndOfMessage())
         self._conn.receive_data(rest)
 
-    def _record_head(self, head: Head) -> None:
+    def _record_head(self, head: ResponseHead) -> None:
         self._framed = bool(head.get("content-length") or head.get("transfer-encoding"))
         for item in head.get("keep-alive").split(","):
             name, _, value = item.strip().partition("=")
@@ -231,14 +231,14 @@
                 )
 
 
-class UpstreamConnections:
+class ConnectionPool:
     """A pool of idle connections for each upstream instance."""
 
     def __init__(self, *, id_header: str) -> None:
         self._id_header = id_header
         self._idle_by_upstream: dict[tuple[str, int], list[UpstreamConnection]] = {}
 
-    async def take(self, upstream: Upstream, *, fresh: bool) -> UpstreamConnection:
+    async def acquire(self, upstream: Upstream, *, fresh: bool) -> UpstreamConnection:
         """Return an idle connection or open one.
 
         Parameters
@@ -254,13 +254,13 @@
         idle = self._idle_by_upstream.get((upstream.name, upstream.born), [])
         while idle:
             connection = idle.pop()
-            stale = fresh and connection.idle_seconds > FRESH_SECONDS
+            stale = fresh and connection.idle_seconds > FRESH_IDLE_SECONDS
             if not connection.expired and not stale and connection.is_quiet():
                 return connection
             await connection.close()
         return await UpstreamConnection.open(upstream, id_header=self._id_header)
 
-    async def give_back(self, upstream: Upstream, connection: UpstreamConnection):
+    async def release(self, upstream: Upstream, connection: UpstreamConnection):
         """Keep a connection that can be used again; close any other."""
         idle = self._idle_by_upstream.setdefault((upstream.name, upstream.born), [])
         if connection.reusable and len(idle) < MAX_IDLE_CONNECTIONS:
@@ -268,7 +268,7 @@
             return
         await connection.close()
 
-    async def is_down(self, upstream: Upstream) -> bool:
+    async def refuses_connection(self, upstream: Upstream) -> bool:
         """Return whether the upstream refuses connections."""
         try:
             connection = await UpstreamConnection.open(
@@ -281,7 +281,7 @@
         await connection.close()
         return False
 
-    async def sweep(self) -> None:
+    async def close_expired(self) -> None:
         """Close the connections that were idle for too long."""
         for key, idle in list(self._idle_by_upstream.items()):
             expired = [one for one in idle if one.expired]
@@ -292,12 +292,12 @@
                 self._idle_by_upstream.pop(key, None)
 
 
-def _response_head(event: h11.Response) -> Head:
+def _response_head(event: h11.Response) -> ResponseHead:
     fields = tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in event.headers
     )
-    return Head(status=event.status_code, fields=fields)
+    return ResponseHead(status=event.status_code, fields=fields)
 
 
 def _set_options(sock) -> None:
--- a/src/ragwortkeel/ingress/usage.py
+++ b/src/ragwortkeel/ingress/usage.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ragwortkeel.ingress.prefixes import Part
+from ragwortkeel.ingress.prefixes import PromptBlock
 
 MAX_UNRECEIVED_EVENTS = 3
 """Events an upstream may have made between the last one that got here and the
@@ -23,7 +23,7 @@
     answer_tokens: int
 
     @property
-    def total(self) -> int:
+    def total_tokens(self) -> int:
         """Tokens to set aside."""
         return self.prompt_tokens + self.answer_tokens
 
@@ -53,12 +53,12 @@
     return usage if min(usage.prompt_tokens, usage.answer_tokens) >= 0 else None
 
 
-def parse_parts(text: str) -> tuple[Part, ...]:
+def parse_prompt_blocks(text: str) -> tuple[PromptBlock, ...]:
     """Return the prompt's parts in ``ID:TOKENS,...``; what is unreadable ends them."""
-    parts = []
+    blocks = []
     for item in text.split(","):
-        part_id, _, tokens = item.strip().partition(":")
-        if not part_id or not tokens.isdecimal():
+        block_id, _, tokens = item.strip().partition(":")
+        if not block_id or not tokens.isdecimal():
             break
-        parts.append(Part(part_id=part_id, tokens=int(tokens)))
-    return tuple(parts)
+        blocks.append(PromptBlock(block_id=block_id, tokens=int(tokens)))
+    return tuple(blocks)
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -17,7 +17,7 @@
     IngressConfiguration,
     decode_value,
 )
-from ragwortkeel.ingress.crashes import CrashWatch
+from ragwortkeel.ingress.crashes import CrashDetector
 from ragwortkeel.ingress.directory import Directory, Moved
 from ragwortkeel.ingress.dispatch import Dispatcher
 from ragwortkeel.ingress.evacuations import Evacuations
@@ -29,13 +29,13 @@
 )
 from ragwortkeel.ingress.front import Front
 from ragwortkeel.ingress.front_parts import FrontParts
+from ragwortkeel.ingress.limit_reader import LimitReader
 from ragwortkeel.ingress.names import HeaderNames
 from ragwortkeel.ingress.peers import Peers
 from ragwortkeel.ingress.placement import Load, Placement
 from ragwortkeel.ingress.relaying import RelayedPlatform
 from ragwortkeel.ingress.routing import RoutingTable
-from ragwortkeel.ingress.stated_limits import StatedLimits
-from ragwortkeel.ingress.upstream_connection import UpstreamConnections
+from ragwortkeel.ingress.upstream_connection import ConnectionPool
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import (
     AnnouncedLimit,
@@ -117,12 +117,10 @@
         incarnation = f"{settings.name}/{secrets.token_hex(4)}"
         self._directory = Directory(region_by_zone=settings.region_by_zone)
         self._evacuations = Evacuations()
-        self._stated_limits = StatedLimits(
-            header=names.rate_limit, metrics=self.metrics
-        )
+        self._limit_reader = LimitReader(header=names.rate_limit, metrics=self.metrics)
         self._placement = Placement(
             zone=settings.zone,
-            limits=self._stated_limits.limits,
+            limits=self._limit_reader.limits,
             rates=FleetRates(
                 sharing=lambda: sharing_among(
                     own=settings.address,
@@ -136,7 +134,7 @@
         self._dispatcher = Dispatcher(
             directory=self._directory, placement=self._placement
         )
-        self._crashes = CrashWatch(clock=monotonic)
+        self._crashes = CrashDetector(clock=monotonic)
         self._counted = CountedPlatform(platform=platform, metrics=self.metrics)
         self._peers = Peers(
             node=settings.name,
@@ -159,7 +157,7 @@
             clocks=self._time.reading,
         )
         self._retries = RetryBudgets(share=RETRY_SHARE, reserve=RETRY_RESERVE)
-        self._connections = UpstreamConnections(id_header=names.request_id)
+        self._connections = ConnectionPool(id_header=names.request_id)
         self._front = Front(
             parts=FrontParts(
                 names=names,
@@ -169,7 +167,7 @@
                 crashes=self._crashes,
                 connections=self._connections,
                 retries=self._retries,
-                stated_limits=self._stated_limits,
+                limit_reader=self._limit_reader,
                 metrics=self.metrics,
             )
         )
@@ -276,15 +274,15 @@
 
     def parts_news(self) -> dict[str, dict[int, int]]:
         """Return what upstreams began to read for this process since the last call."""
-        return self._placement.news()
+        return self._placement.drain_prompt_blocks()
 
     def all_parts(self) -> dict[str, dict[int, int]]:
         """Return what upstreams are taken to hold of shared prompt parts."""
-        return self._placement.all_parts()
+        return self._placement.all_prompt_blocks()
 
-    def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
+    def heard_parts(self, upstream: str, tokens_by_prefix_hash: dict[int, int]) -> None:
         """Take in what a peer let an upstream read."""
-        self._placement.heard_parts(upstream, tokens_by_chain)
+        self._placement.merge_prompt_blocks(upstream, tokens_by_prefix_hash)
 
     def configuration_object(self) -> VersionedObject | None:
         """Return the configuration in force, for a peer."""
@@ -306,7 +304,7 @@
     ) -> None:
         """Take in what a peer has at each upstream, and for how long it holds."""
         holds_until = monotonic() + hold_seconds
-        self._placement.heard(node, load_by_upstream, holds_until)
+        self._placement.merge_loads(node, load_by_upstream, holds_until)
 
     def heard_revision(self, peer: str, revision: int) -> None:
         """Take in which configuration a peer has in force; 0 for none."""
@@ -329,17 +327,17 @@
 
     def heard_crash(self, crash: CrashSeen) -> None:
         """Take in a crash that a peer found."""
-        self._crashes.heard(
+        self._crashes.receive_crash(
             Crash(crash_id=crash.crash_id, fingerprints=frozenset(crash.fingerprints))
         )
 
     def limits(self) -> dict[str, AnnouncedLimit]:
         """Return what answers said lately of their upstreams' rate limits."""
-        return self._stated_limits.recent()
+        return self._limit_reader.recent()
 
     def merge_limits(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
         """Take in what answers to a peer said."""
-        self._stated_limits.merge(limit_by_upstream)
+        self._limit_reader.merge(limit_by_upstream)
 
     def upstreams_revision(self) -> int:
         """Return the revision of the newest change of an upstream's entry here."""
@@ -371,8 +369,8 @@
             log_info("zone_taken_back", zone=zone, revision=found.revision)
             self.metrics.zone_evacuated(zone=zone, since=0.0)
         for name in self._directory.in_zones(changed.returned):
-            self._placement.note_cold(name, ENTRY_LAG_SECONDS, monotonic())
-        await self._dispatcher.place_waiting()
+            self._placement.set_cold(name, ENTRY_LAG_SECONDS, monotonic())
+        await self._dispatcher.assign_queued()
 
     async def lend(self, request: LoanRequest) -> TokenLoan:
         """Answer a peer that lacks tokens."""
@@ -445,20 +443,20 @@
                 cold_seconds=move.upstream.cold_seconds if move.upstream else None,
             )
             if move.upstream is None:
-                self._placement.forget(move.name)
+                self._placement.discard_prefix_cache(move.name)
             else:
-                self._stated_limits.note_instance(move.upstream)
+                self._limit_reader.record_start(move.upstream)
                 cold_seconds = move.upstream.cold_seconds
-                self._placement.note_cold(move.name, cold_seconds, monotonic())
+                self._placement.set_cold(move.name, cold_seconds, monotonic())
         if moves:
             upstreams = set(self._directory.upstream_by_name)
-            self._placement.keep(upstreams)
-            self._stated_limits.keep(upstreams)
-            await self._dispatcher.place_waiting()
+            self._placement.retain(upstreams)
+            self._limit_reader.retain(upstreams)
+            await self._dispatcher.assign_queued()
 
     async def _tell_crashes(self) -> None:
-        while self._crashes.found:
-            crash = self._crashes.found.popleft()
+        while self._crashes.unreported:
+            crash = self._crashes.unreported.popleft()
             log_warning("upstream_crashed", crash=crash.crash_id)
             self.metrics.upstream_crashed()
             fingerprints = tuple(sorted(crash.fingerprints))
@@ -468,14 +466,14 @@
     async def _upkeep(self) -> None:
         while True:
             await self._upstreams.expire()
-            await self._connections.sweep()
+            await self._connections.close_expired()
             await self._tell_crashes()
             holders = self._keeper.allowances.holders
             processes = max(self._peers.known_routers, holders)
             reserve = reserve_of_one(processes=processes, most=RETRY_RESERVE)
             self._retries.keep(reserve)
             self.metrics.load(
-                running=self._server.open_exchanges, queued=len(self._dispatcher.room)
+                running=self._server.open_exchanges, queued=len(self._dispatcher.queue)
             )
             due = monotonic() + UPKEEP_SECONDS
             await curio.sleep(UPKEEP_SECONDS)
--- a/tests/ingress/builders.py
+++ b/tests/ingress/builders.py
@@ -12,7 +12,7 @@
     UpstreamState,
 )
 from ragwortkeel.ingress.placement import Job
-from ragwortkeel.ingress.prefixes import Part
+from ragwortkeel.ingress.prefixes import PromptBlock
 
 ENGINE = Engine(slots=64, memory_tokens=100_000, event_tokens=6)
 
@@ -70,7 +70,9 @@
             "service": service,
             "priority": 1,
             "customer": "surco",
-            "parts": tuple(Part(part_id=name, tokens=size) for name, size in parts),
+            "prompt_blocks": tuple(
+                PromptBlock(block_id=name, tokens=size) for name, size in parts
+            ),
             "prompt_tokens": prompt,
             "memory_tokens": prompt + answer,
         }
--- a/tests/ingress/test_callers_that_leave.py
+++ b/tests/ingress/test_callers_that_leave.py
@@ -6,7 +6,7 @@
 import pytest
 from tests.ingress.in_process import KEY, run_ingress
 
-from ragwortkeel.ingress.upstream_connection import UpstreamConnections
+from ragwortkeel.ingress.upstream_connection import ConnectionPool
 
 
 def raw_request(path, request_id):
@@ -44,7 +44,7 @@
 
 def test_a_caller_that_leaves_while_the_connection_is_made_sends_nothing(monkeypatch):
     """Guards against a send after the last look: opening a connection takes time."""
-    taken = UpstreamConnections.take
+    taken = ConnectionPool.acquire
     left = []
 
     async def leave_then_take(self, upstream, *, fresh):
@@ -54,7 +54,7 @@
 
     async def scenario(fleet):
         await fleet.ask("/lookup/first")
-        monkeypatch.setattr(UpstreamConnections, "take", leave_then_take)
+        monkeypatch.setattr(ConnectionPool, "acquire", leave_then_take)
         host, port = fleet.addresses[0].split(":")
         caller = socket.create_connection((host, int(port)))
         left.append(caller)
--- a/tests/ingress/test_crashes.py
+++ b/tests/ingress/test_crashes.py
@@ -4,7 +4,7 @@
 from tests.ingress.builders import upstream
 from tests.ingress.in_process import answer_whole, reset, run_ingress
 
-from ragwortkeel.ingress.crashes import SUSPECT_SECONDS, CrashWatch
+from ragwortkeel.ingress.crashes import SUSPICION_SECONDS, CrashDetector
 
 
 class Clock:
@@ -14,43 +14,43 @@
         return self.now
 
 
-class TestCrashWatch:
+class TestCrashDetector:
     def crash(self, watch, name, *fingerprints):
         for one in fingerprints:
-            watch.broken(upstream(name), one)
-        watch.down(upstream(name))
+            watch.record_broken_run(upstream(name), one)
+        watch.record_refused_connection(upstream(name))
 
     def test_a_body_at_three_crashes_is_refused(self):
-        watch = CrashWatch(clock=Clock())
+        watch = CrashDetector(clock=Clock())
         for name in ("u1", "u2"):
             self.crash(watch, name, "poison")
-            assert not watch.refuses("poison")
+            assert not watch.is_quarantined("poison")
         self.crash(watch, "u3", "poison")
-        assert watch.refuses("poison")
-        assert len(watch.found) == 3
+        assert watch.is_quarantined("poison")
+        assert len(watch.unreported) == 3
 
     def test_an_innocent_is_cleared_by_a_whole_answer(self):
-        watch = CrashWatch(clock=Clock())
+        watch = CrashDetector(clock=Clock())
         for name in ("u1", "u2"):
             self.crash(watch, name, "poison", "innocent")
-        watch.finished("innocent")
+        watch.record_finished("innocent")
         self.crash(watch, "u3", "poison", "innocent")
-        assert watch.refuses("poison")
-        assert not watch.refuses("innocent")
+        assert watch.is_quarantined("poison")
+        assert not watch.is_quarantined("innocent")
 
     def test_lost_answers_of_a_working_upstream_are_no_crashes(self):
-        watch = CrashWatch(clock=Clock())
+        watch = CrashDetector(clock=Clock())
         for _ in range(5):
-            watch.broken(upstream("u1"), "body")
-        assert not watch.refuses("body")
+            watch.record_broken_run(upstream("u1"), "body")
+        assert not watch.is_quarantined("body")
 
     def test_a_break_long_before_the_upstream_went_down_counts_for_nothing(self):
         clock = Clock()
-        watch = CrashWatch(clock=clock)
-        watch.broken(upstream("u1"), "body")
-        clock.now += SUSPECT_SECONDS
-        watch.down(upstream("u1"))
-        assert not watch.found
+        watch = CrashDetector(clock=clock)
+        watch.record_broken_run(upstream("u1"), "body")
+        clock.now += SUSPICION_SECONDS
+        watch.record_refused_connection(upstream("u1"))
+        assert not watch.unreported
 
 
 class TestRequests:
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -9,7 +9,11 @@
 
 from ragwortkeel.ingress.configuration import Service
 from ragwortkeel.ingress.directory import Directory
-from ragwortkeel.ingress.dispatch import ELSEWHERE_SECONDS, Dispatcher, NoRoom
+from ragwortkeel.ingress.dispatch import (
+    RETRY_ELSEWHERE_SECONDS,
+    Dispatcher,
+    NotAssigned,
+)
 from ragwortkeel.ingress.placement import Placement
 from ragwortkeel.policy.announced_limits import AnnouncedLimits
 from ragwortkeel.policy.fleet_rates import (
@@ -40,7 +44,7 @@
     tasks = [
         await curio.spawn(acquire, places, f"w{i}", daemon=True) for i in range(count)
     ]
-    while len(places.room) < count:
+    while len(places.queue) < count:
         await curio.sleep(0.001)
     return tasks
 
@@ -67,10 +71,10 @@
             await places.release(placed)
             placed = await tasks[index].join()
         refused = await acquire(places, "late", seconds=1.0)
-        return refused, len(places.room)
+        return refused, len(places.queue)
 
     refused, left = run(scenario)
-    assert isinstance(refused, NoRoom)
+    assert isinstance(refused, NotAssigned)
     assert refused.queued == left == 80
     assert refused.wait_seconds > 1.0
 
@@ -85,7 +89,7 @@
             placed = await task.join()
         return placed
 
-    assert not isinstance(run(scenario), NoRoom)
+    assert not isinstance(run(scenario), NotAssigned)
 
 
 def test_the_first_in_line_waits_however_slow_turns_were():
@@ -95,12 +99,12 @@
         places._turns("app").taken(1000.0, 0.0)
         placed = await acquire(places, "r0")
         first = await curio.spawn(acquire, places, "first", 5.0)
-        while not len(places.room):
+        while not len(places.queue):
             await curio.sleep(0.001)
         await places.release(placed)
         return await first.join()
 
-    assert not isinstance(run(scenario), NoRoom)
+    assert not isinstance(run(scenario), NotAssigned)
 
 
 class TestAllUpstreamsLimited:
@@ -129,7 +133,7 @@
 
         begun = monotonic()
         refused = self.run(scenario, limit=1.0, processes=30)
-        assert isinstance(refused, NoRoom)
+        assert isinstance(refused, NotAssigned)
         assert monotonic() - begun < 0.5
         assert refused.wait_seconds > 1.0
         assert refused.own_per_second == pytest.approx(1 / 30)
@@ -145,8 +149,8 @@
             return first, second
 
         first, second = self.run(scenario, limit=2.0, processes=1)
-        assert not isinstance(first, NoRoom)
-        assert not isinstance(second, NoRoom)
+        assert not isinstance(first, NotAssigned)
+        assert not isinstance(second, NotAssigned)
 
     def test_where_all_is_others_to_send_callers_are_told_to_try_another(self):
         """Guards against a Retry-After without an end."""
@@ -173,5 +177,5 @@
             return await scenario(dispatcher(6, limits, rates))
 
         refused = curio.run(main)
-        assert refused.wait_seconds == ELSEWHERE_SECONDS
+        assert refused.wait_seconds == RETRY_ELSEWHERE_SECONDS
         assert refused.own_per_second == 0.0
--- a/tests/ingress/test_evacuations.py
+++ b/tests/ingress/test_evacuations.py
@@ -19,7 +19,7 @@
 from ragwortkeel.ingress import following
 from ragwortkeel.ingress.configuration import EVACUATIONS_KIND, Service
 from ragwortkeel.ingress.directory import Directory
-from ragwortkeel.ingress.dispatch import Dispatcher, NoRoom
+from ragwortkeel.ingress.dispatch import Dispatcher, NotAssigned
 from ragwortkeel.ingress.evacuations import Evacuations, ZonesChanged
 from ragwortkeel.ingress.following import EvacuationFollower
 from ragwortkeel.ingress.placement import Placement
@@ -198,7 +198,7 @@
             directory.evacuated_zones = frozenset({first.upstream.zone})
             await places.release(first)
             await curio.sleep(0.1)
-            still_waiting = len(places.room)
+            still_waiting = len(places.queue)
             await places.release(second)
             return still_waiting, second.upstream.name, (await third.join())
 
@@ -217,7 +217,7 @@
             return refused, await curio.clock() - begun
 
         refused, took = dispatching(scenario, directory)
-        assert isinstance(refused, NoRoom)
+        assert isinstance(refused, NotAssigned)
         assert refused.withheld
         assert took < 0.1
 
--- a/tests/ingress/test_greetings.py
+++ b/tests/ingress/test_greetings.py
@@ -21,9 +21,9 @@
     tellings = []
     taken = worker.heard_parts
 
-    def heard(upstream, tokens_by_chain):
+    def heard(upstream, tokens_by_prefix_hash):
         tellings.append(upstream)
-        taken(upstream, tokens_by_chain)
+        taken(upstream, tokens_by_prefix_hash)
 
     worker.heard_parts = heard
     return tellings
--- a/tests/ingress/test_limited_upstreams.py
+++ b/tests/ingress/test_limited_upstreams.py
@@ -129,8 +129,7 @@
         await fleet.ask("/lookup/1", process=0)
         async with curio.timeout_after(5):
             while any(
-                worker._stated_limits.limits.of("u1") is None
-                for worker in fleet.workers
+                worker._limit_reader.limits.of("u1") is None for worker in fleet.workers
             ):
                 await curio.sleep(0.01)
         return len(limited.arrived)
--- a/tests/ingress/test_placement.py
+++ b/tests/ingress/test_placement.py
@@ -56,7 +56,7 @@
     def test_what_others_placed_takes_room_until_it_is_old(self):
         """A burst is refused by upstreams that look free to each process alone."""
         placement = Placement(zone="a")
-        placement.heard("other", {"u0": Load(running=4)}, 2.0)
+        placement.merge_loads("other", {"u0": Load(running=4)}, 2.0)
         assert place(placement, job(), APP, apps(count=1, slots=2)) is None
         assert place(placement, job(), APP, apps(count=1, slots=2), now=2.1)
 
@@ -68,7 +68,7 @@
         """
         placement = Placement(zone="a")
         for node in range(6):
-            placement.heard(f"i{node}", {"u0": Load(running=1)}, 2.0)
+            placement.merge_loads(f"i{node}", {"u0": Load(running=1)}, 2.0)
         assert place(placement, job(), APP, apps(count=1, slots=6))
 
     def test_an_engine_is_full_by_memory_before_its_slots(self):
@@ -104,8 +104,8 @@
         others = {n: u for n, u in engines().items() if n != first}
         elsewhere = place(one, chat(1), POOL, others).upstream.name
         fresh = Placement(zone="a")
-        for name, parts in one.news().items():
-            fresh.heard_parts(name, parts)
+        for name, parts in one.drain_prompt_blocks().items():
+            fresh.merge_prompt_blocks(name, parts)
         placed = place(fresh, chat(2), POOL, engines())
         assert placed.upstream.name == elsewhere
         assert placed.unread_tokens == 50
@@ -113,24 +113,24 @@
     def test_what_was_told_is_told_once_and_again_to_a_new_process(self):
         one = Placement(zone="a")
         place(one, chat(0), POOL, engines())
-        news = one.news()
+        news = one.drain_prompt_blocks()
         assert [len(parts) for parts in news.values()] == [1]
-        assert one.news() == {}
-        assert one.all_parts() == news
+        assert one.drain_prompt_blocks() == {}
+        assert one.all_prompt_blocks() == news
 
     def test_a_restarted_engine_holds_nothing_that_was_told(self):
         one, peer = Placement(zone="a"), Placement(zone="a")
         place(one, chat(0), POOL, engines(1))
         place(peer, chat(1), POOL, {"e0": upstream("e0", service="pool", born=1)})
-        for name, parts in one.news().items():
-            peer.heard_parts(name, parts)
+        for name, parts in one.drain_prompt_blocks().items():
+            peer.merge_prompt_blocks(name, parts)
         reborn = {"e0": upstream("e0", service="pool", born=2)}
         assert place(peer, chat(2), POOL, reborn).unread_tokens == 4_050
 
     def test_the_own_part_of_a_request_is_told_to_nobody(self):
         one = Placement(zone="a")
         place(one, job("r", "pool", parts=(("o", 900),), prompt=900), POOL, engines())
-        assert one.news() == {}
+        assert one.drain_prompt_blocks() == {}
 
 
 class TestPrefixes:
@@ -142,7 +142,7 @@
                 f"r{i}", "pool", parts=(("s", 5000), (f"own{i}", 500)), prompt=5500
             )
             placed = place(placement, one, POOL, engines())
-            placement.begun(placed)
+            placement.record_first_token(placed)
             names.add(placed.upstream.name)
             placement.release(placed)
         assert len(names) == 1
@@ -183,7 +183,7 @@
     def test_an_unreachable_upstream_is_left_alone(self):
         """An upstream that refuses connections fails fast and so looks idle."""
         placement = Placement(zone="a")
-        placement.failed("u0", Failure.UNREACHABLE, 0.0)
+        placement.record_failure("u0", Failure.UNREACHABLE, 0.0)
         names = {
             place(placement, job(f"r{i}"), APP, apps(), now=0.1).upstream.name
             for i in range(6)
@@ -223,7 +223,7 @@
         by_name = {n: upstream(n, service="pool", slots=64) for n in (*cold, *warm)}
         for placement in placements:
             for name in cold:
-                placement.note_cold(name, 3.0, 0.0)
+                placement.set_cold(name, 3.0, 0.0)
         sent = {name: [] for name in cold}
         for step in range(int(seconds * 10)):
             for index, placement in enumerate(placements):
@@ -258,7 +258,7 @@
         """Guards against an upstream that is left out for ever by a huge cold time."""
         [placement] = self.fleet(1)
         by_name = {"e0": upstream("e0", service="pool", slots=64)}
-        placement.note_cold("e0", 1e12, 0.0)
+        placement.set_cold("e0", 1e12, 0.0)
         sent = [
             place(placement, job(f"r{n}"), COLD_POOL, by_name, now=3.01)
             for n in range(20)
@@ -270,13 +270,13 @@
         [placement] = self.fleet(1)
         by_name = {"e0": upstream("e0", service="pool", slots=64)}
         place(placement, job("r0"), COLD_POOL, by_name, now=0.0)
-        placement.failed("e0", Failure.UNREACHABLE, 0.0)
+        placement.record_failure("e0", Failure.UNREACHABLE, 0.0)
         placed = None
         now = 1.0
         while placed is None:
             now += 0.01
             placed = place(placement, job("probe"), COLD_POOL, by_name, now=now)
-        placement.succeeded("e0", now)
+        placement.record_success("e0", now)
         sent = [
             place(placement, job(f"r{n}"), COLD_POOL, by_name, now=now + n / 100)
             for n in range(1, 101)
@@ -296,14 +296,14 @@
         )
         by_name = {f"e{n}": upstream(f"e{n}", service="pool") for n in range(9)}
         for name in by_name:
-            placement.note_cold(name, 0.0, 0.0)
-            placement.failed(name, Failure.UNREACHABLE, 0.0)
+            placement.set_cold(name, 0.0, 0.0)
+            placement.record_failure(name, Failure.UNREACHABLE, 0.0)
         reached = set()
         for step in range(1000):
             now = 2.0 + step / 100
             placed = place(placement, job(f"r{step}"), COLD_POOL, by_name, now=now)
             if placed is not None:
-                placement.succeeded(placed.upstream.name, now)
+                placement.record_success(placed.upstream.name, now)
                 placement.release(placed)
                 reached.add(placed.upstream.name)
         assert reached == set(by_name)
@@ -311,7 +311,7 @@
     def test_services_without_a_bound_are_not_held_back(self):
         [placement] = self.fleet(1)
         by_name = engines(count=1)
-        placement.note_cold("e0", 3.0, 0.0)
+        placement.set_cold("e0", 3.0, 0.0)
         sent = [place(placement, job(f"r{n}"), POOL, by_name) for n in range(30)]
         assert all(sent)
 
@@ -370,7 +370,7 @@
         """Guards against two counters of the same requests."""
         fleet = self.fleet(self.limited(e0=1.2))
         for placement in fleet:
-            placement.note_cold("e0", 3.0, 0.0)
+            placement.set_cold("e0", 3.0, 0.0)
         by_name = {"e0": upstream("e0", service="pool", slots=64)}
         placed = self.placed(fleet, by_name, COLD_POOL)
         assert 0 < len(placed) <= 1.5 * 4 * 1.2 + 5
@@ -380,7 +380,7 @@
         fleet = self.fleet(self.limited(u0=0.25), size=1)
         placed = []
         for step in range(40):
-            fleet[0].note_cold("u0", 0.0, step / 10)
+            fleet[0].set_cold("u0", 0.0, step / 10)
             one = place(fleet[0], job(f"r{step}"), APP, apps(1), now=step / 10)
             placed.append(one is not None)
         assert sum(placed) <= 2
--- a/tests/ingress/test_request_usage.py
+++ b/tests/ingress/test_request_usage.py
@@ -1,7 +1,7 @@
 import pytest
 
-from ragwortkeel.ingress.prefixes import Part
-from ragwortkeel.ingress.usage import Usage, parse_parts, parse_usage
+from ragwortkeel.ingress.prefixes import PromptBlock
+from ragwortkeel.ingress.usage import Usage, parse_prompt_blocks, parse_usage
 
 
 class TestParsing:
@@ -13,10 +13,10 @@
         assert parse_usage(text) is None
 
     def test_parts_end_at_the_first_unreadable_one(self):
-        found = parse_parts("5c1e:800, 91bd:410,zz,77:5")
+        found = parse_prompt_blocks("5c1e:800, 91bd:410,zz,77:5")
         assert found == (
-            Part(part_id="5c1e", tokens=800),
-            Part(part_id="91bd", tokens=410),
+            PromptBlock(block_id="5c1e", tokens=800),
+            PromptBlock(block_id="91bd", tokens=410),
         )
 
 
--- a/tests/ingress/test_requests.py
+++ b/tests/ingress/test_requests.py
@@ -20,7 +20,7 @@
 
 from ragwortkeel.exceptions import ExchangeBroken
 from ragwortkeel.ingress.configuration import UpstreamState
-from ragwortkeel.ingress.upstream_connection import FRESH_SECONDS
+from ragwortkeel.ingress.upstream_connection import FRESH_IDLE_SECONDS
 from ragwortkeel.ingress.worker import RETRY_RESERVE, RETRY_SHARE
 
 
@@ -196,7 +196,7 @@
 
         async def scenario(fleet):
             await fleet.ask("/filing/1")
-            await curio.sleep(FRESH_SECONDS + 0.1)
+            await curio.sleep(FRESH_IDLE_SECONDS + 0.1)
             await fleet.ask("/filing/2")
             return fleet.upstreams["u1"].connections
 
--- a/tests/ingress/test_stated_limits.py
+++ b/tests/ingress/test_stated_limits.py
@@ -8,15 +8,15 @@
 from tests.ingress.builders import upstream
 
 from ragwortkeel.exceptions import LimitUnreadable
-from ragwortkeel.ingress.stated_limits import StatedLimits, read_limit
-from ragwortkeel.ingress.upstream_connection import Head
+from ragwortkeel.ingress.limit_reader import LimitReader, read_limit
+from ragwortkeel.ingress.upstream_connection import ResponseHead
 from ragwortkeel.metrics import Metrics
 
 HEADER = "x-rate-limit"
 
 
 def head(*values):
-    return Head(status=200, fields=tuple((HEADER, value) for value in values))
+    return ResponseHead(status=200, fields=tuple((HEADER, value) for value in values))
 
 
 class TestReading:
@@ -48,55 +48,55 @@
     @given(st.lists(st.text(max_size=30), max_size=3))
     def test_no_value_ends_the_reader(self, values):
         """Guards against an answer that is lost over a header it does not need."""
-        stated = StatedLimits(header=HEADER, metrics=Metrics())
-        stated.note("u1", head(*values), sent_at=0.0)
+        stated = LimitReader(header=HEADER, metrics=Metrics())
+        stated.receive_head("u1", head(*values), sent_at=0.0)
 
 
 class TestStatements:
     def test_an_unreadable_limit_leaves_the_one_in_force(self):
-        stated = StatedLimits(header=HEADER, metrics=Metrics())
-        stated.note("u1", head("1.5"), sent_at=0.0)
-        stated.note("u1", head("many"), sent_at=1e12)
+        stated = LimitReader(header=HEADER, metrics=Metrics())
+        stated.receive_head("u1", head("1.5"), sent_at=0.0)
+        stated.receive_head("u1", head("many"), sent_at=1e12)
         assert stated.limits.of("u1") == 1.5
 
     def test_a_later_instance_of_that_name_has_no_limit(self):
         """Guards against an upstream that is spared after its restart."""
-        stated = StatedLimits(header=HEADER, metrics=Metrics())
-        stated.note_instance(upstream("u1", born=1))
-        stated.note("u1", head("1.5"), sent_at=0.0)
-        stated.note_instance(upstream("u1", born=1))
+        stated = LimitReader(header=HEADER, metrics=Metrics())
+        stated.record_start(upstream("u1", born=1))
+        stated.receive_head("u1", head("1.5"), sent_at=0.0)
+        stated.record_start(upstream("u1", born=1))
         assert stated.limits.of("u1") == 1.5
-        stated.note_instance(upstream("u1", born=2))
+        stated.record_start(upstream("u1", born=2))
         assert stated.limits.of("u1") is None
 
     @pytest.mark.parametrize("gone", [False, True])
     def test_the_metric_ends_with_the_limit(self, gone):
         metrics = Metrics()
-        stated = StatedLimits(header=HEADER, metrics=metrics)
-        stated.note("u1", head("1.5"), sent_at=0.0)
+        stated = LimitReader(header=HEADER, metrics=metrics)
+        stated.receive_head("u1", head("1.5"), sent_at=0.0)
         assert b'announced_limit{upstream="u1"} 1.5' in metrics.render()
         if not gone:
-            stated.note("u1", head(), sent_at=1e12)
-        stated.keep(set())
+            stated.receive_head("u1", head(), sent_at=1e12)
+        stated.retain(set())
         assert b'announced_limit{upstream="u1"}' not in metrics.render()
 
 
 class TestPeers:
     def test_a_peer_hears_of_a_limit_and_of_its_end(self):
         """Guards against processes that are not chosen to send, and never find out."""
-        teller = StatedLimits(header=HEADER, metrics=Metrics())
-        peer = StatedLimits(header=HEADER, metrics=Metrics())
-        teller.note("u1", head("1.5"), sent_at=0.0)
+        teller = LimitReader(header=HEADER, metrics=Metrics())
+        peer = LimitReader(header=HEADER, metrics=Metrics())
+        teller.receive_head("u1", head("1.5"), sent_at=0.0)
         peer.merge(teller.recent())
         assert peer.limits.of("u1") == 1.5
-        teller.note("u1", head(), sent_at=monotonic())
+        teller.receive_head("u1", head(), sent_at=monotonic())
         peer.merge(teller.recent())
         assert peer.limits.of("u1") is None
 
     def test_what_a_peer_said_is_not_passed_on(self):
         """Guards against two processes that keep an old limit alive for each other."""
-        teller = StatedLimits(header=HEADER, metrics=Metrics())
-        peer = StatedLimits(header=HEADER, metrics=Metrics())
-        teller.note("u1", head("1.5"), sent_at=0.0)
+        teller = LimitReader(header=HEADER, metrics=Metrics())
+        peer = LimitReader(header=HEADER, metrics=Metrics())
+        teller.receive_head("u1", head("1.5"), sent_at=0.0)
         peer.merge(teller.recent())
         assert not peer.recent()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ragwortkeel.ingress import answers
-from ragwortkeel.ingress.answers import Answer
+from ragwortkeel.ingress import error_responses
+from ragwortkeel.ingress.error_responses import ErrorResponse
 from ragwortkeel.router.refusals import Reason
 
 OPERATORS = Path(__file__).parents[1] / "docs" / "operators"
@@ -19,7 +19,11 @@
 
     @pytest.mark.parametrize(
         "answer",
-        [one for one in vars(answers).values() if isinstance(one, Answer)],
+        [
+            one
+            for one in vars(error_responses).values()
+            if isinstance(one, ErrorResponse)
+        ],
         ids=lambda answer: answer.reason,
     )
     def test_every_answer_of_the_ingress_is_explained(self, answer):
