--- a/src/ragwortkeel/ingress/attempt.py
+++ b/src/ragwortkeel/ingress/attempt.py
@@ -189,9 +189,13 @@
             await _receive_body(connection)
             return _not_run(head)
         if head.get("content-encoding"):
-            return Broken(reason=BrokenReason.SPOILED, detail="an encoded body")
+            return Broken(
+                reason=BrokenReason.SPOILED, detail="response has a content-encoding"
+            )
         if head.status < 300 and not head.get(self._names.proof):
-            return Broken(reason=BrokenReason.SPOILED, detail="no signature")
+            return Broken(
+                reason=BrokenReason.SPOILED, detail="response has no signature"
+            )
         streams = head.get("content-type").startswith(EVENT_STREAM)
         if streams and head.status < 300:
             return await self._stream(connection, head)
@@ -249,7 +253,7 @@
 
     async def _finish(self, head: ResponseHead) -> Outcome:
         if self._caller_response.splitter.has_partial_event:
-            detail = "ended within an event"
+            detail = "stream ended within an event"
             return Broken(reason=BrokenReason.CLOSED, detail=detail)
         responder = self._caller_response.responder
         if not self._caller_response.started:
@@ -296,6 +300,6 @@
     while (chunk := await connection.receive_chunk()) is not None:
         size += len(chunk)
         if size > MAX_RESPONSE_BYTES:
-            raise ExchangeBroken("an answer without an end")
+            raise ExchangeBroken("response is too large")
         chunks.append(chunk)
     return b"".join(chunks)
--- a/src/ragwortkeel/ingress/crashes.py
+++ b/src/ragwortkeel/ingress/crashes.py
@@ -1,8 +1,8 @@
-"""Requests that crash each upstream that runs them, found without a witness.
+"""Detection of requests that crash each upstream that runs them.
 
-A broken run alone is no crash: an upstream may lose one answer.  An upstream that
-refuses connections right after runs broke there has crashed, and what ran there
-is under suspicion (see `policy.quarantine`).
+A broken run alone is no crash, as an upstream may lose one response.  An upstream that
+refuses connections right after runs broke there has crashed, and the requests of those
+runs become suspects (see `policy.quarantine`).
 """
 
 from collections import deque
@@ -12,25 +12,30 @@
 from ragwortkeel.policy.quarantine import Crash, Quarantine, Verdict
 
 SUSPICION_SECONDS = 3.0
-"""Between a broken run and the sign that the upstream had crashed: its restart
-takes some seconds, a refused connection shows at once."""
+"""Longest time from a broken run to a refused connection that counts as a crash.
+
+An upstream refuses connections at once after a crash, and its restart takes some
+seconds.
+"""
 
 MAX_UNREPORTED_CRASHES = 100
-"""Untold crashes; they are told several times a second."""
+"""Crashes kept until they are reported to peers, which is several times a second."""
 
 
 class CrashDetector:
-    """What ran where, which runs broke, and what that says of bodies.
+    """Detects crashes of upstreams and quarantines the requests that cause them.
+
+    A request is identified by its fingerprint.
 
     Parameters
     ----------
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
 
     Attributes
     ----------
     unreported : deque of Crash
-        Crashes found here that the peers have yet to be told.
+        Crashes detected here that have yet to be reported to peers.
     """
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
@@ -40,20 +45,20 @@
         self._broken_at_by_upstream: dict[str, dict[str, float]] = {}
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Whether a body has crashed so many upstreams that none may run it."""
+        """Return whether the request crashed too many upstreams to run again."""
         return self._quarantine.verdict(fingerprint) is Verdict.REFUSE
 
     def record_finished(self, fingerprint: str) -> None:
-        """Note a whole answer, which clears a body."""
+        """Record a complete response, which clears the request of suspicion."""
         self._quarantine.finished(fingerprint)
 
     def record_broken_run(self, upstream: Upstream, fingerprint: str) -> None:
-        """Note a run that broke off."""
+        """Record that a run of the request broke off."""
         broken_at = self._broken_at_by_upstream.setdefault(upstream.name, {})
         broken_at[fingerprint] = self._clock()
 
     def record_refused_connection(self, upstream: Upstream) -> None:
-        """Note that an upstream refuses connections."""
+        """Record that the upstream refuses connections, and detect a crash."""
         now = self._clock()
         broken_at = self._broken_at_by_upstream.pop(upstream.name, {})
         suspects = {
@@ -63,13 +68,13 @@
         }
         if not suspects:
             return
-        # Several processes may find the same crash: within the time in which one
-        # upstream can't crash twice it has one id.
+        # Processes that detect the same crash have to derive the same id.  An upstream
+        # can't crash twice within `SUSPICION_SECONDS`.
         crash_id = f"{upstream.name}/{upstream.born}/{int(now / SUSPICION_SECONDS)}"
         crash = Crash(crash_id=crash_id, fingerprints=frozenset(suspects))
         if self._quarantine.crashed(crash, now):
             self.unreported.append(crash)
 
     def receive_crash(self, crash: Crash) -> None:
-        """Take in a crash that a peer found."""
+        """Record a crash that a peer detected."""
         self._quarantine.crashed(crash, self._clock())
--- a/src/ragwortkeel/ingress/error_responses.py
+++ b/src/ragwortkeel/ingress/error_responses.py
@@ -1,4 +1,4 @@
-"""The ingress's own answers: refusals that tell what happened and when to return."""
+"""Error responses of the ingress, with their reason and when to retry."""
 
 from dataclasses import dataclass, replace
 from enum import StrEnum
@@ -21,9 +21,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ErrorResponse:
-    """A final answer of the ingress's own.
+    """A final response that the ingress itself sends.
 
-    `retry_after_seconds` is None where coming back does not help.
+    Attributes
+    ----------
+    retry_after_seconds : float or None
+        Value of the Retry-After header; None if a retry would not help.
     """
 
     status: int
@@ -81,12 +84,12 @@
 
 
 def with_retry_after(error: ErrorResponse, seconds: float) -> ErrorResponse:
-    """Return the refusal with when to come back, of what is known of that."""
+    """Return the error with a Retry-After of about `seconds`, spread at random."""
     return replace(error, retry_after_seconds=return_after(seconds, _random))
 
 
 async def send_error(responder: Responder, error: ErrorResponse) -> None:
-    """Send an own answer; its connection stays usable."""
+    """Send the error as a problem document; the connection stays usable."""
     problem = _Problem(
         status=error.status,
         title=error.reason.replace("_", " "),
--- a/src/ragwortkeel/ingress/events.py
+++ b/src/ragwortkeel/ingress/events.py
@@ -1,8 +1,8 @@
-"""A stream's events as they pass: whole ones only, in order, counted.
+"""Splits a stream into complete events, checks their order and counts them.
 
-Failures it guards against: an upstream breaks off in the middle of an event, and
-the caller would get half of it; a resumed run repeats or leaves out an event,
-and the caller would get it twice or miss it.
+Failures it guards against: an upstream breaks off in the middle of an event, and the
+caller would receive an incomplete one; a resumed run repeats or omits an event, and the
+caller would receive it twice or miss it.
 """
 
 from ragwortkeel.exceptions import ExchangeBroken
@@ -12,17 +12,17 @@
 
 
 class EventSplitter:
-    """Cuts the bytes of a run into whole events.
+    """Splits the bytes of all runs of a request into complete events.
 
     Parameters
     ----------
     last_id : int or None
-        Id of the last event that the caller has; None for none yet.
+        Id of the last event that the caller received; None if it received none.
 
     Attributes
     ----------
     events : int
-        Events passed on so far, over all runs of the request.
+        Complete events with an id so far, over all runs of the request.
     """
 
     def __init__(self, *, last_id: int | None = None) -> None:
@@ -31,12 +31,12 @@
         self._buffer = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events in what came so far and not yet returned.
+        """Append data; return the events that are complete now.
 
         Raises
         ------
         ExchangeBroken
-            An event's id does not follow the one before.
+            The id of an event does not follow the id before it.
         """
         data = self._buffer + data.replace(b"\r\n", b"\n")
         end = data.rfind(_END)
@@ -50,11 +50,11 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether part of an event has come and its end has not."""
+        """Whether the data so far ends within an event."""
         return bool(self._buffer.strip())
 
     def discard_partial_event(self) -> None:
-        """Forget the part of an event that a broken run left."""
+        """Discard the incomplete event that a broken run left."""
         self._buffer = b""
 
     def _check_order(self, event: bytes) -> None:
@@ -62,7 +62,7 @@
         if event_id is None:
             return
         if self.last_id is not None and event_id != self.last_id + 1:
-            raise ExchangeBroken(f"event {event_id} after {self.last_id}")
+            raise ExchangeBroken(f"event {event_id} follows event {self.last_id}")
         self.last_id = event_id
         self.events += 1
 
--- a/src/ragwortkeel/ingress/limit_reader.py
+++ b/src/ragwortkeel/ingress/limit_reader.py
@@ -1,4 +1,4 @@
-"""What upstreams state of their rate limits: read from answers, logged and counted."""
+"""Reads, logs and counts the rate limits that upstreams announce in their responses."""
 
 import re
 from time import monotonic
@@ -12,18 +12,20 @@
 from ragwortkeel.policy.announced_limits import AnnouncedLimits, Statement
 
 MAX_LOGGED_CHARACTERS = 40
-"""Of a value that can't be read."""
+"""Longest part of an invalid header value in a log line."""
 
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{0,12})?|\.[0-9]{1,12}")
 
 
 def read_limit(head: ResponseHead, header: str) -> float | None:
-    """Return the limit that an answer names, in requests a second; None for none.
+    """Return the limit that a response announces, in requests a second.
+
+    None if the response has no such header.
 
     Raises
     ------
     LimitUnreadable
-        It is no decimal number, or there are two.
+        The value is no decimal number, or there are two different values.
     """
     values = {value.strip() for name, value in head.fields if name == header}
     if not values:
@@ -37,12 +39,18 @@
 
 
 class LimitReader:
-    """Takes in what answers say of their upstreams' limits.
+    """Collects the limits that upstreams announce to this process and its peers.
 
     Parameters
     ----------
     header : str
-        In an upstream's answer, the requests a second that it takes from the fleet.
+        Name of the response header with the requests a second that an upstream
+        accepts from the whole fleet.
+
+    Attributes
+    ----------
+    limits : AnnouncedLimits
+        The limits in force.
     """
 
     def __init__(self, *, header: str, metrics: Metrics) -> None:
@@ -55,7 +63,7 @@
     def receive_head(
         self, upstream: str, head: ResponseHead, *, sent_at: float
     ) -> None:
-        """Take in the head of an answer to a request sent at that second."""
+        """Read the limit in a response to a request that was sent at `sent_at`."""
         try:
             per_second = read_limit(head, self._header)
         except LimitUnreadable as exc:
@@ -67,7 +75,7 @@
             self._log_change(upstream, previous, source="answer")
 
     def recent(self) -> dict[str, AnnouncedLimit]:
-        """Return what answers to this process said lately, for its peers."""
+        """Return the limits that upstreams lately announced here, for peers."""
         now = monotonic()
         return {
             name: AnnouncedLimit(
@@ -78,7 +86,7 @@
         }
 
     def merge(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
-        """Take in what answers to a peer said."""
+        """Merge limits that upstreams announced to a peer."""
         now = monotonic()
         for name, reported in limit_by_upstream.items():
             previous = self.limits.of(name)
@@ -89,7 +97,7 @@
                 self._log_change(name, previous, source="peer")
 
     def record_start(self, upstream: Upstream) -> None:
-        """Drop what an earlier instance of that name said."""
+        """Remove the limit that an upstream announced before its last restart."""
         known = self._started_ms_by_upstream.get(upstream.name)
         self._started_ms_by_upstream[upstream.name] = upstream.born
         if known is None or upstream.born <= known:
@@ -100,12 +108,12 @@
             self._log_change(upstream.name, previous, source="restart")
 
     def retain(self, upstreams: set[str]) -> None:
-        """Drop what upstreams said that are gone."""
-        for gone in self.limits.keep(upstreams):
-            self._metrics.upstream_announced(name=gone, limit=None)
+        """Remove the limits of all other upstreams."""
+        for removed in self.limits.keep(upstreams):
+            self._metrics.upstream_announced(name=removed, limit=None)
         self._unreadable_upstreams &= upstreams
-        for gone in self._started_ms_by_upstream.keys() - upstreams:
-            del self._started_ms_by_upstream[gone]
+        for removed in self._started_ms_by_upstream.keys() - upstreams:
+            del self._started_ms_by_upstream[removed]
 
     def _log_change(
         self, upstream: str, previous: float | None, *, source: str
--- a/src/ragwortkeel/ingress/names.py
+++ b/src/ragwortkeel/ingress/names.py
@@ -1,6 +1,6 @@
-"""Header names of callers and upstreams; a deployment may have its own.
+"""Names of the headers that callers, the ingress and upstreams exchange.
 
-All names are lower case, as h11 shows them.
+A deployment may use names of its own.  All names are lower case, as in h11.
 """
 
 from dataclasses import dataclass
@@ -20,40 +20,40 @@
         "expect",
     }
 )
-"""Headers that concern one connection, or that the sending side sets itself."""
+"""Headers that are not forwarded, because each connection or sender sets its own."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class HeaderNames:
-    """What the headers that the ingress reads or sets are called.
+    """Names of the headers that the ingress reads or sets.
 
     Attributes
     ----------
     request_id : str
-        Names one try of a caller; upstreams echo it.
+        Id of one request of a caller; upstreams echo it.
     deadline : str
-        Milliseconds that the sender still waits.
+        Milliseconds for which the sender still waits.
     usage : str
-        Prompt tokens and largest answer, ``PROMPT,ANSWER``.
+        Tokens of the prompt and of the largest answer, ``PROMPT,ANSWER``.
     parts : str
-        Parts of the prompt in order, ``ID:TOKENS,...``.
+        Blocks of the prompt in order, ``ID:TOKENS,...``.
     expect_instance : str
-        Upstream instance that is to run the request; others turn it away.
+        Upstream instance that is to run the request; other instances reject it.
     customer : str
-        Name of the customer, for the upstream.
+        Name of the customer, sent to the upstream.
     urgency : str
-        Rank among an engine's requests, 0 first.
+        Rank among the requests of an engine, 0 first.
     not_run : str
-        In an upstream's answer: it did not run the request.
+        In a response of an upstream: it did not run the request.
     proof : str
-        In an upstream's answer: its signature, without which no success counts.
+        In a response of an upstream: its signature, required for a success.
     last_event : str
-        Id of the last event that the caller has.
+        Id of the last event that the caller received.
     rate_limit : str
-        In an upstream's answer: requests a second that it takes from the whole fleet;
-        an answer without it ends the limit.
+        In a response of an upstream: requests a second that it accepts from the
+        whole fleet; a response without the header ends the limit.
     reserved : frozenset of str
-        Headers that only the ingress may set; a caller's are dropped.
+        Headers that only the ingress may set; those of a caller are dropped.
     """
 
     request_id: str = "x-request-id"
@@ -71,6 +71,6 @@
 
     @property
     def dropped(self) -> frozenset[str]:
-        """Headers of a caller that no upstream gets as they came."""
+        """Headers of a caller that are dropped or replaced before forwarding."""
         own = {self.deadline, self.expect_instance, self.customer, self.urgency}
         return HOP_BY_HOP | self.reserved | own | {"authorization"}
--- a/src/ragwortkeel/ingress/outcomes.py
+++ b/src/ragwortkeel/ingress/outcomes.py
@@ -1,4 +1,4 @@
-"""How a run at an upstream ended, as typed outcomes."""
+"""The outcome of a request's run at an upstream."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class NotRunReason(StrEnum):
-    """Why an upstream surely did not run a request."""
+    """Why a request certainly did not run at an upstream."""
 
     UNREACHABLE = "unreachable"
     FULL = "full"
@@ -15,7 +15,7 @@
 
 
 class BrokenReason(StrEnum):
-    """Why nobody knows whether, or how far, a request ran."""
+    """Why it is unknown whether, or how far, a request ran."""
 
     CLOSED = "closed"
     DEADLINE = "deadline"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FullResponse:
-    """The upstream's whole answer to a plain request."""
+    """The upstream's complete response, unless that is a stream."""
 
     head: ResponseHead
     body: bytes
@@ -33,14 +33,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StreamCompleted:
-    """A stream went to its end and to the caller."""
+    """A stream was forwarded to the caller up to its end.
+
+    Attributes
+    ----------
+    events : int
+        Events forwarded, over all runs of the request.
+    """
 
     events: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class NotRun:
-    """The upstream did not run the request and never will."""
+    """The upstream did not run the request and will not run it later."""
 
     reason: NotRunReason
     detail: str = ""
@@ -48,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Broken:
-    """The run broke off; it may have taken effect."""
+    """The run broke off; it may have had effects."""
 
     reason: BrokenReason
     detail: str = ""
--- a/src/ragwortkeel/ingress/prefixes.py
+++ b/src/ragwortkeel/ingress/prefixes.py
@@ -1,11 +1,11 @@
-"""Which prompt parts each upstream keeps in memory, as far as one can tell.
-
-Pattern of load: thousands of prompts begin with a few dozen long parts.  Where
-each upstream reads all of them, half of its time goes into prompts that another
-one has in memory.  The model here is what was sent there, by this process or, as
-they tell, by others, the longest unused parts first out, as the engines do it.  A
-part counts only behind the same blocks: a prefix is known by the hash of all its ids
-up to there.
+"""A model of the prompt blocks that each upstream has in its prefix cache.
+
+Pattern of load: thousands of prompts begin with a few dozen long blocks.  If each
+upstream reads all of them, it spends half of its time on prompts that another upstream
+has cached.  The model contains the blocks of the prompts that this process sent to
+the upstream, and those that other processes reported.  Like the engines, it evicts the
+least recently used blocks first.  A cached block is only of use behind the same blocks,
+so it is identified by its prefix hash, which covers the ids of all blocks up to it.
 """
 
 from collections import OrderedDict
@@ -14,25 +14,28 @@
 from hashlib import blake2b
 
 PREFIX_CACHE_FRACTION = 0.6
-"""Of an engine's memory, taken to hold kept parts; running requests fill the
-rest.  Set too high, the model promises parts that have been dropped."""
+"""Fraction of an engine's memory that the model assumes to hold cached blocks.
+
+Running requests fill the rest.  With a larger fraction the model contains blocks that
+the engine has evicted.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class PromptBlock:
-    """One part of a prompt: its id and length in tokens."""
+    """One block of a prompt, which other prompts may share."""
 
     block_id: str
     tokens: int
 
 
 class PrefixCache:
-    """The parts that one upstream is taken to hold.
+    """The prompt blocks that one upstream is assumed to have cached.
 
     Attributes
     ----------
     capacity_tokens : int or None
-        Tokens of kept parts; None while the upstream's memory is not known.
+        Largest total of the blocks; None while the upstream's memory is unknown.
     """
 
     def __init__(self, *, capacity_tokens: int | None) -> None:
@@ -42,7 +45,7 @@
         self._total_tokens = 0
 
     def cached_tokens(self, blocks: tuple[PromptBlock, ...]) -> int:
-        """Return how many of the prompt's first tokens need not be read."""
+        """Return the number of tokens at the start of the prompt that are cached."""
         cached = 0
         for prefix_hash, block in _prefix_hashes(blocks):
             if prefix_hash not in self._tokens_by_prefix_hash:
@@ -51,13 +54,13 @@
         return cached
 
     def record_read(self, blocks: tuple[PromptBlock, ...]) -> dict[int, int]:
-        """Note that the upstream reads this prompt now.
+        """Record that the upstream reads this prompt now.
 
         Returns
         -------
         dict of int to int
-            Tokens by prefix hash of the shared parts that it did not hold: all but the
-            last, which is the request's own.
+            Tokens by prefix hash of the shared blocks that were not cached.  All blocks
+            but the last are shared.
         """
         new = {}
         last = len(blocks) - 1
@@ -70,14 +73,14 @@
         return new
 
     def merge(self, tokens_by_prefix_hash: dict[int, int]) -> None:
-        """Note shared parts that another process let the upstream read."""
+        """Record shared blocks that the upstream read for another process."""
         for prefix_hash, tokens in tokens_by_prefix_hash.items():
             self._shared_prefix_hashes.add(prefix_hash)
             self._touch(prefix_hash, tokens)
         self._evict()
 
     def shared_blocks(self) -> dict[int, int]:
-        """Return the tokens by prefix hash of all shared parts, for a new process."""
+        """Return the tokens of all shared blocks by prefix hash, for a new process."""
         return {
             prefix_hash: self._tokens_by_prefix_hash[prefix_hash]
             for prefix_hash in self._shared_prefix_hashes
@@ -102,7 +105,7 @@
 def _prefix_hashes(
     blocks: tuple[PromptBlock, ...],
 ) -> Iterator[tuple[int, PromptBlock]]:
-    """Return each part with a number for it and all before it, equal everywhere."""
+    """Yield each block with its prefix hash, which is the same in all processes."""
     digest = blake2b(digest_size=8)
     for block in blocks:
         digest.update(block.block_id.encode())
--- a/src/ragwortkeel/ingress/request_queue.py
+++ b/src/ragwortkeel/ingress/request_queue.py
@@ -72,7 +72,7 @@
         These are all of the same or a more urgent priority.
         """
         queued = self._queued_by_service.get(job.service, {}).values()
-        return sum(1 for one in queued if one.job.priority <= job.priority)
+        return sum(1 for other in queued if other.job.priority <= job.priority)
 
     def in_order(self, service: str) -> list[QueuedRequest]:
         """Return the queued requests of the service, the next one first."""
--- a/src/ragwortkeel/ingress/routing.py
+++ b/src/ragwortkeel/ingress/routing.py
@@ -1,7 +1,7 @@
-"""Which route, customer and service a request belongs to.
+"""Assigns each request to its route, customer and service.
 
-Traffic splits are drawn by a hash of the request's id, not at random: the same
-request at two ingress processes falls on the same service.
+A traffic split depends on a hash of the request id instead of chance, so that each
+ingress process sends the same request to the same service.
 """
 
 from dataclasses import dataclass
@@ -17,17 +17,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NoRoute:
-    """No route has this host and path."""
+    """No route matches the host and path."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class UnknownKey:
-    """The route wants a customer's key and the request bears none that is known."""
+    """The route requires an API key, and the request has no known one."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Routed:
-    """The request may be served; `customer` is None on a public route."""
+    """The request may be served.
+
+    Attributes
+    ----------
+    customer : Customer or None
+        Customer whose API key the request has; None on a public route.
+    """
 
     route: Route
     customer: Customer | None
@@ -37,7 +43,7 @@
 
 
 class RoutingTable:
-    """One configuration, indexed for look-ups.
+    """One configuration, indexed by host, API key and names.
 
     Examples
     --------
@@ -51,9 +57,13 @@
         self.service_by_name: dict[str, Service] = {
             service.name: service for service in configuration.services
         }
-        self.customer_by_name = {one.name: one for one in configuration.customers}
+        self.customer_by_name = {
+            customer.name: customer for customer in configuration.customers
+        }
         self._customer_by_key = {
-            key: one for one in configuration.customers for key in one.keys
+            key: customer
+            for customer in configuration.customers
+            for key in customer.keys
         }
         self._routes_by_host: dict[str, list[Route]] = {}
         for route in configuration.routes:
@@ -62,7 +72,7 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def route(self, *, host: str, path: str, key: str) -> Routing:
-        """Return where a request belongs."""
+        """Return the route and customer of a request, or why there is none."""
         name = host.lower().partition(":")[0]
         for route in self._routes_by_host.get(name, ()):
             if path.startswith(route.prefix):
@@ -78,7 +88,7 @@
 
 
 def split_service(route: Route, request_id: str) -> str:
-    """Return the service that this request of a route falls on."""
+    """Return the name of the service that the traffic split selects."""
     total = sum(split.weight for split in route.splits)
     if total <= 0:
         return route.splits[0].service
--- a/src/ragwortkeel/ingress/upstream_connection.py
+++ b/src/ragwortkeel/ingress/upstream_connection.py
@@ -185,14 +185,14 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise ExchangeBroken("closed without an answer")
+                raise ExchangeBroken("connection closed before a response")
             head = _response_head(event)
             echoed = head.get(self._id_header)
             if echoed == request_id:
                 self._record_head(head)
                 return head
             if not echoed:
-                raise ExchangeBroken("an answer without the id of its request")
+                raise ExchangeBroken("response does not echo the request id")
             await self._skip_response()
 
     async def receive_chunk(self) -> bytes | None:
@@ -204,7 +204,7 @@
                 self._used_at = monotonic()
                 return None
             case _:
-                raise ExchangeBroken("the answer broke off")
+                raise ExchangeBroken("connection closed within a response")
 
     async def close(self) -> None:
         """Close at once, so that the upstream drops the work of the request."""
@@ -284,8 +284,8 @@
     async def close_expired(self) -> None:
         """Close the connections that were idle for too long."""
         for key, idle in list(self._idle_by_upstream.items()):
-            expired = [one for one in idle if one.expired]
-            idle[:] = [one for one in idle if not one.expired]
+            expired = [pooled for pooled in idle if pooled.expired]
+            idle[:] = [pooled for pooled in idle if not pooled.expired]
             for connection in expired:
                 await connection.close()
             if not idle:
--- a/src/ragwortkeel/ingress/usage.py
+++ b/src/ragwortkeel/ingress/usage.py
@@ -1,22 +1,27 @@
-"""What a request may cost at most, and what it cost, in tokens."""
+"""The largest cost of a request and its actual cost, in tokens."""
 
 from dataclasses import dataclass
 
 from ragwortkeel.ingress.prefixes import PromptBlock
 
 MAX_UNRECEIVED_EVENTS = 3
-"""Events an upstream may have made between the last one that got here and the
-close of a stream that was broken off; one step of its batch makes one."""
+"""Events charged in addition to those received from a stream that broke off.
+
+An upstream may have produced them before it noticed the close; it produces one event
+per decoding step of its batch.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Usage:
-    """A caller's own bound of one request.
+    """The bound that a caller states for the tokens of one request.
 
     Attributes
     ----------
-    prompt_tokens, answer_tokens : int
-        Length of the prompt, largest length of the answer.
+    prompt_tokens : int
+        Length of the prompt.
+    answer_tokens : int
+        Largest length of the answer.
     """
 
     prompt_tokens: int
@@ -24,18 +29,20 @@
 
     @property
     def total_tokens(self) -> int:
-        """Tokens to set aside."""
+        """Tokens to reserve for the request."""
         return self.prompt_tokens + self.answer_tokens
 
     def cost(self, *, events: int, event_tokens: int, complete: bool) -> int:
-        """Return the tokens to charge once a run has ended.
+        """Return the tokens to charge for the request.
 
         Parameters
         ----------
         events : int
-            Events of the answer that were seen here.
+            Events of the answer that were received.
+        event_tokens : int
+            Tokens of one event.
         complete : bool
-            Whether the answer came to its end.
+            Whether the answer was received up to its end.
         """
         charged_events = events if complete else events + MAX_UNRECEIVED_EVENTS
         return self.prompt_tokens + min(
@@ -44,7 +51,7 @@
 
 
 def parse_usage(text: str) -> Usage | None:
-    """Return the usage in ``PROMPT,ANSWER``; None where it is none."""
+    """Return the usage in a ``PROMPT,ANSWER`` header; None if it is invalid."""
     prompt, _, answer = text.partition(",")
     try:
         usage = Usage(prompt_tokens=int(prompt), answer_tokens=int(answer))
@@ -54,7 +61,10 @@
 
 
 def parse_prompt_blocks(text: str) -> tuple[PromptBlock, ...]:
-    """Return the prompt's parts in ``ID:TOKENS,...``; what is unreadable ends them."""
+    """Return the prompt blocks in an ``ID:TOKENS,...`` header.
+
+    The first invalid block and all blocks after it are ignored.
+    """
     blocks = []
     for item in text.split(","):
         block_id, _, tokens = item.strip().partition(":")
