--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -174,7 +174,7 @@
         "TWICE",
         "a kept connection that said something is not used",
         "ingress/upstream_connection.py",
-        "if not connection.expired and not stale and connection.is_silent():",
+        "if not connection.expired and not stale and connection.is_quiet():",
         "if not connection.expired and not stale:",
     ),
     _guard(
@@ -230,14 +230,14 @@
         "ORDER",
         "part of an event is no end",
         "ingress/attempt.py",
-        "if self._relay.cutter.has_rest:",
+        "if self._caller_response.splitter.has_partial_event:",
         "if False:",
     ),
     _guard(
         "ORDER",
         "a new run forgets part of an event",
         "ingress/attempt.py",
-        "        cutter.restart()\n",
+        "        splitter.discard_partial_event()\n",
         "",
     ),
     _guard(
@@ -258,7 +258,7 @@
         "ROUTE",
         "the instance is named",
         "ingress/attempt.py",
-        "fields.append((names.expect_instance, self._placed.upstream.name))",
+        "fields.append((names.expect_instance, self._assignment.upstream.name))",
         "pass",
     ),
     _guard(
@@ -293,14 +293,14 @@
         "BUDGET",
         "a request that crashed upstreams is not tried on",
         "ingress/exchange.py",
-        "if self._parts.crashes.refuses(accepted.fingerprint):",
+        "if self._parts.crashes.is_quarantined(accepted.fingerprint):",
         "if False:",
     ),
     _guard(
         "BUDGET",
         "upstreams get the time that is left",
         "ingress/attempt.py",
-        "str(max(1, int(left * 1000)))",
+        "str(max(1, int(seconds_left * 1000)))",
         "str(60_000)",
     ),
     _guard(
--- a/src/ragwortkeel/ingress/attempt.py
+++ b/src/ragwortkeel/ingress/attempt.py
@@ -1,9 +1,10 @@
-"""One run of a request at one upstream, relayed to the caller.
+"""One run of a request at one upstream, with its response forwarded to the caller.
 
-Failures it guards against: half an answer, another request's answer, an answer
-without its signature, or bytes that are no answer must never look like a good
-one.  A plain answer is read whole before any of it goes to the caller; a stream
-passes whole events only, and its end only where the upstream marked it.
+Failures it guards against: an incomplete response, the response to another request, a
+response without its signature, or bytes that are no response must never look like a
+valid response.  A plain response is received in full before any of it goes to the
+caller.  A stream is forwarded in complete events, and its end only if the upstream
+marked it.
 """
 
 from collections.abc import Callable
@@ -15,51 +16,61 @@
 from ragwortkeel.exceptions import CallerLeft, ConnectFailed, ExchangeBroken
 from ragwortkeel.http_responder import Responder
 from ragwortkeel.ingress.configuration import Route
-from ragwortkeel.ingress.events import EventCutter
+from ragwortkeel.ingress.events import EventSplitter
 from ragwortkeel.ingress.names import HOP_BY_HOP, HeaderNames
 from ragwortkeel.ingress.outcomes import (
-    Answered,
     Broken,
     BrokenReason,
+    FullResponse,
     NotRun,
     NotRunReason,
     Outcome,
-    Streamed,
+    StreamCompleted,
 )
-from ragwortkeel.ingress.placement import Placed
+from ragwortkeel.ingress.placement import Assignment
 from ragwortkeel.ingress.upstream_connection import (
-    Head,
-    Outgoing,
+    ConnectionPool,
+    ResponseHead,
     UpstreamConnection,
-    UpstreamConnections,
+    UpstreamRequest,
 )
 
 EVENT_STREAM = "text/event-stream"
 
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
-"""A plain answer is held whole; a larger one counts as broken."""
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
+"""Largest plain response, as it is held in memory; a larger one counts as broken."""
 
-SILENCE_SECONDS = 1.5
-"""A pause in a resumable stream after which it goes on elsewhere: over twice the
-longest pause that callers take as on time, under the two seconds after which
-they leave."""
+MAX_SILENCE_SECONDS = 1.5
+"""Pause in a resumable stream after which it is resumed at another upstream.
 
-FIRST_SILENCE_SECONDS = 3.0
-"""The same before the first event: an engine may be reading long prompts."""
+Over twice the longest pause that callers count as on time, and less than the 2 s after
+which they leave.
+"""
+
+MAX_FIRST_SILENCE_SECONDS = 3.0
+"""Pause before the first event of a resumable stream after which it runs elsewhere.
+
+Longer than between events, because the engine may be reading long prompts.
+"""
 
 MISDIRECTED = 421
 
 
 @dataclass(frozen=True, kw_only=True)
-class Call:
-    """A caller's request as it is sent on.
+class CallerRequest:
+    """A caller's request, to be sent to upstreams.
 
     Attributes
     ----------
+    fields : tuple of pairs of str
+        Headers as the caller sent them.
     deadline : float
-        Monotonic second by which the answer has to be there.
+        Monotonic second by which the response has to be complete.
     urgency : int or None
-        For engines; None leaves the header out.
+        Rank among the requests of an engine, 0 first; None omits the header.
+    last_event : str
+        Id of the last event that the caller received in an earlier request; may be
+        empty.
     """
 
     request_id: str
@@ -74,46 +85,52 @@
     last_event: str = ""
 
 
-class Relay:
-    """What of a stream has gone to the caller, over all runs of the request."""
+class CallerResponse:
+    """The response that the caller receives, over all runs of its request."""
 
     def __init__(self, *, responder: Responder, last_event: str) -> None:
         self.responder = responder
         last_id = int(last_event) if last_event.isdecimal() else None
-        self.cutter = EventCutter(last_id=last_id)
+        self.splitter = EventSplitter(last_id=last_id)
 
     @property
     def started(self) -> bool:
-        """Whether the caller has the head of its answer."""
+        """Whether the head of the response was sent to the caller."""
         return self.responder.started
 
 
 class Attempt:
-    """Runs one call at one upstream.
+    """Runs one request at one upstream.
 
     Parameters
     ----------
-    on_head
-        Called with the head of each answer that is the upstream's own, and the
-        monotonic second at which its request was sent.
-    on_first_event
-        Called once the prompt has been read.
+    on_head : callable
+        Called with the head of a response unless another instance sent it, and the
+        monotonic second at which the request was sent.
+    on_first_event : callable
+        Called when the response shows that the prompt has been read, and again for
+        each later chunk of a stream.
+
+    Attributes
+    ----------
+    sent : bool
+        Whether sending the request has begun, so that the upstream may run it.
     """
 
     def __init__(
         self,
         *,
-        call: Call,
-        placed: Placed,
-        relay: Relay,
+        call: CallerRequest,
+        assignment: Assignment,
+        caller_response: CallerResponse,
         names: HeaderNames,
-        connections: UpstreamConnections,
-        on_head: Callable[[Head, float], None],
+        connections: ConnectionPool,
+        on_head: Callable[[ResponseHead, float], None],
         on_first_event: Callable[[], None],
     ) -> None:
         self._call = call
-        self._placed = placed
-        self._relay = relay
+        self._assignment = assignment
+        self._caller_response = caller_response
         self._names = names
         self._connections = connections
         self._on_head = on_head
@@ -122,133 +139,143 @@
         self.sent = False
 
     async def run(self) -> Outcome:
-        """Run the call; whatever happens, the connection is closed or kept.
+        """Run the request, then close the connection or return it to the pool.
 
         Raises
         ------
         CallerLeft
-            The caller has gone and the call was not sent.
+            The caller closed its connection; the request was not sent.
         """
-        upstream = self._placed.upstream
+        upstream = self._assignment.upstream
         fresh = not self._call.route.repeatable
         try:
-            connection = await self._connections.take(upstream, fresh=fresh)
+            connection = await self._connections.acquire(upstream, fresh=fresh)
         except ConnectFailed as exc:
             return NotRun(reason=NotRunReason.UNREACHABLE, detail=str(exc))
-        kept = False
+        reusable = False
         try:
-            if self._relay.responder.peer_left():
-                kept = True
+            if self._caller_response.responder.peer_left():
+                reusable = True
                 raise CallerLeft(self._call.request_id)
             outcome = await self._exchange(connection)
-            kept = not isinstance(outcome, Broken)
+            reusable = not isinstance(outcome, Broken)
             return outcome
         finally:
-            if kept:
-                await self._connections.give_back(upstream, connection)
+            if reusable:
+                await self._connections.release(upstream, connection)
             else:
                 await connection.close()
 
     async def _exchange(self, connection: UpstreamConnection) -> Outcome:
-        left = self._call.deadline - monotonic()
+        seconds_left = self._call.deadline - monotonic()
         try:
-            async with curio.timeout_after(max(0.001, left)):
+            async with curio.timeout_after(max(0.001, seconds_left)):
                 self.sent = True
                 self._sent_at = monotonic()
-                await connection.send(self._outgoing(left))
-                return await self._answer(connection)
+                await connection.send(self._upstream_request(seconds_left))
+                return await self._receive_response(connection)
         except curio.TaskTimeout:
             return Broken(reason=BrokenReason.DEADLINE)
         except ExchangeBroken as exc:
             return Broken(reason=BrokenReason.CLOSED, detail=str(exc))
 
-    async def _answer(self, connection: UpstreamConnection) -> Outcome:
-        head = await self._head(connection)
+    async def _receive_response(self, connection: UpstreamConnection) -> Outcome:
+        head = await self._receive_head(connection)
         if isinstance(head, Broken):
             return head
         if head.status != MISDIRECTED:
             self._on_head(head, self._sent_at)
         if head.status == MISDIRECTED or head.get(self._names.not_run):
-            await _read_all(connection)
+            await _receive_body(connection)
             return _not_run(head)
         if head.get("content-encoding"):
-            return Broken(reason=BrokenReason.SPOILED, detail="an encoded body")
+            return Broken(
+                reason=BrokenReason.SPOILED, detail="response has a content-encoding"
+            )
         if head.status < 300 and not head.get(self._names.proof):
-            return Broken(reason=BrokenReason.SPOILED, detail="no signature")
+            return Broken(
+                reason=BrokenReason.SPOILED, detail="response has no signature"
+            )
         streams = head.get("content-type").startswith(EVENT_STREAM)
         if streams and head.status < 300:
             return await self._stream(connection, head)
-        body = await _read_all(connection)
+        body = await _receive_body(connection)
         self._on_first_event()
-        return Answered(head=head, body=body)
+        return FullResponse(head=head, body=body)
 
-    async def _head(self, connection: UpstreamConnection) -> Head | Broken:
+    async def _receive_head(
+        self, connection: UpstreamConnection
+    ) -> ResponseHead | Broken:
         request_id = self._call.request_id
         if not self._call.route.resumable:
-            return await connection.head(request_id)
+            return await connection.receive_head(request_id)
         try:
-            async with curio.timeout_after(FIRST_SILENCE_SECONDS):
-                return await connection.head(request_id)
+            async with curio.timeout_after(MAX_FIRST_SILENCE_SECONDS):
+                return await connection.receive_head(request_id)
         except curio.TaskTimeout:
             return Broken(reason=BrokenReason.SILENT)
 
-    async def _stream(self, connection: UpstreamConnection, head: Head) -> Outcome:
-        cutter = self._relay.cutter
-        cutter.restart()
-        silence = FIRST_SILENCE_SECONDS
+    async def _stream(
+        self, connection: UpstreamConnection, head: ResponseHead
+    ) -> Outcome:
+        splitter = self._caller_response.splitter
+        splitter.discard_partial_event()
+        max_silence_seconds = MAX_FIRST_SILENCE_SECONDS
         while True:
-            piece = await self._piece(connection, silence)
-            if isinstance(piece, Broken):
-                return piece
-            if piece is None:
-                return await self._end(head)
-            whole = cutter.cut(piece)
-            if whole:
+            chunk = await self._receive_chunk(connection, max_silence_seconds)
+            if isinstance(chunk, Broken):
+                return chunk
+            if chunk is None:
+                return await self._finish(head)
+            events = splitter.feed(chunk)
+            if events:
                 self._on_first_event()
-                silence = SILENCE_SECONDS
-                await self._pass_on(head, whole)
+                max_silence_seconds = MAX_SILENCE_SECONDS
+                await self._forward(head, events)
 
-    async def _piece(
-        self, connection: UpstreamConnection, silence: float
+    async def _receive_chunk(
+        self, connection: UpstreamConnection, max_silence_seconds: float
     ) -> bytes | Broken | None:
         if not self._call.route.resumable:
-            return await connection.piece()
+            return await connection.receive_chunk()
         try:
-            async with curio.timeout_after(silence):
-                return await connection.piece()
+            async with curio.timeout_after(max_silence_seconds):
+                return await connection.receive_chunk()
         except curio.TaskTimeout:
             return Broken(reason=BrokenReason.SILENT)
 
-    async def _pass_on(self, head: Head, whole: bytes) -> None:
-        responder = self._relay.responder
-        if not self._relay.started:
-            await responder.start_with(head.status, passed_fields(head), whole)
+    async def _forward(self, head: ResponseHead, events: bytes) -> None:
+        responder = self._caller_response.responder
+        if not self._caller_response.started:
+            await responder.start_with(head.status, forwarded_fields(head), events)
             return
-        await responder.send(whole)
+        await responder.send(events)
 
-    async def _end(self, head: Head) -> Outcome:
-        if self._relay.cutter.has_rest:
-            detail = "ended within an event"
+    async def _finish(self, head: ResponseHead) -> Outcome:
+        if self._caller_response.splitter.has_partial_event:
+            detail = "stream ended within an event"
             return Broken(reason=BrokenReason.CLOSED, detail=detail)
-        responder = self._relay.responder
-        if not self._relay.started:
-            await responder.start(head.status, dict(passed_fields(head)))
+        responder = self._caller_response.responder
+        if not self._caller_response.started:
+            await responder.start(head.status, dict(forwarded_fields(head)))
         await responder.finish()
-        return Streamed(events=self._relay.cutter.events)
+        return StreamCompleted(events=self._caller_response.splitter.events)
 
-    def _outgoing(self, left: float) -> Outgoing:
+    def _upstream_request(self, seconds_left: float) -> UpstreamRequest:
         call, names = self._call, self._names
         fields = [(k, v) for k, v in call.fields if k not in names.dropped]
-        fields.append((names.deadline, str(max(1, int(left * 1000)))))
-        fields.append((names.expect_instance, self._placed.upstream.name))
+        fields.append((names.deadline, str(max(1, int(seconds_left * 1000)))))
+        fields.append((names.expect_instance, self._assignment.upstream.name))
         if call.customer:
             fields.append((names.customer, call.customer))
         if call.urgency is not None:
             fields.append((names.urgency, str(call.urgency)))
-        if self._relay.cutter.events:
+        if self._caller_response.splitter.events:
             fields = [(k, v) for k, v in fields if k != names.last_event]
-            fields.append((names.last_event, str(self._relay.cutter.last_id)))
-        return Outgoing(
+            fields.append(
+                (names.last_event, str(self._caller_response.splitter.last_id))
+            )
+        return UpstreamRequest(
             method=call.method,
             target=call.target,
             fields=tuple(fields),
@@ -256,23 +283,23 @@
         )
 
 
-def passed_fields(head: Head) -> list[tuple[str, str]]:
-    """Return the headers of an upstream's answer that its caller gets."""
+def forwarded_fields(head: ResponseHead) -> list[tuple[str, str]]:
+    """Return the headers of a response that are forwarded to the caller."""
     return [(k, v) for k, v in head.fields if k not in HOP_BY_HOP]
 
 
-def _not_run(head: Head) -> NotRun:
+def _not_run(head: ResponseHead) -> NotRun:
     if head.status == MISDIRECTED:
         return NotRun(reason=NotRunReason.OTHER_INSTANCE)
     return NotRun(reason=NotRunReason.FULL, detail=str(head.status))
 
 
-async def _read_all(connection: UpstreamConnection) -> bytes:
-    pieces = []
+async def _receive_body(connection: UpstreamConnection) -> bytes:
+    chunks = []
     size = 0
-    while (piece := await connection.piece()) is not None:
-        size += len(piece)
-        if size > MAX_ANSWER_BYTES:
-            raise ExchangeBroken("an answer without an end")
-        pieces.append(piece)
-    return b"".join(pieces)
+    while (chunk := await connection.receive_chunk()) is not None:
+        size += len(chunk)
+        if size > MAX_RESPONSE_BYTES:
+            raise ExchangeBroken("response is too large")
+        chunks.append(chunk)
+    return b"".join(chunks)
--- a/src/ragwortkeel/ingress/crashes.py
+++ b/src/ragwortkeel/ingress/crashes.py
@@ -1,8 +1,8 @@
-"""Requests that crash each upstream that runs them, found without a witness.
+"""Detection of requests that crash each upstream that runs them.
 
-A broken run alone is no crash: an upstream may lose one answer.  An upstream that
-refuses connections right after runs broke there has crashed, and what ran there
-is under suspicion (see `policy.quarantine`).
+A broken run alone is no crash, as an upstream may lose one response.  An upstream that
+refuses connections right after runs broke there has crashed, and the requests of those
+runs become suspects (see `policy.quarantine`).
 """
 
 from collections import deque
@@ -11,61 +11,70 @@
 from ragwortkeel.ingress.configuration import Upstream
 from ragwortkeel.policy.quarantine import Crash, Quarantine, Verdict
 
-SUSPECT_SECONDS = 3.0
-"""Between a broken run and the sign that the upstream had crashed: its restart
-takes some seconds, a refused connection shows at once."""
+SUSPICION_SECONDS = 3.0
+"""Longest time from a broken run to a refused connection that counts as a crash.
+
+An upstream refuses connections at once after a crash, and its restart takes some
+seconds.
+"""
+
+MAX_UNREPORTED_CRASHES = 100
+"""Crashes kept until they are reported to peers, which is several times a second."""
 
-KEPT_CRASHES = 100
-"""Untold crashes; they are told several times a second."""
 
+class CrashDetector:
+    """Detects crashes of upstreams and quarantines the requests that cause them.
 
-class CrashWatch:
-    """What ran where, which runs broke, and what that says of bodies.
+    A request is identified by its fingerprint.
 
     Parameters
     ----------
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
 
     Attributes
     ----------
-    found : deque of Crash
-        Crashes found here that the peers have yet to be told.
+    unreported : deque of Crash
+        Crashes detected here that have yet to be reported to peers.
     """
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
-        self.found: deque[Crash] = deque(maxlen=KEPT_CRASHES)
+        self.unreported: deque[Crash] = deque(maxlen=MAX_UNREPORTED_CRASHES)
         self._clock = clock
         self._quarantine = Quarantine()
-        self._broken_by_upstream: dict[str, dict[str, float]] = {}
+        self._broken_at_by_upstream: dict[str, dict[str, float]] = {}
 
-    def refuses(self, fingerprint: str) -> bool:
-        """Whether a body has crashed so many upstreams that none may run it."""
+    def is_quarantined(self, fingerprint: str) -> bool:
+        """Return whether the request crashed too many upstreams to run again."""
         return self._quarantine.verdict(fingerprint) is Verdict.REFUSE
 
-    def finished(self, fingerprint: str) -> None:
-        """Note a whole answer, which clears a body."""
+    def record_finished(self, fingerprint: str) -> None:
+        """Record a complete response, which clears the request of suspicion."""
         self._quarantine.record_finish(fingerprint)
 
-    def broken(self, upstream: Upstream, fingerprint: str) -> None:
-        """Note a run that broke off."""
-        broken = self._broken_by_upstream.setdefault(upstream.name, {})
-        broken[fingerprint] = self._clock()
+    def record_broken_run(self, upstream: Upstream, fingerprint: str) -> None:
+        """Record that a run of the request broke off."""
+        broken_at = self._broken_at_by_upstream.setdefault(upstream.name, {})
+        broken_at[fingerprint] = self._clock()
 
-    def down(self, upstream: Upstream) -> None:
-        """Note that an upstream refuses connections."""
+    def record_refused_connection(self, upstream: Upstream) -> None:
+        """Record that the upstream refuses connections, and detect a crash."""
         now = self._clock()
-        broken = self._broken_by_upstream.pop(upstream.name, {})
-        names = {name for name, at in broken.items() if now - at < SUSPECT_SECONDS}
-        if not names:
+        broken_at = self._broken_at_by_upstream.pop(upstream.name, {})
+        suspects = {
+            fingerprint
+            for fingerprint, at in broken_at.items()
+            if now - at < SUSPICION_SECONDS
+        }
+        if not suspects:
             return
-        # Several processes may find the same crash: within the time in which one
-        # upstream can't crash twice it has one id.
-        crash_id = f"{upstream.name}/{upstream.born}/{int(now / SUSPECT_SECONDS)}"
-        crash = Crash(crash_id=crash_id, fingerprints=frozenset(names))
+        # Processes that detect the same crash have to derive the same id.  An upstream
+        # can't crash twice within `SUSPICION_SECONDS`.
+        crash_id = f"{upstream.name}/{upstream.born}/{int(now / SUSPICION_SECONDS)}"
+        crash = Crash(crash_id=crash_id, fingerprints=frozenset(suspects))
         if self._quarantine.record_crash(crash, now):
-            self.found.append(crash)
+            self.unreported.append(crash)
 
-    def heard(self, crash: Crash) -> None:
-        """Take in a crash that a peer found."""
+    def receive_crash(self, crash: Crash) -> None:
+        """Record a crash that a peer detected."""
         self._quarantine.record_crash(crash, self._clock())
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -1,4 +1,4 @@
-"""One request that belongs to a route, from its reservation to its final answer."""
+"""One request that matched a route, from its reservation to its final response."""
 
 from dataclasses import dataclass
 from time import monotonic
@@ -6,7 +6,15 @@
 from ragwortkeel.budget.account import AccountReservation
 from ragwortkeel.exceptions import CallerLeft
 from ragwortkeel.http_responder import Responder
-from ragwortkeel.ingress.answers import (
+from ragwortkeel.ingress.attempt import (
+    Attempt,
+    CallerRequest,
+    CallerResponse,
+    forwarded_fields,
+)
+from ragwortkeel.ingress.configuration import Customer, Route, Service
+from ragwortkeel.ingress.dispatch import NotAssigned
+from ragwortkeel.ingress.error_responses import (
     BROKEN,
     BUDGET_EXHAUSTED,
     BUDGET_UNREACHABLE,
@@ -15,49 +23,60 @@
     QUARANTINED,
     TIMED_OUT,
     UPSTREAMS_WITHHELD,
-    Answer,
-    returning,
-    send_answer,
+    ErrorResponse,
+    send_error,
+    with_retry_after,
 )
-from ragwortkeel.ingress.attempt import Attempt, Call, Relay, passed_fields
-from ragwortkeel.ingress.configuration import Customer, Route, Service
-from ragwortkeel.ingress.dispatch import NoRoom
 from ragwortkeel.ingress.front_parts import FrontParts
 from ragwortkeel.ingress.outcomes import (
-    Answered,
     Broken,
     BrokenReason,
+    FullResponse,
     NotRun,
     NotRunReason,
     Outcome,
-    Streamed,
+    StreamCompleted,
 )
-from ragwortkeel.ingress.placement import Job, Placed
+from ragwortkeel.ingress.placement import Assignment, Job
 from ragwortkeel.ingress.usage import Usage
 from ragwortkeel.logs import log_info
 from ragwortkeel.policy.facts import Failure
 
-MAX_TURNED_AWAY = 2
-"""Sends that were turned away before a request is refused: each one is an arrival
-at a busy service, and the third finds no more than the second."""
+MAX_REJECTED_SENDS = 2
+"""Rejected sends of a request after which it is sent once more, at the most.
+
+Each send adds load to a busy service, and a later one finds no more headroom than the
+ones before.
+"""
 
-WAIT_SHARE = 0.5
-"""Of the time left, spent waiting for a place at the most: the rest has to be
-enough for the run."""
+MAX_QUEUE_TIME_FRACTION = 0.5
+"""Fraction of the time left that a request may be queued for.
 
-SERVER_ERROR = 500
-"""An upstream's failures from here on may be gone at another one; what it says of
-the request itself (4xx) is not."""
+The rest has to be enough for its run.
+"""
+
+SERVER_ERROR_STATUS = 500
+"""Lowest status of a failure that another upstream may not have.
+
+A 4xx status is about the request itself and would be the same at each upstream.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Accepted:
-    """A request that belongs to a route and may be tried.
+class AcceptedRequest:
+    """A request that matched a route and may run.
 
-    `revision` is that of the configuration that decided so.
+    Attributes
+    ----------
+    fingerprint : str
+        Hash of target, customer and body, by which the quarantine knows the request.
+    arrived_at : float
+        Monotonic second at which the request arrived.
+    revision : int
+        Revision of the configuration that accepted the request.
     """
 
-    call: Call
+    call: CallerRequest
     job: Job
     service: Service
     route: Route
@@ -70,62 +89,66 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _TryAgain:
-    """Another upstream may still serve the request."""
+    """The request may run at another upstream."""
 
 
 _AGAIN = _TryAgain()
 
 
 class Exchange:
-    """One accepted request on its way through budget, places and runs.
+    """Reserves tokens for one accepted request, runs it and sends the response.
 
     Parameters
     ----------
     parts : FrontParts
-        What requests share.
+        Objects that all requests share.
     to : Responder
-        Where the answer goes.
+        Sends the response to the caller.
     """
 
-    def __init__(self, *, parts: FrontParts, accepted: Accepted, to: Responder) -> None:
+    def __init__(
+        self, *, parts: FrontParts, accepted: AcceptedRequest, to: Responder
+    ) -> None:
         self._parts = parts
         self._accepted = accepted
         self._responder = to
         self._retries = parts.retries.get(accepted.service.name)
-        self._relay = Relay(responder=to, last_event=accepted.call.last_event)
+        self._caller_response = CallerResponse(
+            responder=to, last_event=accepted.call.last_event
+        )
         self._runs = 0
-        self._turned_away = 0
-        self._first_after: float | None = None
-        self._ran = False
-        self._whole = False
-        self._tried: frozenset[str] = frozenset()
-        self._failure: tuple[Placed, Answered] | None = None
+        self._rejected_sends = 0
+        self._first_token_seconds: float | None = None
+        self._may_have_run = False
+        self._complete = False
+        self._tried_upstreams: frozenset[str] = frozenset()
+        self._upstream_failure: tuple[Assignment, FullResponse] | None = None
 
     async def run(self) -> None:
-        """Bring the request to its final answer, unless its caller leaves before.
+        """Run the request and send its final response.
 
         Raises
         ------
         CallerLeft
-            There is nobody to answer.
+            The caller closed its connection before the response.
         """
         accepted = self._accepted
-        self._check_caller("arrived")
-        if self._parts.crashes.refuses(accepted.fingerprint):
-            await self._answer(QUARANTINED)
+        self._raise_if_caller_left("arrived")
+        if self._parts.crashes.is_quarantined(accepted.fingerprint):
+            await self._send_error(QUARANTINED)
             return
         hold = await self._reserve()
-        if isinstance(hold, Answer):
-            await self._answer(hold)
+        if isinstance(hold, ErrorResponse):
+            await self._send_error(hold)
             return
         self._retries.record_first_attempt()
         try:
-            answer = await self._tries()
-            if answer is not None:
-                await self._answer(answer)
+            error = await self._run_until_answered()
+            if error is not None:
+                await self._send_error(error)
         finally:
             if hold is not None:
-                spent = self._spent()
+                spent = self._spent_tokens()
                 self._parts.keeper.settle(hold, spent=spent)
                 log_info(
                     "settled",
@@ -135,129 +158,131 @@
                     spent=spent,
                 )
 
-    async def _reserve(self) -> AccountReservation | Answer | None:
+    async def _reserve(self) -> AccountReservation | ErrorResponse | None:
         accepted, keeper = self._accepted, self._parts.keeper
         customer, usage = accepted.customer, accepted.usage
         if customer is None or customer.prepaid is None or usage is None:
             return None
         seconds_left = accepted.call.deadline - monotonic()
-        hold = await keeper.reserve(customer, usage.total, seconds_left=seconds_left)
+        hold = await keeper.reserve(
+            customer, usage.total_tokens, seconds_left=seconds_left
+        )
         if hold is not None:
             return hold
-        keeper.log_shortage(accepted.call.request_id, customer, usage.total)
-        if keeper.is_exhausted(customer, usage.total):
+        keeper.log_shortage(accepted.call.request_id, customer, usage.total_tokens)
+        if keeper.is_exhausted(customer, usage.total_tokens):
             return BUDGET_EXHAUSTED
-        return returning(BUDGET_UNREACHABLE, keeper.seconds_until_tokens())
+        return with_retry_after(BUDGET_UNREACHABLE, keeper.seconds_until_tokens())
 
-    def _spent(self) -> int:
-        if not self._ran:
+    def _spent_tokens(self) -> int:
+        if not self._may_have_run:
             return 0
         engine = self._accepted.service.engine
         return self._accepted.usage.cost(
-            events=self._relay.cutter.events,
+            events=self._caller_response.splitter.events,
             event_tokens=engine.event_tokens if engine else 1,
-            whole=self._whole,
+            complete=self._complete,
         )
 
-    async def _tries(self) -> Answer | None:
-        """Try upstreams until there is a final answer; return an own one."""
+    async def _run_until_answered(self) -> ErrorResponse | None:
+        """Run at upstreams until the response is final; return one left to send."""
         while True:
-            placed = await self._place()
-            if isinstance(placed, Answer):
-                return await self._give_up(placed)
+            assignment = await self._acquire()
+            if isinstance(assignment, ErrorResponse):
+                return await self._give_up(assignment)
             try:
-                outcome = await self._run_at(placed)
+                outcome = await self._run_at(assignment)
             finally:
-                await self._parts.dispatcher.release(placed)
-            done = await self._conclude(placed, outcome)
+                await self._parts.dispatcher.release(assignment)
+            done = await self._handle_outcome(assignment, outcome)
             if not isinstance(done, _TryAgain):
                 return await self._give_up(done) if done else None
 
-    async def _give_up(self, answer: Answer) -> Answer | None:
-        if self._failure is not None:
-            # The upstream's own failure tells the caller more than ours would.
-            await self._pass_on(*self._failure)
+    async def _give_up(self, error: ErrorResponse) -> ErrorResponse | None:
+        if self._upstream_failure is not None:
+            # The upstream's response says more than one of the ingress would.
+            await self._forward(*self._upstream_failure)
             return None
-        return await self._broken_off(answer)
+        return await self._abort_if_started(error)
 
-    async def _pass_on(self, placed: Placed, answered: Answered) -> None:
-        head = answered.head
-        fields = passed_fields(head)
-        await self._responder.respond(head.status, answered.body, fields)
-        self._ended(placed, status=head.status)
+    async def _forward(self, assignment: Assignment, response: FullResponse) -> None:
+        head = response.head
+        fields = forwarded_fields(head)
+        await self._responder.respond(head.status, response.body, fields)
+        self._log_served(assignment, status=head.status)
 
-    async def _place(self) -> Placed | Answer:
+    async def _acquire(self) -> Assignment | ErrorResponse:
         accepted, now = self._accepted, monotonic()
         left = accepted.call.deadline - now
-        placed = await self._parts.dispatcher.acquire(
+        acquired = await self._parts.dispatcher.acquire(
             accepted.job,
             service=accepted.service,
-            latest_start=now + left * WAIT_SHARE,
-            tried=self._tried,
+            latest_start=now + left * MAX_QUEUE_TIME_FRACTION,
+            tried_upstreams=self._tried_upstreams,
         )
-        if not isinstance(placed, NoRoom):
-            return placed
-        if self._ran:
+        if not isinstance(acquired, NotAssigned):
+            return acquired
+        if self._may_have_run:
             return BROKEN
-        if placed.withheld:
+        if acquired.withheld:
             return UPSTREAMS_WITHHELD
-        if not placed.upstreams:
+        if not acquired.upstreams:
             return NO_UPSTREAM
         log_info(
             "no_room",
             request=accepted.call.request_id,
             service=accepted.service.name,
-            waiting=placed.waiting,
-            upstreams=placed.upstreams,
-            seconds=round(placed.seconds, 3),
-            rate=placed.rate,
+            waiting=acquired.queued,
+            upstreams=acquired.upstreams,
+            seconds=round(acquired.wait_seconds, 3),
+            rate=acquired.own_per_second,
         )
-        return returning(OVERLOADED, placed.seconds)
+        return with_retry_after(OVERLOADED, acquired.wait_seconds)
 
-    async def _run_at(self, placed: Placed) -> Outcome:
+    async def _run_at(self, assignment: Assignment) -> Outcome:
         parts, accepted = self._parts, self._accepted
         log_info(
             "dispatched",
             request=accepted.call.request_id,
             route=accepted.route.name,
-            upstream=placed.upstream.name,
+            upstream=assignment.upstream.name,
             run=self._runs + 1,
-            unread=placed.unread_tokens,
-            running=placed.load.running,
-            unread_there=placed.load.unread_tokens,
+            unread=assignment.unread_tokens,
+            running=assignment.load.running,
+            unread_there=assignment.load.unread_tokens,
             waited=round(monotonic() - accepted.arrived_at, 3),
             configuration=accepted.revision,
         )
         attempt = Attempt(
             call=accepted.call,
-            placed=placed,
-            relay=self._relay,
+            assignment=assignment,
+            caller_response=self._caller_response,
             names=parts.names,
             connections=parts.connections,
-            on_head=lambda head, sent_at: parts.stated_limits.note(
-                placed.upstream.name, head, sent_at=sent_at
+            on_head=lambda head, sent_at: parts.limit_reader.receive_head(
+                assignment.upstream.name, head, sent_at=sent_at
             ),
-            on_first_event=lambda: self._begun(placed),
+            on_first_event=lambda: self._record_first_token(assignment),
         )
         outcome: Outcome | None = None
         try:
             outcome = await attempt.run()
             return outcome
         except CallerLeft:
-            self._log_left("placed")
+            self._log_caller_left("placed")
             raise
         finally:
-            # Left by its caller in the middle, it may have run as well.
+            # A request that is cancelled after sending may have run as well.
             if attempt.sent and not isinstance(outcome, NotRun):
-                self._ran = True
+                self._may_have_run = True
                 self._runs += 1
 
-    def _check_caller(self, stage: str) -> None:
+    def _raise_if_caller_left(self, stage: str) -> None:
         if self._responder.peer_left():
-            self._log_left(stage)
+            self._log_caller_left(stage)
             raise CallerLeft(self._accepted.call.request_id)
 
-    def _log_left(self, stage: str) -> None:
+    def _log_caller_left(self, stage: str) -> None:
         log_info(
             "caller_left",
             request=self._accepted.call.request_id,
@@ -265,78 +290,85 @@
             after=round(monotonic() - self._accepted.arrived_at, 3),
         )
 
-    def _begun(self, placed: Placed) -> None:
-        if not placed.begun:
-            self._parts.placement.begun(placed)
+    def _record_first_token(self, assignment: Assignment) -> None:
+        if not assignment.prompt_read:
+            self._parts.placement.record_first_token(assignment)
             waited = monotonic() - self._accepted.arrived_at
-            self._first_after = self._first_after or waited
+            self._first_token_seconds = self._first_token_seconds or waited
             self._parts.metrics.first_token(
                 service=self._accepted.route.repeats, seconds=waited
             )
 
-    async def _conclude(
-        self, placed: Placed, outcome: Outcome
-    ) -> Answer | _TryAgain | None:
-        """Return an own answer, None for one that was sent, or `_AGAIN`."""
-        parts, name = self._parts, placed.upstream.name
+    async def _handle_outcome(
+        self, assignment: Assignment, outcome: Outcome
+    ) -> ErrorResponse | _TryAgain | None:
+        """Return an answer to send, None if one was sent, or `_AGAIN` to retry."""
+        parts, name = self._parts, assignment.upstream.name
         match outcome:
-            case Answered(head=head) as answered:
-                if head.status >= SERVER_ERROR and self._may_run_again("error"):
-                    self._log_failure(placed, "error", str(head.status))
-                    self._failure = placed, answered
-                    self._tried |= {name}
+            case FullResponse(head=head) as response:
+                if head.status >= SERVER_ERROR_STATUS and self._may_run_again("error"):
+                    self._log_failure(assignment, "error", str(head.status))
+                    self._upstream_failure = assignment, response
+                    self._tried_upstreams |= {name}
                     return _AGAIN
-                self._succeeded(placed)
-                await self._pass_on(placed, answered)
+                self._record_success(assignment)
+                await self._forward(assignment, response)
                 return None
-            case Streamed():
-                self._whole = True
-                self._succeeded(placed)
-                self._ended(placed, status=200)
+            case StreamCompleted():
+                self._complete = True
+                self._record_success(assignment)
+                self._log_served(assignment, status=200)
                 return None
             case NotRun(reason=reason, detail=detail):
-                self._log_failure(placed, reason, detail)
+                self._log_failure(assignment, reason, detail)
                 return self._after_not_run(name, reason)
             case Broken(reason=reason, detail=detail):
-                self._log_failure(placed, reason, detail)
+                self._log_failure(assignment, reason, detail)
                 if reason is BrokenReason.CLOSED:
-                    await parts.suspect(placed.upstream, self._accepted.fingerprint)
+                    await parts.suspect(assignment.upstream, self._accepted.fingerprint)
                 return self._after_broken(name, reason)
 
-    def _after_not_run(self, name: str, reason: NotRunReason) -> Answer | _TryAgain:
+    def _after_not_run(
+        self, name: str, reason: NotRunReason
+    ) -> ErrorResponse | _TryAgain:
         parts = self._parts
         if reason is not NotRunReason.FULL:
-            parts.placement.failed(name, Failure.UNREACHABLE, monotonic())
+            parts.placement.record_failure(name, Failure.UNREACHABLE, monotonic())
         if reason is NotRunReason.OTHER_INSTANCE:
-            parts.dispatcher.replaced(name)
+            parts.dispatcher.record_replaced(name)
         if reason is not NotRunReason.UNREACHABLE:
-            self._turned_away += 1
-        self._tried |= {name}
-        if self._turned_away > MAX_TURNED_AWAY or self._time_left() <= 0:
-            return BROKEN if self._ran else OVERLOADED
+            self._rejected_sends += 1
+        self._tried_upstreams |= {name}
+        if self._rejected_sends > MAX_REJECTED_SENDS or self._time_left() <= 0:
+            return BROKEN if self._may_have_run else OVERLOADED
         if reason is NotRunReason.UNREACHABLE:
-            # Nothing arrived there, so what is sent on is no repeat.
+            # Nothing reached the upstream, so sending elsewhere is no repetition.
             self._log_retry(reason, allowed=True, charged=False)
-        elif not self._take_retry(reason):
-            return BROKEN if self._ran else OVERLOADED
+        elif not self._spend_retry(reason):
+            return BROKEN if self._may_have_run else OVERLOADED
         return _AGAIN
 
-    def _after_broken(self, name: str, reason: BrokenReason) -> Answer | _TryAgain:
-        self._tried |= {name}
+    def _after_broken(
+        self, name: str, reason: BrokenReason
+    ) -> ErrorResponse | _TryAgain:
+        self._tried_upstreams |= {name}
         if reason is BrokenReason.DEADLINE:
             return TIMED_OUT
-        self._parts.placement.failed(name, Failure.ERROR, monotonic())
+        self._parts.placement.record_failure(name, Failure.ERROR, monotonic())
         return _AGAIN if self._may_run_again(reason) else BROKEN
 
     def _may_run_again(self, cause: str) -> bool:
-        """Whether another run is allowed, pays, and is in the budget of retries."""
+        """Return whether route, deadline and retry budget allow another run.
+
+        If so, one retry is spent.
+        """
         route = self._accepted.route
         if not route.repeatable or self._runs >= route.max_attempts:
             return False
-        return self._time_left() > 0 and self._take_retry(cause)
+        return self._time_left() > 0 and self._spend_retry(cause)
 
-    def _take_retry(self, cause: str) -> bool:
-        """Spend one retry if there is one."""
+    def _spend_retry(self, cause: str) -> bool:
+        """Spend one retry of the service; return whether there was one."""
         allowed = self._retries.try_spend()
         self._log_retry(cause, allowed=allowed, charged=allowed)
         return allowed
@@ -357,17 +389,20 @@
     def _time_left(self) -> float:
         return self._accepted.call.deadline - monotonic()
 
-    def _succeeded(self, placed: Placed) -> None:
-        self._parts.placement.succeeded(placed.upstream.name, monotonic())
-        self._parts.crashes.finished(self._accepted.fingerprint)
+    def _record_success(self, assignment: Assignment) -> None:
+        self._parts.placement.record_success(assignment.upstream.name, monotonic())
+        self._parts.crashes.record_finished(self._accepted.fingerprint)
+
+    async def _abort_if_started(self, error: ErrorResponse) -> ErrorResponse | None:
+        """Abort a response that has started, so that it does not look complete.
 
-    async def _broken_off(self, answer: Answer) -> Answer | None:
-        """Break off an answer that has begun: it must not look whole."""
-        if not self._relay.started:
-            return answer
+        Return the answer if nothing was sent yet.
+        """
+        if not self._caller_response.started:
+            return error
         self._parts.refused(
             self._accepted.call.request_id,
-            answer,
+            error,
             route=self._accepted.route.name,
             waited=monotonic() - self._accepted.arrived_at,
             revision=self._accepted.revision,
@@ -375,39 +410,39 @@
         await self._responder.abort()
         return None
 
-    async def _answer(self, answer: Answer) -> None:
+    async def _send_error(self, error: ErrorResponse) -> None:
         self._parts.refused(
             self._accepted.call.request_id,
-            answer,
+            error,
             route=self._accepted.route.name,
             waited=monotonic() - self._accepted.arrived_at,
             revision=self._accepted.revision,
         )
-        await send_answer(self._responder, answer)
+        await send_error(self._responder, error)
 
-    def _ended(self, placed: Placed, *, status: int) -> None:
+    def _log_served(self, assignment: Assignment, *, status: int) -> None:
         accepted = self._accepted
         log_info(
             "served",
             request=accepted.call.request_id,
-            upstream=placed.upstream.name,
+            upstream=assignment.upstream.name,
             status=status,
-            events=self._relay.cutter.events,
-            first=round(self._first_after or 0.0, 3),
+            events=self._caller_response.splitter.events,
+            first=round(self._first_token_seconds or 0.0, 3),
             took=round(monotonic() - accepted.arrived_at, 3),
         )
         self._parts.metrics.request_ended(
             service=accepted.route.repeats, outcome="ok", reason=""
         )
 
-    def _log_failure(self, placed: Placed, reason: str, detail: str) -> None:
+    def _log_failure(self, assignment: Assignment, reason: str, detail: str) -> None:
         log_info(
             "run_failed",
             request=self._accepted.call.request_id,
-            upstream=placed.upstream.name,
+            upstream=assignment.upstream.name,
             reason=reason,
             detail=detail,
-            events=self._relay.cutter.events,
+            events=self._caller_response.splitter.events,
             after=round(monotonic() - self._accepted.arrived_at, 3),
         )
         self._parts.metrics.attempt_failed(failure=reason)
--- a/src/ragwortkeel/ingress/peer_handler.py
+++ b/src/ragwortkeel/ingress/peer_handler.py
@@ -44,7 +44,7 @@
         """Return the prompt blocks in the upstreams' prefix caches."""
 
     def merge_prompt_blocks(
-        self, upstream: str, tokens_by_chain: dict[int, int]
+        self, upstream: str, tokens_by_prefix_hash: dict[int, int]
     ) -> None:
         """Merge the prompt blocks that an upstream read for a peer."""
 
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -1,22 +1,24 @@
-"""Where a request goes: room first, then the least time to its first token.
-
-Patterns of load: long prompts beside short ones, prefixes that most prompts
-share, several ingress processes that choose at the same moment, and upstreams
-that fail fast and so look idle.
-
-- An upstream has room while its slots, its memory and its connections hold one
-  more request, counted at its largest, own work and what the other ingress
-  processes told of theirs.  Without the bound on memory engines evict running
-  requests in the middle of their streams.
-- Among those with room the cheapest wins.  For an engine the cost is the tokens
-  it has to read before the first one comes: what it lacks of this prompt, what
-  it still has to read for others, and `RUNNING_COST_TOKENS` for each request
-  that runs.  Without the first term shared parts are read again at each engine;
-  without the others one hot prefix overloads one engine.
-- A prefix nobody has placed yet goes to its first engine in rendezvous order:
-  ingress processes agree on it without a message.  Where load made one choose
-  another engine it tells its peers, or each of them would have the shared parts read
-  once more, and all of them again after each restart.
+"""Assigns requests to upstreams: headroom first, then least time to the first token.
+
+Patterns of load: long prompts beside short ones, prefixes that most prompts share,
+several ingress processes that choose at the same moment, and upstreams that fail fast
+and therefore look idle.
+
+- An upstream has headroom while its slots, memory and connections can hold one more
+  request.  The request counts with its largest answer; the load of the upstream is
+  that of this process plus what other ingress processes last reported.  Without the
+  memory bound, engines evict running requests in the middle of their streams.
+- Among the upstreams with headroom, the cheapest wins.  The cost of an engine is
+  counted in tokens that it has to read before the first token of the answer: those of
+  this prompt that it has not cached, those still to be read for other requests, and
+  `RUNNING_REQUEST_COST_TOKENS` for each running request.  Without the first term, each
+  engine reads the shared prefixes again; without the others, one popular prefix
+  overloads one engine.
+- A prefix that no engine has cached goes to its first engine in rendezvous order, so
+  that ingress processes agree on it without a message.  Load may make a process choose
+  another engine, so processes report to their peers which shared prompt blocks an
+  engine began to read.  Otherwise each peer would have them read once more, and all
+  of them again after each restart.
 """
 
 from collections.abc import Callable, Iterable
@@ -26,70 +28,89 @@
 from random import Random
 
 from ragwortkeel.ingress.configuration import Engine, Service, Upstream
-from ragwortkeel.ingress.prefixes import KEPT_SHARE, Part, PrefixMemory
+from ragwortkeel.ingress.prefixes import PREFIX_CACHE_FRACTION, PrefixCache, PromptBlock
 from ragwortkeel.policy.announced_limits import AnnouncedLimits
 from ragwortkeel.policy.ejection import Ejections
 from ragwortkeel.policy.facts import Failure
 from ragwortkeel.policy.fleet_rates import EqualShare, FleetRate, FleetRates
 
-RUNNING_COST_TOKENS = 250
-"""Each running request slows the others' steps; over an answer of 300 tokens
-that is about the time of reading this many (measured on the engines' sheet:
-0.1 ms a step against 57 tokens read in a millisecond, halved as answers end)."""
+RUNNING_REQUEST_COST_TOKENS = 250
+"""Cost of one running request, in prompt tokens to read.
 
-MEMORY_SHARE = 0.92
-"""Of an engine's memory, filled by running requests at their largest; the rest
-absorbs what other processes have placed since they last told."""
+Each running request slows the decoding steps of the others by 0.1 ms, and an engine
+reads 57 prompt tokens per millisecond.  The value holds for answers of 300 tokens and
+is halved because answers end.
+"""
+
+MAX_MEMORY_FRACTION = 0.92
+"""Fraction of an engine's memory that running requests may fill at their largest size.
+
+The remaining 8% absorbs requests that other processes assigned after their last report.
+"""
+
+OTHER_ZONE_COST_REQUESTS = 0.05
+"""Cost of an upstream in another availability zone, in running requests.
+
+It breaks ties in favour of the own zone, where traffic is not charged.
+"""
 
-OUTSIDE_ZONE_COST = 0.05
-"""Of one request: breaks ties towards the own zone, where no byte is charged."""
+SHARED_TOKEN_COST_FACTOR = 4.0
+"""Cost of reading a token of a shared block, relative to a token of the own block.
 
-SHARED_WEIGHT = 4.0
-"""Cost of reading a shared token that another engine holds, against one that has
-to be read anyway: beside its time it takes the memory of parts in use, and the
-engine's other requests wait for it too."""
+Besides the time to read it, a shared token displaces cached blocks that are in use, and
+the other requests of the engine wait for it too.
+"""
+
+PLAIN_QUEUE_FRACTION = 1.0
+"""Requests that all processes together may assign to a plain upstream beyond its slots.
 
-PLAIN_QUEUE_SHARE = 1.0
-"""Of a plain upstream's slots, placed there beyond them by all processes together
-(one alone never has more there than slots): it queues a few more, and most of what
-counts as running is on its way there or back.  With the slots alone one upstream that
-was busy for 1.2 requests at a time counted as full: slow processes hold a place for
-0.2 s around 22 ms of work, and loads are told up to half a second late."""
+A fraction of its slots; one process alone never assigns more than the slots.  Most
+requests that count as running are on their way to the upstream or back: a slow process
+holds an assignment for 0.2 s around 22 ms of work, and loads are reported up to 0.5 s
+late.  Without the extra requests, an upstream that is working on 1.2 requests at a time
+may count as full.
+"""
 
-CONNECTION_SHARE = 0.8
-"""Of an upstream's connections; the rest is for health checks and late closes."""
+MAX_CONNECTIONS_FRACTION = 0.8
+"""Fraction of an upstream's connections that requests may use.
+
+The rest is for health checks and for connections that close late.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Job:
-    """One request as the placement sees it.
+    """What decides which upstream a request is assigned to.
 
     Attributes
     ----------
     memory_tokens : int
-        Prompt and largest answer.
+        Tokens of the prompt and of the largest answer together.
     regions : frozenset of str or None
-        Where it may run; None for everywhere.
+        Regions in which the request may run; None for all regions.
     """
 
     request_id: str
     service: str
     priority: int
     customer: str
-    parts: tuple[Part, ...] = ()
+    prompt_blocks: tuple[PromptBlock, ...] = ()
     prompt_tokens: int = 0
     memory_tokens: int = 0
     regions: frozenset[str] | None = None
 
     @property
-    def affinity(self) -> str:
-        """The last part that others share: the last one is the request's own."""
-        return self.parts[-2].part_id if len(self.parts) > 1 else ""
+    def affinity_block_id(self) -> str:
+        """Id of the last shared block of the prompt; empty if there is none.
+
+        The last block of a prompt is not shared with other requests.
+        """
+        return self.prompt_blocks[-2].block_id if len(self.prompt_blocks) > 1 else ""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Load:
-    """What one process has at one upstream, in requests and tokens."""
+    """Requests and tokens that one process has assigned to one upstream."""
 
     running: int = 0
     memory_tokens: int = 0
@@ -109,36 +130,42 @@
 
 
 @dataclass(kw_only=True)
-class Placed:
-    """A request's place at an upstream, until `Placement.release`.
+class Assignment:
+    """The assignment of a request to an upstream, until `Placement.release`.
 
-    `load` is what was known to be there when it was chosen.
+    Attributes
+    ----------
+    load : Load
+        Known load of the upstream, of all processes, just before the assignment.
+    prompt_read : bool
+        Whether the first token was received, so that the prompt has been read.
     """
 
     upstream: Upstream
     job: Job
     unread_tokens: int
     load: Load
-    begun: bool = False
+    prompt_read: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
-class OwnRates:
-    """What one process may send to a service whose upstreams all announced a limit.
+class OwnSendRate:
+    """Rate of one process at a service whose upstreams all announced a limit.
 
     Attributes
     ----------
     per_second : float
-        Requests a second, to all of them.
+        Requests a second to all upstreams of the service together.
     seconds_to_next : float
-        When it may send one more; infinite where all is others' to send.
+        Seconds until the process may send one more request; infinite if other
+        processes share all of the limits.
     """
 
     per_second: float
     seconds_to_next: float
 
-    def seconds_to_turn(self, ahead: int) -> float:
-        """Return when a request may be sent that has so many before it."""
+    def seconds_until_send(self, ahead: int) -> float:
+        """Return the seconds until a request may be sent, with `ahead` before it."""
         if not ahead:
             return self.seconds_to_next
         if not self.per_second:
@@ -148,68 +175,81 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Cold:
-    """An upstream that is cold for `seconds` from the monotonic second `at`.
+    """A cold period of an upstream.
 
-    One that was not reached may have restarted since, so it stays cold for as long as
-    its service says after it is reached again.  `told` is whether its entry says so.
+    An unreachable upstream may have restarted, so it is cold until it is reached again
+    and for the `cold_seconds` of its service after that.
+
+    Attributes
+    ----------
+    since_at : float
+        Monotonic second at which the period begins.
+    seconds : float
+        Length of the period; 0 for a warm upstream.
+    known_to_peers : bool
+        Whether the entry of the upstream states the period, so that all processes know
+        of it.
     """
 
-    at: float = 0.0
+    since_at: float = 0.0
     seconds: float = 0.0
-    unreached: bool = False
-    told: bool = True
+    unreachable: bool = False
+    known_to_peers: bool = True
+
+    def is_cold(self, service: Service, now: float) -> bool:
+        """Return whether the upstream is cold now.
 
-    def holds(self, service: Service, now: float) -> bool:
-        """Whether it is cold now; a longer time than the service's is no use."""
-        if self.unreached:
+        The period is at most the `cold_seconds` of the service.
+        """
+        if self.unreachable:
             return True
-        return now < self.at + min(self.seconds, service.cold_seconds)
+        return now < self.since_at + min(self.seconds, service.cold_seconds)
 
 
-WARM = _Cold()
+_WARM = _Cold()
 
 
 @dataclass(kw_only=True)
-class _State:
-    """What is known of one upstream."""
+class _UpstreamRecord:
+    """What this process knows about one upstream."""
 
     running: int = 0
     memory_tokens: int = 0
     unread_tokens: int = 0
-    born: int | None = None
-    memory: PrefixMemory | None = None
-    others_by_node: dict[str, tuple[float, Load]] = field(default_factory=dict)
-    cold: _Cold = WARM
+    started_ms: int | None = None
+    prefix_cache: PrefixCache | None = None
+    peer_load_by_process: dict[str, tuple[float, Load]] = field(default_factory=dict)
+    cold: _Cold = _WARM
 
     @property
-    def own(self) -> Load:
+    def own_load(self) -> Load:
         return Load(
             running=self.running,
             memory_tokens=self.memory_tokens,
             unread_tokens=self.unread_tokens,
         )
 
-    def total(self, now: float) -> Load:
-        rv = self.own
-        for holds_until, load in self.others_by_node.values():
-            if now < holds_until:
+    def total_load(self, now: float) -> Load:
+        rv = self.own_load
+        for valid_until, load in self.peer_load_by_process.values():
+            if now < valid_until:
                 rv = rv + load
         return rv
 
 
 class Placement:
-    """Chooses upstreams and counts what is placed at each.
+    """Assigns requests to upstreams and counts the load of each upstream.
 
     Parameters
     ----------
     zone : str
         Availability zone of this process.
     ejections : Ejections
-        Which upstreams fail.
+        Health of each upstream.
     rates : FleetRates
-        How often upstreams with a bound on the fleet may be sent a request.
+        Requests that this process may send to upstreams with a fleet-wide rate limit.
     limits : AnnouncedLimits
-        The bounds that upstreams themselves have named.
+        Rate limits that upstreams announced.
     """
 
     def __init__(
@@ -222,202 +262,219 @@
     ) -> None:
         self._zone = zone
         self.ejections = ejections or Ejections()
-        self._rates = rates or _sole_sender()
+        self._rates = rates or _sole_sender_rates()
         self._limits = limits or AnnouncedLimits()
-        self._state_by_name: dict[str, _State] = {}
-        self._news_by_name: dict[str, dict[int, int]] = {}
+        self._record_by_upstream: dict[str, _UpstreamRecord] = {}
+        self._new_blocks_by_upstream: dict[str, dict[int, int]] = {}
 
-    def choose(
+    def assign(
         self,
         job: Job,
         *,
         service: Service,
         upstream_by_name: dict[str, Upstream],
-        tried: frozenset[str] = frozenset(),
+        tried_upstreams: frozenset[str] = frozenset(),
         now: float,
-    ) -> Placed | None:
-        """Place the request, or return None where no upstream has room.
+    ) -> Assignment | None:
+        """Assign the request to an upstream; return None if none has headroom.
 
         Parameters
         ----------
         upstream_by_name : dict
-            The service's upstreams that may get new work.
-        tried : frozenset of str
-            Upstreams to leave out, as the request was there already.
+            Upstreams of the service that accept new requests.
+        tried_upstreams : frozenset of str
+            Upstreams to exclude because the request was sent to them before.
         now : float
             Monotonic seconds.
         """
-        names = [name for name in upstream_by_name if name not in tried]
+        names = [name for name in upstream_by_name if name not in tried_upstreams]
         usable = self.ejections.usable(names, now)
         cost: Callable[[Upstream], float]
         if service.engine is None:
             cost = self._plain_cost(job, now)
         else:
             cost = self._engine_cost(job, names, now)
-        with_room = [
+        with_headroom = [
             upstream_by_name[name]
             for name in usable
-            if self._has_room(upstream_by_name[name], service, job, now)
-            and self._bears_one_more(upstream_by_name[name], service, now)
+            if self._has_headroom(upstream_by_name[name], service, job, now)
+            and self._may_send_one_more(upstream_by_name[name], service, now)
         ]
-        if not with_room:
+        if not with_headroom:
             return None
-        return self._place(min(with_room, key=cost), service, job, now)
+        return self._assign(min(with_headroom, key=cost), service, job, now)
 
-    def own_rates(
+    def own_send_rate(
         self, *, service: Service, upstreams: Iterable[Upstream], now: float
-    ) -> OwnRates | None:
-        """Return what this process may send where all upstreams announced a limit.
+    ) -> OwnSendRate | None:
+        """Return the rate of this process; None unless all upstreams have a limit.
 
-        None where one has not, or is only cold: that passes within seconds.
+        Only announced limits count, as cold periods end within seconds.
         """
         upstreams = list(upstreams)
-        if not upstreams or any(
-            self._limits.limit_of(u.name) is None for u in upstreams
-        ):
+        if not upstreams or any(self._limits.limit_of(u.name) is None for u in upstreams):
             return None
-        pairs = [(u, self._rate(u, service, now)) for u in upstreams]
-        return OwnRates(
+        pairs = [(u, self._rate_limit(u, service, now)) for u in upstreams]
+        return OwnSendRate(
             per_second=sum(self._rates.own_rate(u.name, rate) for u, rate in pairs),
             seconds_to_next=min(
                 self._rates.seconds_to_next(u.name, rate, now=now) for u, rate in pairs
             ),
         )
 
-    def begun(self, placed: Placed) -> None:
-        """Note the first token: the prompt has been read."""
-        if not placed.begun:
-            placed.begun = True
-            self._state(placed.upstream).unread_tokens -= placed.unread_tokens
-
-    def release(self, placed: Placed) -> None:
-        """Take the request's place back, however it ended."""
-        self.begun(placed)
-        state = self._state(placed.upstream)
-        state.running -= 1
-        state.memory_tokens -= placed.job.memory_tokens
-
-    def failed(self, upstream: str, failure: Failure, now: float) -> bool:
-        """Note a failure; return whether the upstream is left alone now."""
-        if failure in _MAY_HAVE_RESTARTED and upstream in self._state_by_name:
-            self._state_by_name[upstream].cold = _Cold(unreached=True, told=False)
+    def record_first_token(self, assignment: Assignment) -> None:
+        """Record the first token, which shows that the prompt has been read."""
+        if not assignment.prompt_read:
+            assignment.prompt_read = True
+            self._record(assignment.upstream).unread_tokens -= assignment.unread_tokens
+
+    def release(self, assignment: Assignment) -> None:
+        """Remove the request from the load of its upstream, however it ended."""
+        self.record_first_token(assignment)
+        record = self._record(assignment.upstream)
+        record.running -= 1
+        record.memory_tokens -= assignment.job.memory_tokens
+
+    def record_failure(self, upstream: str, failure: Failure, now: float) -> bool:
+        """Record a failure; return whether it ejected the upstream."""
+        if failure in _MAY_HAVE_RESTARTED and upstream in self._record_by_upstream:
+            self._record_by_upstream[upstream].cold = _Cold(
+                unreachable=True, known_to_peers=False
+            )
         return self.ejections.record_failure(upstream, failure, now)
 
-    def succeeded(self, upstream: str, now: float) -> None:
-        """Note an answer of the upstream's own."""
-        state = self._state_by_name.get(upstream)
-        if state is not None and state.cold.unreached:
-            state.cold = _Cold(at=now, seconds=float("inf"), told=False)
+    def record_success(self, upstream: str, now: float) -> None:
+        """Record a response that the upstream itself sent."""
+        record = self._record_by_upstream.get(upstream)
+        if record is not None and record.cold.unreachable:
+            record.cold = _Cold(
+                since_at=now, seconds=float("inf"), known_to_peers=False
+            )
         self.ejections.record_success(upstream)
 
-    def note_cold(self, upstream: str, seconds: float, now: float) -> None:
-        """Take an upstream for cold for so long from now; 0 for warm."""
-        state = self._state_by_name.setdefault(upstream, _State())
-        state.cold = _Cold(at=now, seconds=seconds)
+    def set_cold(self, upstream: str, seconds: float, now: float) -> None:
+        """Mark an upstream as cold for `seconds` from now; 0 marks it as warm."""
+        record = self._record_by_upstream.setdefault(upstream, _UpstreamRecord())
+        record.cold = _Cold(since_at=now, seconds=seconds)
         if not seconds and self._limits.limit_of(upstream) is None:
             self._rates.remove(upstream)
 
-    def forget(self, upstream: str) -> None:
-        """Drop what a restarted or gone upstream no longer holds."""
-        state = self._state_by_name.get(upstream)
-        if state is not None:
-            state.memory = None
+    def discard_prefix_cache(self, upstream: str) -> None:
+        """Drop the modelled prefix cache of a restarted or removed upstream."""
+        record = self._record_by_upstream.get(upstream)
+        if record is not None:
+            record.prefix_cache = None
 
     def own_loads(self) -> dict[str, Load]:
-        """Return what this process has at each upstream, for its peers."""
+        """Return the load of this process at each upstream, for its peers."""
         return {
-            name: state.own
-            for name, state in self._state_by_name.items()
-            if state.running
+            name: record.own_load
+            for name, record in self._record_by_upstream.items()
+            if record.running
         }
 
-    def news(self) -> dict[str, dict[int, int]]:
-        """Return the shared parts that upstreams began to read since the last call.
+    def drain_prompt_blocks(self) -> dict[str, dict[int, int]]:
+        """Return and clear the shared blocks that upstreams began to read.
 
-        By upstream, tokens by chain; see `PrefixMemory`.
+        Returns
+        -------
+        dict
+            By upstream, the tokens of each block by its prefix hash.
         """
-        news, self._news_by_name = self._news_by_name, {}
-        return news
+        new_blocks, self._new_blocks_by_upstream = self._new_blocks_by_upstream, {}
+        return new_blocks
 
-    def all_parts(self) -> dict[str, dict[int, int]]:
-        """Return all shared parts that upstreams hold, for a process that is new."""
+    def all_prompt_blocks(self) -> dict[str, dict[int, int]]:
+        """Return all shared blocks that upstreams have cached, for a new process."""
         return {
-            name: state.memory.shared()
-            for name, state in self._state_by_name.items()
-            if state.memory is not None
+            name: record.prefix_cache.shared_blocks()
+            for name, record in self._record_by_upstream.items()
+            if record.prefix_cache is not None
         }
 
-    def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
-        """Take in which shared parts another process let an upstream read."""
-        state = self._state_by_name.setdefault(upstream, _State())
-        state.memory = state.memory or PrefixMemory(capacity_tokens=None)
-        state.memory.heard(tokens_by_chain)
+    def merge_prompt_blocks(
+        self, upstream: str, tokens_by_prefix_hash: dict[int, int]
+    ) -> None:
+        """Merge shared blocks that an upstream read for another process."""
+        record = self._record_by_upstream.setdefault(upstream, _UpstreamRecord())
+        record.prefix_cache = record.prefix_cache or PrefixCache(capacity_tokens=None)
+        record.prefix_cache.merge(tokens_by_prefix_hash)
 
-    def heard(
-        self, node: str, load_by_upstream: dict[str, Load], holds_until: float
+    def merge_loads(
+        self, process: str, load_by_upstream: dict[str, Load], valid_until: float
     ) -> None:
-        """Take in what another process has at each upstream until that second."""
+        """Merge the loads of another process, which expire at `valid_until`."""
         for name in load_by_upstream:
-            self._state_by_name.setdefault(name, _State())
-        for name, state in self._state_by_name.items():
+            self._record_by_upstream.setdefault(name, _UpstreamRecord())
+        for name, record in self._record_by_upstream.items():
             load = load_by_upstream.get(name, NO_LOAD)
-            state.others_by_node[node] = (holds_until, load)
+            record.peer_load_by_process[process] = (valid_until, load)
 
-    def keep(self, upstreams: set[str]) -> None:
-        """Forget upstreams that are gone and hold no own work."""
+    def retain(self, upstreams: set[str]) -> None:
+        """Drop all other upstreams, but those with requests of this process."""
         self.ejections.retain(upstreams)
         self._rates.retain(upstreams)
-        self._state_by_name = {
-            name: state
-            for name, state in self._state_by_name.items()
-            if name in upstreams or state.running
+        self._record_by_upstream = {
+            name: record
+            for name, record in self._record_by_upstream.items()
+            if name in upstreams or record.running
         }
 
-    def _state(self, upstream: Upstream) -> _State:
-        state = self._state_by_name.setdefault(upstream.name, _State())
-        if state.born != upstream.born:
-            # What peers told before this process knew the upstream still holds.
-            if state.born is not None:
-                state.memory = None
-            state.born = upstream.born
-        return state
+    def _record(self, upstream: Upstream) -> _UpstreamRecord:
+        record = self._record_by_upstream.setdefault(upstream.name, _UpstreamRecord())
+        if record.started_ms != upstream.born:
+            # Blocks that peers reported before the upstream was known here stay valid.
+            if record.started_ms is not None:
+                record.prefix_cache = None
+            record.started_ms = upstream.born
+        return record
 
-    def _has_room(
+    def _has_headroom(
         self, upstream: Upstream, service: Service, job: Job, now: float
     ) -> bool:
-        total = self._state(upstream).total(now)
-        connections = int(service.max_connections * CONNECTION_SHARE)
+        total = self._record(upstream).total_load(now)
+        connections = int(service.max_connections * MAX_CONNECTIONS_FRACTION)
         if service.engine is None:
-            own = self._state(upstream).running
-            places = int(upstream.slots * (1 + PLAIN_QUEUE_SHARE))
-            return own < upstream.slots and total.running < min(places, connections)
+            own = self._record(upstream).running
+            max_running = int(upstream.slots * (1 + PLAIN_QUEUE_FRACTION))
+            return own < upstream.slots and total.running < min(
+                max_running, connections
+            )
         if total.running >= min(upstream.slots, connections):
             return False
-        room = service.engine.memory_tokens * MEMORY_SHARE - total.memory_tokens
-        return job.memory_tokens <= room or total.running == 0
+        free_tokens = (
+            service.engine.memory_tokens * MAX_MEMORY_FRACTION - total.memory_tokens
+        )
+        return job.memory_tokens <= free_tokens or total.running == 0
 
-    def _bears_one_more(self, upstream: Upstream, service: Service, now: float) -> bool:
-        """Whether the upstream has no bound, or is due a request of this process."""
-        rate = self._rate(upstream, service, now)
+    def _may_send_one_more(
+        self, upstream: Upstream, service: Service, now: float
+    ) -> bool:
+        """Return whether no rate limit forbids one more request to the upstream."""
+        rate = self._rate_limit(upstream, service, now)
         return rate is None or self._rates.may_send(upstream.name, rate, now=now)
 
-    def _rate(
+    def _rate_limit(
         self, upstream: Upstream, service: Service, now: float
     ) -> FleetRate | None:
-        """Return the bound on the upstream's requests, of several the least."""
+        """Return the lowest rate limit of the upstream; None if it has none."""
         announced = self._limits.fleet_rate(upstream.name, now)
-        cold = self._state(upstream).cold
-        if not service.cold_per_second or not cold.holds(service, now):
+        cold = self._record(upstream).cold
+        if not service.cold_per_second or not cold.is_cold(service, now):
             return announced
-        bound = FleetRate(per_second=service.cold_per_second, known_to_all=cold.told)
+        bound = FleetRate(
+            per_second=service.cold_per_second, known_to_all=cold.known_to_peers
+        )
         if announced is not None and announced.per_second < bound.per_second:
             return announced
         return bound
 
     def _plain_cost(self, job: Job, now: float) -> Callable[[Upstream], float]:
         def cost(upstream: Upstream) -> tuple[float, int]:
-            total = self._state(upstream).total(now)
-            used = (total.running + self._outside(upstream)) / max(1, upstream.slots)
+            total = self._record(upstream).total_load(now)
+            used = (total.running + self._other_zone_cost(upstream)) / max(
+                1, upstream.slots
+            )
             return used, _rendezvous(job.request_id, upstream.name)
 
         return cost
@@ -425,65 +482,79 @@
     def _engine_cost(
         self, job: Job, names: list[str], now: float
     ) -> Callable[[Upstream], float]:
-        first = max(names, key=lambda n: _rendezvous(job.affinity, n), default="")
-        shared = sum(part.tokens for part in job.parts[:-1])
-        if any(self._held(name, job) >= shared for name in names):
-            # Somebody has placed it, so nothing has to be guessed.
+        first = max(
+            names, key=lambda n: _rendezvous(job.affinity_block_id, n), default=""
+        )
+        shared = sum(block.tokens for block in job.prompt_blocks[:-1])
+        if any(self._cached_tokens(name, job) >= shared for name in names):
+            # An engine has cached the shared blocks, so none has to be predicted.
             first = ""
 
         def cost(upstream: Upstream) -> float:
-            state = self._state(upstream)
-            total = state.total(now)
-            held = state.memory.held(job.parts) if state.memory else 0
-            if job.affinity and upstream.name == first:
-                # Another process is likely to have placed it there.
+            record = self._record(upstream)
+            total = record.total_load(now)
+            held = (
+                record.prefix_cache.cached_tokens(job.prompt_blocks)
+                if record.prefix_cache
+                else 0
+            )
+            if job.affinity_block_id and upstream.name == first:
+                # Another process has probably assigned the prefix to this engine.
                 held = max(held, shared)
             missing = max(0, job.prompt_tokens - held)
-            missing += max(0, shared - held) * (SHARED_WEIGHT - 1)
-            running = (total.running + self._outside(upstream)) * RUNNING_COST_TOKENS
+            missing += max(0, shared - held) * (SHARED_TOKEN_COST_FACTOR - 1)
+            running = (
+                total.running + self._other_zone_cost(upstream)
+            ) * RUNNING_REQUEST_COST_TOKENS
             return missing + total.unread_tokens + running
 
         return cost
 
-    def _held(self, name: str, job: Job) -> int:
-        state = self._state_by_name.get(name)
-        if state is None or state.memory is None:
+    def _cached_tokens(self, name: str, job: Job) -> int:
+        record = self._record_by_upstream.get(name)
+        if record is None or record.prefix_cache is None:
             return 0
-        return state.memory.held(job.parts)
+        return record.prefix_cache.cached_tokens(job.prompt_blocks)
 
-    def _outside(self, upstream: Upstream) -> float:
-        return 0.0 if upstream.zone == self._zone else OUTSIDE_ZONE_COST
+    def _other_zone_cost(self, upstream: Upstream) -> float:
+        return 0.0 if upstream.zone == self._zone else OTHER_ZONE_COST_REQUESTS
 
-    def _place(
+    def _assign(
         self, upstream: Upstream, service: Service, job: Job, now: float
-    ) -> Placed:
-        state = self._state(upstream)
+    ) -> Assignment:
+        record = self._record(upstream)
         unread = job.prompt_tokens
         if service.engine is not None:
-            state.memory = _sized(state.memory, service.engine)
-            unread = max(0, unread - state.memory.held(job.parts))
-            new = state.memory.read(job.parts)
-            if new:
-                self._news_by_name.setdefault(upstream.name, {}).update(new)
-        load = state.total(now)
-        state.running += 1
-        state.memory_tokens += job.memory_tokens
-        state.unread_tokens += unread
-        if self._rate(upstream, service, now) is not None:
+            record.prefix_cache = _resized(record.prefix_cache, service.engine)
+            unread = max(
+                0, unread - record.prefix_cache.cached_tokens(job.prompt_blocks)
+            )
+            new_tokens_by_prefix_hash = record.prefix_cache.record_read(
+                job.prompt_blocks
+            )
+            if new_tokens_by_prefix_hash:
+                self._new_blocks_by_upstream.setdefault(upstream.name, {}).update(
+                    new_tokens_by_prefix_hash
+                )
+        load = record.total_load(now)
+        record.running += 1
+        record.memory_tokens += job.memory_tokens
+        record.unread_tokens += unread
+        if self._rate_limit(upstream, service, now) is not None:
             self._rates.record_sent(upstream.name)
         self.ejections.record_assignment(upstream.name, now)
-        return Placed(upstream=upstream, job=job, unread_tokens=unread, load=load)
+        return Assignment(upstream=upstream, job=job, unread_tokens=unread, load=load)
 
 
-def _sole_sender() -> FleetRates:
+def _sole_sender_rates() -> FleetRates:
     return FleetRates(
         sharing=lambda: EqualShare(processes=1), random=Random(), started=float("-inf")
     )
 
 
-def _sized(memory: PrefixMemory | None, engine: Engine) -> PrefixMemory:
-    memory = memory or PrefixMemory(capacity_tokens=None)
-    memory.capacity_tokens = int(engine.memory_tokens * KEPT_SHARE)
+def _resized(memory: PrefixCache | None, engine: Engine) -> PrefixCache:
+    memory = memory or PrefixCache(capacity_tokens=None)
+    memory.capacity_tokens = int(engine.memory_tokens * PREFIX_CACHE_FRACTION)
     return memory
 
 
--- a/src/ragwortkeel/ingress/relay_worker.py
+++ b/src/ragwortkeel/ingress/relay_worker.py
@@ -103,7 +103,7 @@
         return {}
 
     def merge_prompt_blocks(
-        self, upstream: str, tokens_by_chain: dict[int, int]
+        self, upstream: str, tokens_by_prefix_hash: dict[int, int]
     ) -> None:
         """Discard a peer's prompt blocks."""
 
--- /dev/null
+++ b/src/ragwortkeel/ingress/request_queue.py
@@ -0,0 +1,84 @@
+"""The queue of requests for each service, and the order in which they are assigned.
+
+Pattern of load: a burst, one customer that sends many times its usual rate, and short
+requests behind long ones.  Requests of the most urgent priority go first; among those,
+requests of the customer with the fewest running requests here; then the one that
+arrived first.  Without the second rule, a burst of one customer delays all others.
+
+A request that is not assigned before its `latest_start` is refused then, so that its
+caller gets an answer before the deadline.
+"""
+
+from collections import Counter
+from dataclasses import dataclass
+
+from ragwortkeel.ingress.placement import Job
+
+
+@dataclass(frozen=True, kw_only=True)
+class QueuedRequest:
+    """One request in the queue of its service.
+
+    Attributes
+    ----------
+    latest_start : float
+        Monotonic second after which the request is not worth starting.
+    tried_upstreams : frozenset of str
+        Upstreams to exclude because the request was sent to them before.
+    """
+
+    job: Job
+    arrived_at: float
+    latest_start: float
+    tried_upstreams: frozenset[str] = frozenset()
+
+
+class RequestQueue:
+    """The queue of each service, and the running requests of each customer."""
+
+    def __init__(self) -> None:
+        self._queued_by_service: dict[str, dict[str, QueuedRequest]] = {}
+        self._running_by_customer: Counter[str] = Counter()
+
+    def __len__(self) -> int:
+        return sum(len(queued) for queued in self._queued_by_service.values())
+
+    def add(self, queued_request: QueuedRequest) -> None:
+        """Append a request to the queue of its service."""
+        queued = self._queued_by_service.setdefault(queued_request.job.service, {})
+        queued[queued_request.job.request_id] = queued_request
+
+    def remove(self, job: Job) -> None:
+        """Remove a request that was assigned, refused or abandoned by its caller."""
+        self._queued_by_service.get(job.service, {}).pop(job.request_id, None)
+
+    def record_started(self, job: Job) -> None:
+        """Count one more running request of the customer."""
+        self._running_by_customer[job.customer] += 1
+
+    def record_ended(self, job: Job) -> None:
+        """Count one running request of the customer less."""
+        self._running_by_customer[job.customer] -= 1
+        if not self._running_by_customer[job.customer]:
+            del self._running_by_customer[job.customer]
+
+    def services(self) -> list[str]:
+        """Return the names of the services that have queued requests."""
+        return [name for name, queued in self._queued_by_service.items() if queued]
+
+    def queued_ahead(self, job: Job) -> int:
+        """Return the number of queued requests of the service that go first.
+
+        These are all of the same or a more urgent priority.
+        """
+        queued = self._queued_by_service.get(job.service, {}).values()
+        return sum(1 for other in queued if other.job.priority <= job.priority)
+
+    def in_order(self, service: str) -> list[QueuedRequest]:
+        """Return the queued requests of the service, the next one first."""
+        queued = self._queued_by_service.get(service, {}).values()
+        return sorted(queued, key=self._rank)
+
+    def _rank(self, queued_request: QueuedRequest) -> tuple[int, int, float]:
+        running = self._running_by_customer[queued_request.job.customer]
+        return queued_request.job.priority, running, queued_request.arrived_at
--- a/tests/ingress/test_greetings.py
+++ b/tests/ingress/test_greetings.py
@@ -21,9 +21,9 @@
     tellings = []
     taken = worker.merge_prompt_blocks
 
-    def heard(upstream, tokens_by_chain):
+    def heard(upstream, tokens_by_prefix_hash):
         tellings.append(upstream)
-        taken(upstream, tokens_by_chain)
+        taken(upstream, tokens_by_prefix_hash)
 
     worker.merge_prompt_blocks = heard
     return tellings
--- a/tests/ingress/test_request_usage.py
+++ b/tests/ingress/test_request_usage.py
@@ -1,7 +1,7 @@
 import pytest
 
-from ragwortkeel.ingress.prefixes import Part
-from ragwortkeel.ingress.usage import Usage, parse_parts, parse_usage
+from ragwortkeel.ingress.prefixes import PromptBlock
+from ragwortkeel.ingress.usage import Usage, parse_prompt_blocks, parse_usage
 
 
 class TestParsing:
@@ -13,10 +13,10 @@
         assert parse_usage(text) is None
 
     def test_parts_end_at_the_first_unreadable_one(self):
-        found = parse_parts("5c1e:800, 91bd:410,zz,77:5")
+        found = parse_prompt_blocks("5c1e:800, 91bd:410,zz,77:5")
         assert found == (
-            Part(part_id="5c1e", tokens=800),
-            Part(part_id="91bd", tokens=410),
+            PromptBlock(block_id="5c1e", tokens=800),
+            PromptBlock(block_id="91bd", tokens=410),
         )
 
 
@@ -24,10 +24,10 @@
     usage = Usage(prompt_tokens=100, answer_tokens=60)
 
     def test_a_whole_answer_costs_what_came(self):
-        assert self.usage.cost(events=4, event_tokens=6, whole=True) == 124
+        assert self.usage.cost(events=4, event_tokens=6, complete=True) == 124
 
     def test_a_broken_one_costs_what_may_have_been_made_unseen(self):
-        assert self.usage.cost(events=4, event_tokens=6, whole=False) == 142
+        assert self.usage.cost(events=4, event_tokens=6, complete=False) == 142
 
     def test_never_more_than_what_was_set_aside(self):
-        assert self.usage.cost(events=40, event_tokens=6, whole=False) == 160
+        assert self.usage.cost(events=40, event_tokens=6, complete=False) == 160
