--- a/src/ragwortkeel/ingress/limit_reader.py
+++ b/src/ragwortkeel/ingress/limit_reader.py
@@ -9,8 +9,7 @@
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import AnnouncedLimit
 from ragwortkeel.metrics import Metrics
-from ragwortkeel.policy.announced_limits import LimitAnnouncement
-from ragwortkeel.policy.announced_limits import AnnouncedLimits
+from ragwortkeel.policy.announced_limits import AnnouncedLimits, LimitAnnouncement
 
 MAX_LOGGED_CHARACTERS = 40
 """Longest part of an invalid header value in a log line."""
@@ -72,7 +71,9 @@
             return
         self._unreadable_upstreams.discard(upstream)
         previous = self.limits.limit_of(upstream)
-        if self.limits.record_answer(upstream, per_second, sent_at=sent_at, now=monotonic()):
+        if self.limits.record_answer(
+            upstream, per_second, sent_at=sent_at, now=monotonic()
+        ):
             self._log_change(upstream, previous, source="answer")
 
     def recent(self) -> dict[str, AnnouncedLimit]:
@@ -92,7 +93,9 @@
         for name, reported in limit_by_upstream.items():
             previous = self.limits.limit_of(name)
             statement = LimitAnnouncement(
-                per_second=reported.per_second, effective_at=now - reported.age_seconds, own=False
+                per_second=reported.per_second,
+                effective_at=now - reported.age_seconds,
+                own=False,
             )
             if self.limits.merge(name, statement):
                 self._log_change(name, previous, source="peer")
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -18,8 +18,6 @@
     decode_value,
 )
 from ragwortkeel.ingress.crashes import CrashDetector
-from ragwortkeel.ingress.limit_reader import LimitReader
-from ragwortkeel.ingress.upstream_connection import ConnectionPool
 from ragwortkeel.ingress.directory import Directory, Moved
 from ragwortkeel.ingress.dispatch import Dispatcher
 from ragwortkeel.ingress.evacuations import Evacuations
@@ -31,11 +29,13 @@
 )
 from ragwortkeel.ingress.front import Front
 from ragwortkeel.ingress.front_parts import FrontParts
+from ragwortkeel.ingress.limit_reader import LimitReader
 from ragwortkeel.ingress.names import HeaderNames
 from ragwortkeel.ingress.peers import Peers
 from ragwortkeel.ingress.placement import Load, Placement
 from ragwortkeel.ingress.relaying import RelayedPlatform
 from ragwortkeel.ingress.routing import RoutingTable
+from ragwortkeel.ingress.upstream_connection import ConnectionPool
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import (
     AnnouncedLimit,
@@ -117,9 +117,7 @@
         incarnation = f"{settings.name}/{secrets.token_hex(4)}"
         self._directory = Directory(region_by_zone=settings.region_by_zone)
         self._evacuations = Evacuations()
-        self._limit_reader = LimitReader(
-            header=names.rate_limit, metrics=self.metrics
-        )
+        self._limit_reader = LimitReader(header=names.rate_limit, metrics=self.metrics)
         self._placement = Placement(
             zone=settings.zone,
             limits=self._limit_reader.limits,
--- a/tests/ingress/test_stated_limits.py
+++ b/tests/ingress/test_stated_limits.py
@@ -8,8 +8,7 @@
 from tests.ingress.builders import upstream
 
 from ragwortkeel.exceptions import LimitUnreadable
-from ragwortkeel.ingress.limit_reader import LimitReader
-from ragwortkeel.ingress.limit_reader import read_limit
+from ragwortkeel.ingress.limit_reader import LimitReader, read_limit
 from ragwortkeel.ingress.upstream_connection import ResponseHead
 from ragwortkeel.metrics import Metrics
 
