--- a/src/ragwortkeel/ingress/peer_handler.py
+++ b/src/ragwortkeel/ingress/peer_handler.py
@@ -98,7 +98,7 @@
     def receive_renewal_call(self) -> HandedRenewals | None:
         """Return the renewals for a peer that is about to write, None for none."""
 
-    async def receive_renewals(self, handed: HandedRenewals) -> None:
+    async def receive_renewals(self, delegated: HandedRenewals) -> None:
         """Receive a peer's renewals for the next write."""
 
     async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -148,7 +148,7 @@
             links=self._mesh.routers,
             process_count=lambda: self.known_routers,
             reply=self._send_answer,
-            own_step=handler.writing_step,
+            own_latency_class=handler.writing_step,
             is_leaving=lambda: handler.heartbeat().leaving,
         )
         self._called_parts = False
@@ -555,7 +555,7 @@
 
     def _meet(self, state: IngressState) -> None:
         self.writers.record_writer(
-            node=state.node, address=state.address, step=state.writing_step
+            node=state.node, address=state.address, latency_class=state.writing_step
         )
         self._introductions.meet(
             Introduction(
--- a/src/ragwortkeel/ingress/relay_worker.py
+++ b/src/ragwortkeel/ingress/relay_worker.py
@@ -163,7 +163,7 @@
     def receive_renewal_call(self) -> None:
         """Return None: a relay has no renewals."""
 
-    async def receive_renewals(self, handed: HandedRenewals) -> None:
+    async def receive_renewals(self, delegated: HandedRenewals) -> None:
         """Discard renewals: a relay writes no ledgers."""
 
     async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -45,7 +45,7 @@
         this one.
     reply : callable
         Sends an answer over the connection of the message that it answers.
-    own_step : callable
+    own_latency_class : callable
         Returns how slowly this process writes, see `budget.write_order`.
     is_leaving : callable
         Returns whether this process is stopping.
@@ -58,7 +58,7 @@
         links: Callable[[], dict[str, Link]],
         process_count: Callable[[], int],
         reply: Callable[[str, RenewalsWritten], Awaitable[None]],
-        own_step: Callable[[], int],
+        own_latency_class: Callable[[], int],
         is_leaving: Callable[[], bool],
     ) -> None:
         self._address = address
@@ -66,17 +66,17 @@
         self._process_count = process_count
         self._reply = reply
         self._identity_by_node: dict[str, str] = {}
-        self._own_step = own_step
+        self._own_latency_class = own_latency_class
         self._is_leaving = is_leaving
         self._address_by_node: dict[str, str] = {}
-        self._step_by_address: dict[str, int] = {}
+        self._latency_class_by_address: dict[str, int] = {}
         self._leaving: set[str] = set()
         self._avoided_until: dict[str, float] = {}
 
-    def record_writer(self, *, node: str, address: str, step: int) -> None:
+    def record_writer(self, *, node: str, address: str, latency_class: int) -> None:
         """Record the address of a process and how slowly it writes."""
         self.record_address(node=node, address=address)
-        self._step_by_address[address] = step
+        self._latency_class_by_address[address] = latency_class
 
     def record_address(self, *, node: str, address: str) -> None:
         """Record the address of a process."""
@@ -126,7 +126,7 @@
             await link.try_send(RenewalCall())
         return len(links)
 
-    async def delegate(self, handed: HandedRenewals) -> str | None:
+    async def delegate(self, delegated: HandedRenewals) -> str | None:
         """Send renewals to the first writer, unless it is this process.
 
         Returns
@@ -140,7 +140,7 @@
         first = first_in_order(writers)
         if first is None or first.name == self._address:
             return None
-        sent = await self._links()[first.name].try_send(handed)
+        sent = await self._links()[first.name].try_send(delegated)
         return first.name if sent else None
 
     async def responds(self, address: str) -> bool:
@@ -173,13 +173,13 @@
             await self._reply(self._identity_by_node[node], answer)
 
     def _own_writer(self) -> Writer:
-        return Writer(name=self._address, step=self._own_step())
+        return Writer(name=self._address, step=self._own_latency_class())
 
     def _eligible_peers(self) -> list[Writer]:
         """Return the peers that may write: not stopping and not left out."""
         now = monotonic()
         return [
-            Writer(name=address, step=self._step_by_address.get(address, 0))
+            Writer(name=address, step=self._latency_class_by_address.get(address, 0))
             for address in self._links()
             if address not in self._leaving
             and self._avoided_until.get(address, 0.0) <= now
--- a/tests/ingress/test_writers.py
+++ b/tests/ingress/test_writers.py
@@ -26,11 +26,11 @@
         links=lambda: links,
         process_count=lambda: len(links) + 1,
         reply=reply,
-        own_step=lambda: step,
+        own_latency_class=lambda: step,
         is_leaving=lambda: leaves,
     )
     for address in links:
-        rv.record_writer(node=f"node-{address}", address=address, step=0)
+        rv.record_writer(node=f"node-{address}", address=address, latency_class=0)
     return rv
 
 
