--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -10,9 +10,7 @@
 
 import curio
 
-from ragwortkeel.budget.write_order import Writer
-from ragwortkeel.budget.write_order import first_writer
-from ragwortkeel.budget.write_order import rank_of
+from ragwortkeel.budget.write_order import Writer, first_writer, rank_of
 from ragwortkeel.links import Link
 from ragwortkeel.messages import (
     HandedRenewals,
@@ -181,7 +179,10 @@
         """Return the peers that may write: not stopping and not left out."""
         now = monotonic()
         return [
-            Writer(name=address, latency_class=self._latency_class_by_address.get(address, 0))
+            Writer(
+                name=address,
+                latency_class=self._latency_class_by_address.get(address, 0),
+            )
             for address in self._links()
             if address not in self._leaving
             and self._avoided_until.get(address, 0.0) <= now
