--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -47,7 +47,8 @@
         "DRAIN",
         "leaving is final",
         "ingress/directory.py",
-        "if known is not None and _left(known) and not _reborn(known, upstream):",
+        "if known is not None and _is_leaving(known) and "
+        "not _restarted(known, upstream):",
         "if False:",
     ),
     _guard(
@@ -76,7 +77,7 @@
         "DRAIN",
         "lapsed entries end",
         "ingress/directory.py",
-        "if entry.lapses_at is None:\n                continue",
+        "if entry.expires_at is None:\n                continue",
         "if True:\n                continue",
     ),
     _guard(
@@ -111,7 +112,7 @@
         "LOST",
         "a caller's idle connection outlasts the caller's patience",
         "ingress/worker.py",
-        "limits.idle_seconds * IDLE_SLACK",
+        "limits.idle_seconds * IDLE_TIMEOUT_FACTOR",
         "limits.idle_seconds * 0.5",
     ),
     _guard(
--- a/src/ragwortkeel/ingress/configuration.py
+++ b/src/ragwortkeel/ingress/configuration.py
@@ -162,7 +162,7 @@
         Of the instance; an address may be used again by another one.
     slots : int
         Requests that it runs at once.
-    born : int
+    started_ms : int
         Milliseconds of the wall clock at its start; tells a restart under the
         same name, after which it remembers nothing.
     cold_seconds : float
@@ -176,7 +176,7 @@
     zone: str
     slots: Count
     state: UpstreamState
-    born: int = 0
+    started_ms: int = msgspec.field(default=0, name="born")
     cold_seconds: Annotated[float, msgspec.Meta(ge=0)] = 0.0
 
 
--- a/src/ragwortkeel/ingress/crashes.py
+++ b/src/ragwortkeel/ingress/crashes.py
@@ -61,7 +61,7 @@
             return
         # Several processes may find the same crash: within the time in which one
         # upstream can't crash twice it has one id.
-        crash_id = f"{upstream.name}/{upstream.born}/{int(now / SUSPECT_SECONDS)}"
+        crash_id = f"{upstream.name}/{upstream.started_ms}/{int(now / SUSPECT_SECONDS)}"
         crash = Crash(crash_id=crash_id, fingerprints=frozenset(names))
         if self._quarantine.crashed(crash, now):
             self.found.append(crash)
--- a/src/ragwortkeel/ingress/directory.py
+++ b/src/ragwortkeel/ingress/directory.py
@@ -10,7 +10,7 @@
   instance.  So an address belongs to the upstream of a service that was born last.
 - The platform was away and let entries lapse: on its return nearly all upstreams
   look gone at once.  So entries that vanish around an outage are kept for
-  `LAPSE_SECONDS` after its end, in which live upstreams write them anew.
+  `OUTAGE_GRACE_SECONDS` after its end, in which live upstreams write them anew.
 """
 
 from collections.abc import Mapping
@@ -20,7 +20,7 @@
 
 from ragwortkeel.ingress.configuration import Upstream, UpstreamState
 
-LAPSE_SECONDS = 2.3
+OUTAGE_GRACE_SECONDS = 2.3
 """Live upstreams are back about 2 s after the platform is; some slack on top."""
 
 
@@ -28,13 +28,13 @@
 class Entry:
     """An upstream's entry and the platform's version of it.
 
-    `upstream` is None once it is gone, `lapses_at` the monotonic second at which
+    `upstream` is None once it is gone, `expires_at` the monotonic second at which
     an entry that vanished around an outage counts as gone.
     """
 
     version: int
     upstream: Upstream | None
-    lapses_at: float | None = None
+    expires_at: float | None = None
 
     @property
     def usable(self) -> bool:
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Moved:
+class DirectoryChange:
     """One upstream's change, for logs and for those who keep state about it."""
 
     name: str
@@ -113,14 +113,14 @@
             and (regions is None or self._region_by_zone.get(upstream.zone) in regions)
         }
 
-    def withholds(self, *, service: str, regions: frozenset[str] | None) -> bool:
+    def withholds_all(self, *, service: str, regions: frozenset[str] | None) -> bool:
         """Whether all of the service's ready upstreams are evacuated or elsewhere."""
         if not self.evacuated_zones and regions is None:
             return False
         ready = self._ready(service)
         return bool(ready) and not self.usable(service=service, regions=regions)
 
-    def in_zones(self, zones: frozenset[str]) -> list[str]:
+    def names_in_zones(self, zones: frozenset[str]) -> list[str]:
         """Return the names of the upstreams in these availability zones."""
         by_name = self.upstream_by_name
         return [name for name, upstream in by_name.items() if upstream.zone in zones]
@@ -132,104 +132,110 @@
             if entry.usable and entry.upstream.service == service
         }
 
-    def lost_platform(self, now: float, *, seconds: float = LAPSE_SECONDS) -> None:
+    def record_outage(
+        self, now: float, *, seconds: float = OUTAGE_GRACE_SECONDS
+    ) -> None:
         """Note that entries may be missing for so long, as the platform is away."""
         self._outage_until = max(self._outage_until, now + seconds)
 
-    def lapse_seconds(self, now: float) -> float:
+    def outage_seconds_left(self, now: float) -> float:
         """Return for how long entries may be missing because of an outage."""
         return max(0.0, self._outage_until - now)
 
-    def listed(
+    def merge_listing(
         self,
         upstream_by_name: dict[str, tuple[int, Upstream]],
         *,
         revision: int,
         now: float,
-    ) -> list[Moved]:
+    ) -> list[DirectoryChange]:
         """Take over a whole list; what it lacks has vanished.
 
         An entry seen at a version above `revision` is newer than the list.
         """
-        moves = []
+        changes = []
         for name, (version, upstream) in upstream_by_name.items():
-            moves += self.written(name, upstream, version=version, now=now)
+            changes += self.merge_entry(name, upstream, version=version, now=now)
         for name, entry in list(self._entry_by_name.items()):
             missing = entry.upstream is not None and name not in upstream_by_name
             if missing and entry.version <= revision:
-                moves += self.vanished(name, version=revision, now=now)
-        return moves
+                changes += self.record_deletion(name, version=revision, now=now)
+        return changes
 
-    def written(
+    def merge_entry(
         self, name: str, upstream: Upstream, *, version: int, now: float
-    ) -> list[Moved]:
+    ) -> list[DirectoryChange]:
         """Take over one entry; older ones than the known are left out."""
         known = self._entry_by_name.get(name)
         if known is not None and known.version > version:
             return []
-        if known is not None and _left(known) and not _reborn(known, upstream):
-            upstream = _leaving(upstream)
-        moves = self._set(name, Entry(version=version, upstream=upstream))
-        return moves + self._settle_address(upstream)
+        if known is not None and _is_leaving(known) and not _restarted(known, upstream):
+            upstream = _as_leaving(upstream)
+        changes = self._set(name, Entry(version=version, upstream=upstream))
+        return changes + self._delete_older_at_address(upstream)
 
-    def replaced(self, name: str) -> list[Moved]:
+    def record_replacement(self, name: str) -> list[DirectoryChange]:
         """Note that another instance answers at the upstream's address."""
         known = self._entry_by_name.get(name)
         if known is None or known.upstream is None:
             return []
-        return self._set(name, _gone(known.version, known))
+        return self._set(name, _deleted(known.version, known))
 
-    def vanished(self, name: str, *, version: int, now: float) -> list[Moved]:
+    def record_deletion(
+        self, name: str, *, version: int, now: float
+    ) -> list[DirectoryChange]:
         """Note that the platform has no such entry any more."""
         known = self._entry_by_name.get(name)
         if known is None or known.upstream is None or known.version > version:
             return []
         if now < self._outage_until and known.usable:
-            lapses_at = known.lapses_at or self._outage_until
-            entry = Entry(version=version, upstream=known.upstream, lapses_at=lapses_at)
+            expires_at = known.expires_at or self._outage_until
+            entry = Entry(
+                version=version, upstream=known.upstream, expires_at=expires_at
+            )
             return self._set(name, entry)
-        return self._set(name, _gone(version, known))
+        return self._set(name, _deleted(version, known))
 
-    def expire(self, now: float) -> list[Moved]:
+    def expire(self, now: float) -> list[DirectoryChange]:
         """Give up entries that did not come back after an outage."""
-        moves = []
+        changes = []
         for name, entry in list(self._entry_by_name.items()):
-            if entry.lapses_at is None:
+            if entry.expires_at is None:
                 continue
             if now < self._outage_until:
                 continue
-            moves += self._set(name, _gone(entry.version, entry))
-        return moves
+            changes += self._set(name, _deleted(entry.version, entry))
+        return changes
 
-    def _settle_address(self, upstream: Upstream) -> list[Moved]:
+    def _delete_older_at_address(self, upstream: Upstream) -> list[DirectoryChange]:
         """Give up all upstreams at one address but the one that was born last.
 
         Of one service only: an entry of a service that is not configured may be
         anybody's, and must not take a good upstream away.
         """
-        where = upstream.service, upstream.host, upstream.port
-        same = [
+        address = upstream.service, upstream.host, upstream.port
+        at_address = [
             (name, entry)
             for name, entry in self._entry_by_name.items()
             if entry.upstream is not None
             and (entry.upstream.service, entry.upstream.host, entry.upstream.port)
-            == where
+            == address
         ]
-        last = max(entry.upstream.born for _, entry in same)
-        moves = []
-        for name, entry in same:
-            if entry.upstream.born < last:
-                moves += self._set(name, _gone(entry.version, entry))
-        return moves
-
-    def _set(self, name: str, entry: Entry) -> list[Moved]:
+        latest_start = max(entry.upstream.started_ms for _, entry in at_address)
+        changes = []
+        for name, entry in at_address:
+            if entry.upstream.started_ms < latest_start:
+                changes += self._set(name, _deleted(entry.version, entry))
+        return changes
+
+    def _set(self, name: str, entry: Entry) -> list[DirectoryChange]:
         known = self._entry_by_name.get(name)
         self._entry_by_name[name] = entry
         was_usable = known is not None and known.usable
         if known is not None and known.upstream == entry.upstream:
             return []
         return [
-            Moved(
+            DirectoryChange(
                 name=name,
                 was_usable=was_usable,
                 usable=entry.usable,
@@ -238,17 +244,17 @@
         ]
 
 
-def _left(entry: Entry) -> bool:
+def _is_leaving(entry: Entry) -> bool:
     return entry.upstream is not None and entry.upstream.state is UpstreamState.LEAVING
 
 
-def _reborn(known: Entry, upstream: Upstream) -> bool:
-    return upstream.born > known.upstream.born
+def _restarted(known: Entry, upstream: Upstream) -> bool:
+    return upstream.started_ms > known.upstream.started_ms
 
 
-def _leaving(upstream: Upstream) -> Upstream:
+def _as_leaving(upstream: Upstream) -> Upstream:
     return msgspec.structs.replace(upstream, state=UpstreamState.LEAVING)
 
 
-def _gone(version: int, entry: Entry) -> Entry:
+def _deleted(version: int, entry: Entry) -> Entry:
     return Entry(version=version, upstream=None)
--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -88,7 +88,7 @@
         wait too long for its part of the limits that all upstreams announced.
         """
         self._service_by_name[service.name] = service
-        if self._directory.withholds(service=service.name, regions=job.regions):
+        if self._directory.withholds_all(service=service.name, regions=job.regions):
             return self._no_room(job)
         ahead = self.room.waiting_before(job)
         if not ahead:
@@ -111,7 +111,7 @@
 
     def replaced(self, upstream: str) -> None:
         """Place nothing more at an upstream whose address another instance has."""
-        if self._directory.replaced(upstream):
+        if self._directory.record_replacement(upstream):
             log_info("upstream_replaced", upstream=upstream)
 
     async def place_waiting(self) -> None:
@@ -179,7 +179,9 @@
 
     def _no_room(self, job: Job) -> NoRoom:
         usable = self._directory.usable(service=job.service, regions=job.regions)
-        withheld = self._directory.withholds(service=job.service, regions=job.regions)
+        withheld = self._directory.withholds_all(
+            service=job.service, regions=job.regions
+        )
         waiting = self.room.waiting_before(job)
         rates = self._own_rates(job, frozenset())
         seconds = self._seconds_to_turn(job)
--- a/src/ragwortkeel/ingress/evacuations.py
+++ b/src/ragwortkeel/ingress/evacuations.py
@@ -33,9 +33,9 @@
     Examples
     --------
     >>> evacuations = Evacuations()
-    >>> evacuations.report(EvacuatedZones(revision=7, zones=("a",)), now=1.0)
+    >>> evacuations.merge(EvacuatedZones(revision=7, zones=("a",)), now=1.0)
     ZonesChanged(evacuated=frozenset({'a'}), returned=frozenset())
-    >>> evacuations.report(EvacuatedZones(revision=6, zones=()), now=2.0)
+    >>> evacuations.merge(EvacuatedZones(revision=6, zones=()), now=2.0)
     """
 
     def __init__(self) -> None:
@@ -47,19 +47,19 @@
         """The zones whose upstreams get nothing new."""
         return frozenset(self.since_by_zone)
 
-    def report(self, found: EvacuatedZones, *, now: float) -> ZonesChanged | None:
+    def merge(self, received: EvacuatedZones, *, now: float) -> ZonesChanged | None:
         """Take over a newer set; return what it changes, None for nothing."""
-        if found.revision <= self.current.revision:
+        if received.revision <= self.current.revision:
             return None
-        self.current = found
-        known, zones = self.zones, frozenset(found.zones)
-        if zones == known:
+        self.current = received
+        previous, zones = self.zones, frozenset(received.zones)
+        if zones == previous:
             return None
-        for zone in known - zones:
+        for zone in previous - zones:
             del self.since_by_zone[zone]
-        for zone in zones - known:
+        for zone in zones - previous:
             self.since_by_zone[zone] = now
-        return ZonesChanged(evacuated=zones - known, returned=known - zones)
+        return ZonesChanged(evacuated=zones - previous, returned=previous - zones)
 
 
 def evacuated_zones(names: Iterable[str], revision: int) -> EvacuatedZones:
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -22,7 +22,7 @@
 from ragwortkeel.ingress.attempt import Attempt, Call, Relay, passed_fields
 from ragwortkeel.ingress.configuration import Customer, Route, Service
 from ragwortkeel.ingress.dispatch import NoRoom
-from ragwortkeel.ingress.front_parts import FrontParts
+from ragwortkeel.ingress.front_components import FrontComponents
 from ragwortkeel.ingress.outcomes import (
     Answered,
     Broken,
@@ -81,13 +81,15 @@
 
     Parameters
     ----------
-    parts : FrontParts
+    parts : FrontComponents
         What requests share.
     to : Responder
         Where the answer goes.
     """
 
-    def __init__(self, *, parts: FrontParts, accepted: Accepted, to: Responder) -> None:
+    def __init__(
+        self, *, parts: FrontComponents, accepted: Accepted, to: Responder
+    ) -> None:
         self._parts = parts
         self._accepted = accepted
         self._responder = to
@@ -300,7 +302,9 @@
             case Broken(reason=reason, detail=detail):
                 self._log_failure(placed, reason, detail)
                 if reason is BrokenReason.CLOSED:
-                    await parts.suspect(placed.upstream, self._accepted.fingerprint)
+                    await parts.check_for_crash(
+                        placed.upstream, self._accepted.fingerprint
+                    )
                 return self._after_broken(name, reason)
 
     def _after_not_run(self, name: str, reason: NotRunReason) -> Answer | _TryAgain:
@@ -365,7 +369,7 @@
         """Break off an answer that has begun: it must not look whole."""
         if not self._relay.started:
             return answer
-        self._parts.refused(
+        self._parts.record_refusal(
             self._accepted.call.request_id,
             answer,
             route=self._accepted.route.name,
@@ -376,7 +380,7 @@
         return None
 
     async def _answer(self, answer: Answer) -> None:
-        self._parts.refused(
+        self._parts.record_refusal(
             self._accepted.call.request_id,
             answer,
             route=self._accepted.route.name,
--- a/src/ragwortkeel/ingress/following.py
+++ b/src/ragwortkeel/ingress/following.py
@@ -23,7 +23,7 @@
     Upstream,
     decode_value,
 )
-from ragwortkeel.ingress.directory import Directory, Moved
+from ragwortkeel.ingress.directory import Directory, DirectoryChange
 from ragwortkeel.ingress.evacuations import evacuated_zones
 from ragwortkeel.ingress.relaying import change_of, versioned_change
 from ragwortkeel.ingress.watching import Feed
@@ -31,28 +31,28 @@
 from ragwortkeel.messages import EvacuatedZones, UpstreamChanges
 from ragwortkeel.platform import Change, Platform, Stored
 
-WATCH_SECONDS = 3.0
+WATCH_TIMEOUT_SECONDS = 3.0
 """A watch waits this long.  A silent one shows after that and the client's own
 time-out; each wait is a call that is paid for."""
 
-RETRY_SECONDS = 0.4
+RETRY_DELAY_SECONDS = 0.4
 """Pause after a failed call."""
 
-GATHER_SECONDS = 0.3
+BATCH_DELAY_SECONDS = 0.3
 """Pause after a watch that brought changes: a release or a crash of several upstreams
 is dozens of them, and each would answer the watches of all that watch at once."""
 
-ACCEPT_SECONDS = 0.9
+CALL_ACCEPT_SECONDS = 0.9
 """A call that is answered was taken up within so long, straight or through a peer: a
 watch may then wait for seconds more."""
 
-LOOK_SECONDS = 0.1
+WATCHER_CHECK_SECONDS = 0.1
 """How often a process that does not watch looks whether it has to."""
 
-ConfigurationTaker = Callable[[IngressConfiguration, bytes], Awaitable[None]]
-MovesTaker = Callable[[list[Moved]], Awaitable[None]]
-ChangesSharer = Callable[[UpstreamChanges], Awaitable[None]]
-ZonesTaker = Callable[[EvacuatedZones], Awaitable[None]]
+ConfigurationCallback = Callable[[IngressConfiguration, bytes], Awaitable[None]]
+DirectoryChangesCallback = Callable[[list[DirectoryChange]], Awaitable[None]]
+UpstreamChangesCallback = Callable[[UpstreamChanges], Awaitable[None]]
+ZonesCallback = Callable[[EvacuatedZones], Awaitable[None]]
 
 
 class _Follower:
@@ -64,41 +64,41 @@
         Returns whether this process is to watch, or its peers keep it up to date.
     """
 
-    _gathers = False
+    _batches_changes = False
     """Whether changes come so often that several are worth waiting for."""
 
     def __init__(
-        self, *, platform: Platform, kind: str, watches: Callable[[], bool]
+        self, *, platform: Platform, kind: str, is_watcher: Callable[[], bool]
     ) -> None:
         self._platform = platform
         self._kind = kind
-        self._watches = watches
+        self._is_watcher = is_watcher
         self._reachable = True
-        self._begun_at = float("-inf")
-        self.seen = False
+        self._called_at = float("-inf")
+        self.has_listed = False
 
     async def run(self) -> None:
         """Follow until cancelled."""
         revision: int | None = None
         while True:
-            self._begun_at = monotonic()
+            self._called_at = monotonic()
             try:
                 if revision is None:
                     revision = await self._list()
-                elif self._watches():
-                    revision = await self._watch(revision, WATCH_SECONDS)
+                elif self._is_watcher():
+                    revision = await self._watch(revision, WATCH_TIMEOUT_SECONDS)
                 else:
-                    revision = await self._follow_peers(revision)
+                    revision = await self._wait_as_non_watcher(revision)
                     continue
-                self._note_reachable(True, "")
+                self._record_reachable(True, "")
             except PlatformUnavailable as exc:
-                self._note_reachable(False, str(exc))
-                await curio.sleep(RETRY_SECONDS)
+                self._record_reachable(False, str(exc))
+                await curio.sleep(RETRY_DELAY_SECONDS)
 
     async def _list(self) -> int:
         listing = await self._platform.list(self._kind)
-        await self._listed(listing.by_name, listing.revision)
-        self.seen = True
+        await self._merge_listing(listing.by_name, listing.revision)
+        self.has_listed = True
         return listing.revision
 
     async def _watch(self, revision: int, seconds: float) -> int | None:
@@ -107,22 +107,22 @@
             log_info("history_lost", kind=self._kind, revision=revision)
             return None
         for change in changes.changes:
-            await self._changed(change.name, change.version, change.stored)
+            await self._merge_change(change.name, change.version, change.stored)
         revision = max(revision, changes.revision)
-        await self._watched(changes.changes, revision)
-        if changes.changes and self._gathers:
-            await curio.sleep(GATHER_SECONDS)
+        await self._handle_watched(changes.changes, revision)
+        if changes.changes and self._batches_changes:
+            await curio.sleep(BATCH_DELAY_SECONDS)
         return revision
 
-    async def _follow_peers(self, revision: int) -> int | None:
+    async def _wait_as_non_watcher(self, revision: int) -> int | None:
         """Wait a moment; return the revision to watch from."""
-        await curio.sleep(LOOK_SECONDS)
+        await curio.sleep(WATCHER_CHECK_SECONDS)
         return revision
 
-    async def _watched(self, changes: tuple[Change, ...], revision: int) -> None:
+    async def _handle_watched(self, changes: tuple[Change, ...], revision: int) -> None:
         """Pass on what a watch brought."""
 
-    def _note_reachable(self, reachable: bool, error: str) -> None:
+    def _record_reachable(self, reachable: bool, error: str) -> None:
         if reachable == self._reachable:
             return
         self._reachable = reachable
@@ -131,10 +131,12 @@
             return
         log_warning("dependency_lost", dependency=self._kind, error=error)
 
-    async def _listed(self, by_name: dict[str, Stored], revision: int) -> None:
+    async def _merge_listing(self, by_name: dict[str, Stored], revision: int) -> None:
         raise NotImplementedError
 
-    async def _changed(self, name: str, version: int, stored: Stored | None) -> None:
+    async def _merge_change(
+        self, name: str, version: int, stored: Stored | None
+    ) -> None:
         raise NotImplementedError
 
 
@@ -145,18 +147,22 @@
         self,
         *,
         platform: Platform,
-        take: ConfigurationTaker,
-        watches: Callable[[], bool],
+        apply: ConfigurationCallback,
+        is_watcher: Callable[[], bool],
     ) -> None:
-        super().__init__(platform=platform, kind=CONFIGURATION_KIND, watches=watches)
-        self._take = take
+        super().__init__(
+            platform=platform, kind=CONFIGURATION_KIND, is_watcher=is_watcher
+        )
+        self._apply = apply
 
-    async def _listed(self, by_name: dict[str, Stored], revision: int) -> None:
+    async def _merge_listing(self, by_name: dict[str, Stored], revision: int) -> None:
         stored = by_name.get(CONFIGURATION_NAME)
         if stored is not None:
-            await self._changed(stored.name, stored.version, stored)
+            await self._merge_change(stored.name, stored.version, stored)
 
-    async def _changed(self, name: str, version: int, stored: Stored | None) -> None:
+    async def _merge_change(
+        self, name: str, version: int, stored: Stored | None
+    ) -> None:
         if name != CONFIGURATION_NAME or stored is None:
             return
         try:
@@ -164,7 +170,7 @@
         except ConfigurationUnreadable as exc:
             log_warning("configuration_unreadable", version=version, error=str(exc))
             return
-        await self._take(configuration, stored.value)
+        await self._apply(configuration, stored.value)
 
 
 class UpstreamFollower(_Follower):
@@ -176,112 +182,120 @@
         Sends changes to the processes that don't watch.
     """
 
-    _gathers = True
+    _batches_changes = True
 
     def __init__(
         self,
         *,
         platform: Platform,
         directory: Directory,
-        take: MovesTaker,
-        watches: Callable[[], bool],
-        share: ChangesSharer,
+        apply: DirectoryChangesCallback,
+        is_watcher: Callable[[], bool],
+        forward: UpstreamChangesCallback,
     ) -> None:
-        super().__init__(platform=platform, kind=UPSTREAMS_KIND, watches=watches)
+        super().__init__(platform=platform, kind=UPSTREAMS_KIND, is_watcher=is_watcher)
         self._directory = directory
-        self._take = take
-        self._share = share
+        self._apply = apply
+        self._forward = forward
         self._feed = Feed()
 
     @property
-    def newest(self) -> int:
+    def newest_revision(self) -> int:
         """Revision of the newest change that this process knows of."""
-        return self._feed.newest
+        return self._feed.newest_revision
 
-    def heard_newest(self, revision: int) -> None:
+    def receive_newest_revision(self, revision: int) -> None:
         """Note the newest change that a peer knows of."""
-        self._feed.heard(revision)
+        self._feed.record_peer_revision(revision)
 
-    async def heard(self, message: UpstreamChanges) -> None:
+    async def receive_changes(self, message: UpstreamChanges) -> None:
         """Take in changes from a process that watches."""
         now = monotonic()
-        self._directory.lost_platform(now, seconds=message.lapse_seconds)
+        self._directory.record_outage(now, seconds=message.lapse_seconds)
         for change in map(change_of, message.objects):
-            await self._changed(change.name, change.version, change.stored)
-        whole = self._feed.passed_on(since=message.since, revision=message.revision)
-        if not whole:
+            await self._merge_change(change.name, change.version, change.stored)
+        is_complete = self._feed.record_forwarded(
+            since=message.since, revision=message.revision
+        )
+        if not is_complete:
             log_info(
                 "upstream_change_missing",
-                complete=self._feed.complete,
+                complete=self._feed.complete_revision,
                 since=message.since,
                 revision=message.revision,
             )
 
     async def expire(self) -> None:
         """Give up entries that did not come back after an outage."""
-        await self._take(self._directory.expire(monotonic()))
+        await self._apply(self._directory.expire(monotonic()))
 
-    def _note_reachable(self, reachable: bool, error: str) -> None:
+    def _record_reachable(self, reachable: bool, error: str) -> None:
         now = monotonic()
         if not reachable:
-            self._directory.lost_platform(now)
+            self._directory.record_outage(now)
         elif not self._reachable:
-            back_at = min(now, self._begun_at + ACCEPT_SECONDS)
-            self._directory.lost_platform(back_at)
-        super()._note_reachable(reachable, error)
+            back_at = min(now, self._called_at + CALL_ACCEPT_SECONDS)
+            self._directory.record_outage(back_at)
+        super()._record_reachable(reachable, error)
 
     async def _list(self) -> int:
         if not self._reachable:
-            self._directory.lost_platform(monotonic())
+            self._directory.record_outage(monotonic())
         return await super()._list()
 
     async def _watch(self, revision: int, seconds: float) -> int | None:
         if not self._reachable:
-            self._directory.lost_platform(monotonic())
+            self._directory.record_outage(monotonic())
         return await super()._watch(revision, seconds)
 
-    async def _follow_peers(self, revision: int) -> int | None:
-        revision = await super()._follow_peers(revision)
-        if not self._feed.lags(monotonic()):
-            return max(revision, self._feed.complete)
+    async def _wait_as_non_watcher(self, revision: int) -> int | None:
+        revision = await super()._wait_as_non_watcher(revision)
+        if not self._feed.is_lagging(monotonic()):
+            return max(revision, self._feed.complete_revision)
         # Entries may be missing after an outage that this process did not notice.
-        self._directory.lost_platform(monotonic())
-        log_info("upstreams_behind", complete=self._feed.complete)
+        self._directory.record_outage(monotonic())
+        log_info("upstreams_behind", complete=self._feed.complete_revision)
         return await self._watch(revision, 0.0)
 
-    async def _watched(self, changes: tuple[Change, ...], revision: int) -> None:
+    async def _handle_watched(self, changes: tuple[Change, ...], revision: int) -> None:
         newest = max((change.version for change in changes), default=0)
-        since = self._feed.watched(revision=revision, newest=newest)
-        if not changes or not self._watches():
+        since = self._feed.record_watch(revision=revision, newest=newest)
+        if not changes or not self._is_watcher():
             return
-        await self._share(
+        await self._forward(
             UpstreamChanges(
                 since=since,
                 revision=newest,
-                objects=tuple(versioned_change(self._kind, one) for one in changes),
-                lapse_seconds=self._directory.lapse_seconds(monotonic()),
+                objects=tuple(versioned_change(self._kind, entry) for entry in changes),
+                lapse_seconds=self._directory.outage_seconds_left(monotonic()),
             )
         )
 
-    async def _listed(self, by_name: dict[str, Stored], revision: int) -> None:
+    async def _merge_listing(self, by_name: dict[str, Stored], revision: int) -> None:
         readable = {}
         for name, stored in by_name.items():
-            upstream = _upstream(stored)
+            upstream = _decode_upstream(stored)
             if upstream is not None:
                 readable[name] = (stored.version, upstream)
-        moves = self._directory.listed(readable, revision=revision, now=monotonic())
+        changes = self._directory.merge_listing(
+            readable, revision=revision, now=monotonic()
+        )
         newest = max((stored.version for stored in by_name.values()), default=0)
-        self._feed.listed(revision=revision, newest=newest)
-        await self._take(moves)
+        self._feed.record_listing(revision=revision, newest=newest)
+        await self._apply(changes)
 
-    async def _changed(self, name: str, version: int, stored: Stored | None) -> None:
-        upstream = None if stored is None else _upstream(stored)
+    async def _merge_change(
+        self, name: str, version: int, stored: Stored | None
+    ) -> None:
+        upstream = None if stored is None else _decode_upstream(stored)
         now = monotonic()
         if upstream is None:
-            moves = self._directory.vanished(name, version=version, now=now)
+            changes = self._directory.record_deletion(name, version=version, now=now)
         else:
-            moves = self._directory.written(name, upstream, version=version, now=now)
-        await self._take(moves)
+            changes = self._directory.merge_entry(
+                name, upstream, version=version, now=now
+            )
+        await self._apply(changes)
 
 
 class EvacuationFollower(_Follower):
@@ -301,34 +315,38 @@
         self,
         *,
         platform: Platform,
-        take: ZonesTaker,
-        share: ZonesTaker,
-        watches: Callable[[], bool],
+        apply: ZonesCallback,
+        forward: ZonesCallback,
+        is_watcher: Callable[[], bool],
     ) -> None:
-        super().__init__(platform=platform, kind=EVACUATIONS_KIND, watches=watches)
-        self._take = take
-        self._share = share
+        super().__init__(
+            platform=platform, kind=EVACUATIONS_KIND, is_watcher=is_watcher
+        )
+        self._apply = apply
+        self._forward = forward
         self._zones: set[str] = set()
 
-    async def _listed(self, by_name: dict[str, Stored], revision: int) -> None:
+    async def _merge_listing(self, by_name: dict[str, Stored], revision: int) -> None:
         self._zones = set(by_name)
-        await self._take(evacuated_zones(self._zones, revision))
+        await self._apply(evacuated_zones(self._zones, revision))
 
-    async def _changed(self, name: str, version: int, stored: Stored | None) -> None:
+    async def _merge_change(
+        self, name: str, version: int, stored: Stored | None
+    ) -> None:
         if stored is None:
             self._zones.discard(name)
         else:
             self._zones.add(name)
 
-    async def _watched(self, changes: tuple[Change, ...], revision: int) -> None:
+    async def _handle_watched(self, changes: tuple[Change, ...], revision: int) -> None:
         if not changes:
             return
-        found = evacuated_zones(self._zones, revision)
-        await self._take(found)
-        await self._share(found)
+        evacuated = evacuated_zones(self._zones, revision)
+        await self._apply(evacuated)
+        await self._forward(evacuated)
 
 
-def _upstream(stored: Stored) -> Upstream | None:
+def _decode_upstream(stored: Stored) -> Upstream | None:
     try:
         return decode_value(stored.value, Upstream)
     except ConfigurationUnreadable as exc:
--- a/src/ragwortkeel/ingress/front.py
+++ b/src/ragwortkeel/ingress/front.py
@@ -16,7 +16,7 @@
 from ragwortkeel.ingress.attempt import Call
 from ragwortkeel.ingress.configuration import Customer, Route
 from ragwortkeel.ingress.exchange import Accepted, Exchange
-from ragwortkeel.ingress.front_parts import FrontParts
+from ragwortkeel.ingress.front_components import FrontComponents
 from ragwortkeel.ingress.placement import Job
 from ragwortkeel.ingress.routing import (
     NoRoute,
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    parts : FrontParts
+    components : FrontComponents
         What requests share.
 
     Attributes
@@ -46,23 +46,25 @@
         Whether a planned stop is so far that a new request could be cut.
     """
 
-    def __init__(self, *, parts: FrontParts) -> None:
+    def __init__(self, *, components: FrontComponents) -> None:
         self.table: RoutingTable | None = None
         self.stopping = False
-        self._parts = parts
-        self._names = parts.names
+        self._components = components
+        self._names = components.names
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Serve one request."""
         match self._accept(request):
             case Accepted() as accepted:
-                exchange = Exchange(parts=self._parts, accepted=accepted, to=responder)
+                exchange = Exchange(
+                    parts=self._components, accepted=accepted, to=responder
+                )
                 await exchange.run()
             case Answer() as answer:
                 request_id = request.headers.get(self._names.request_id, "")
                 table = self.table
                 revision = table.configuration.revision if table else None
-                self._parts.refused(
+                self._components.record_refusal(
                     request_id, answer, route="", waited=0.0, revision=revision
                 )
                 await send_answer(responder, answer)
@@ -76,7 +78,7 @@
         routing = self.table.route(
             host=headers.get("host", ""),
             path=request.target.partition("?")[0],
-            key=_key(headers.get("authorization", "")),
+            key=_api_key(headers.get("authorization", "")),
         )
         match routing:
             case NoRoute():
@@ -84,9 +86,9 @@
             case UnknownKey():
                 return UNKNOWN_KEY
             case Routed(route=route, customer=customer):
-                return self._routed(request, route, customer)
+                return self._accept_routed(request, route, customer)
 
-    def _routed(
+    def _accept_routed(
         self, request: Request, route: Route, customer: Customer | None
     ) -> Accepted | Answer:
         names, headers = self._names, request.headers
@@ -107,7 +109,7 @@
             memory_tokens=usage.total if usage else 0,
             regions=_regions(route, customer),
         )
-        patience = min(_deadline(headers.get(names.deadline)), route.timeout_seconds)
+        timeout = min(_deadline(headers.get(names.deadline)), route.timeout_seconds)
         call = Call(
             request_id=request_id,
             method=request.method,
@@ -115,7 +117,7 @@
             fields=request.fields,
             body=request.body,
             route=route,
-            deadline=request.arrived_at + patience,
+            deadline=request.arrived_at + timeout,
             customer=job.customer,
             urgency=min(LOWEST_URGENCY, job.priority) if service.engine else None,
             last_event=headers.get(names.last_event, ""),
@@ -135,13 +137,17 @@
 
 def _regions(route: Route, customer: Customer | None) -> frozenset[str] | None:
     """Return where a request may run: where both have homes, in those of both."""
-    homes = [one for one in (route.homes, customer.homes if customer else ()) if one]
-    if not homes:
+    home_sets = [
+        regions
+        for regions in (route.homes, customer.homes if customer else ())
+        if regions
+    ]
+    if not home_sets:
         return None
-    return frozenset.intersection(*map(frozenset, homes))
+    return frozenset.intersection(*map(frozenset, home_sets))
 
 
-def _key(authorization: str) -> str:
+def _api_key(authorization: str) -> str:
     if not authorization.lower().startswith(BEARER):
         return ""
     return authorization[len(BEARER) :].strip()
--- a/src/ragwortkeel/ingress/front_parts.py
+++ b/src/ragwortkeel/ingress/front_components.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FrontParts:
+class FrontComponents:
     """The parts that bring requests to their answers."""
 
     names: HeaderNames
@@ -34,7 +34,7 @@
     stated_limits: StatedLimits
     metrics: Metrics
 
-    def refused(
+    def record_refusal(
         self,
         request_id: str,
         answer: Answer,
@@ -58,12 +58,12 @@
             service="", outcome=answer.result, reason=answer.reason
         )
 
-    async def suspect(self, upstream: Upstream, fingerprint: str) -> None:
+    async def check_for_crash(self, upstream: Upstream, fingerprint: str) -> None:
         """Look, beside the request, whether an upstream that broke off is down."""
         self.crashes.broken(upstream, fingerprint)
-        await curio.spawn(self._look_at, upstream, daemon=True)
+        await curio.spawn(self._check_connection, upstream, daemon=True)
 
-    async def _look_at(self, upstream: Upstream) -> None:
+    async def _check_connection(self, upstream: Upstream) -> None:
         if await self.connections.is_down(upstream):
             self.crashes.down(upstream)
             self.placement.failed(upstream.name, Failure.CRASHED, monotonic())
--- a/src/ragwortkeel/ingress/introductions.py
+++ b/src/ragwortkeel/ingress/introductions.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-NEWS_SECONDS = 2.0
+ANNOUNCE_INTERVAL_SECONDS = 2.0
 """How often peers are told of new processes, so that many that start at once are one
 message; and how often one peer is told the whole list."""
 
@@ -23,7 +23,7 @@
     relays: tuple[str, ...] = ()
 
 
-NOBODY = Introduction()
+NO_INTRODUCTION = Introduction()
 
 
 class Introductions:
@@ -50,31 +50,31 @@
         self._address = address
         self.known: set[str] = set(seeds) - {address}
         self.relays: set[str] = {address} if is_relay else set()
-        self._told: set[str] = set()
-        self._told_relays: set[str] = set()
-        self._told_at = float("-inf")
+        self._announced: set[str] = set()
+        self._announced_relays: set[str] = set()
+        self._announced_at = float("-inf")
 
-    def meet(self, introduction: Introduction) -> None:
+    def add(self, introduction: Introduction) -> None:
         """Take in what a peer told, or the settings."""
         self.known |= set(introduction.addresses) - {self._address}
         self.relays |= set(introduction.relays)
 
-    def whole(self) -> Introduction:
+    def snapshot(self) -> Introduction:
         """Return all, for one peer."""
         return _introduction(self.known, self.relays)
 
-    def due(self, now: float) -> Introduction | None:
+    def drain_update(self, now: float) -> Introduction | None:
         """Return what to tell all peers at this monotonic second; None if nothing.
 
         What is returned counts as told.
         """
-        news = self.known - self._told, self.relays - self._told_relays
-        if not any(news) or now - self._told_at < NEWS_SECONDS:
+        update = self.known - self._announced, self.relays - self._announced_relays
+        if not any(update) or now - self._announced_at < ANNOUNCE_INTERVAL_SECONDS:
             return None
-        self._told_at = now
-        self._told |= self.known
-        self._told_relays |= self.relays
-        return _introduction(*news)
+        self._announced_at = now
+        self._announced |= self.known
+        self._announced_relays |= self.relays
+        return _introduction(*update)
 
 
 def _introduction(known: set[str], relays: set[str]) -> Introduction:
--- a/src/ragwortkeel/ingress/mesh.py
+++ b/src/ragwortkeel/ingress/mesh.py
@@ -4,10 +4,12 @@
 all of them at one pace the heartbeats and their echoes grow with the square of the
 fleet, and leave an instance little processor time and bandwidth for its callers.
 
-- A relay is needed in a cut only, so a process keeps links to `RELAYS` of them.  Which
-  ones differs from process to process, by rendezvous hashing: in a cut the calls
-  spread over all relays, and one that is lost costs few processes their way.
-- A relay makes itself known to `ADVERTISED_TO` ingress processes, which tell the rest.
+- A relay is needed in a cut only, so a process keeps links to
+  `RELAY_LINKS_PER_INGRESS` of them.  Which ones differs from process to process, by
+  rendezvous hashing: in a cut the calls spread over all relays, and one that is lost
+  costs few processes their way.
+- A relay makes itself known to `INGRESS_LINKS_PER_RELAY` ingress processes,
+  which tell the rest.
 - The links to ingress processes share `HEARTBEATS_PER_SECOND`.  Only those to the
   processes that may write ledgers for this one keep the full pace.
 """
@@ -20,13 +22,13 @@
 from ragwortkeel.ingress.introductions import Introductions
 from ragwortkeel.links import Link
 
-RELAYS = 4
+RELAY_LINKS_PER_INGRESS = 4
 """Links to relays that a process keeps up; together they bear several deaths."""
 
-ADVERTISED_TO = 3
+INGRESS_LINKS_PER_RELAY = 3
 """Links to ingress processes that a relay keeps up."""
 
-WRITERS_WATCHED = 3
+FULL_PACE_WRITER_COUNT = 3
 """Of the order of writers, the first ones; their links keep the full pace."""
 
 HEARTBEATS_PER_SECOND = 20.0
@@ -44,36 +46,36 @@
 RELAY_SILENCE_SECONDS = 3.5
 """Three lost heartbeats and some slack."""
 
-OPENING_SECONDS = 1.0
+CONNECT_GRACE_SECONDS = 1.0
 """A fresh link that is not up counts as down after so long: all start together."""
 
-SPARE_SECONDS = 10.0
+UNNEEDED_LINK_SECONDS = 10.0
 """A link that is no longer needed is closed after so long, when the calls on it have
 ended."""
 
 
-def by_rendezvous(own: str, names: Iterable[str]) -> list[str]:
+def rendezvous_order(own: str, names: Iterable[str]) -> list[str]:
     """Return the names in an order that differs from one `own` to another."""
-    return sorted(names, key=lambda name: _weight(own, name))
+    return sorted(names, key=lambda name: _rendezvous_weight(own, name))
 
 
-def first_up(
+def first_live(
     order: Iterable[str], *, is_down: Callable[[str], bool], count: int
 ) -> list[str]:
     """Return the shortest beginning of the order with `count` names not down.
 
     A name that has not been tried yet is not down.
     """
-    chosen, left = [], count
+    chosen, missing_count = [], count
     for name in order:
-        if not left:
+        if not missing_count:
             break
         chosen.append(name)
-        left -= not is_down(name)
+        missing_count -= not is_down(name)
     return chosen
 
 
-def idle_pause(links: int) -> float:
+def heartbeat_idle_seconds(links: int) -> float:
     """Return the pause after an answered heartbeat, in seconds, on each of so many."""
     return max(0.0, links / HEARTBEATS_PER_SECOND - HEARTBEAT_SECONDS)
 
@@ -107,32 +109,34 @@
         self._is_relay = is_relay
         self._new_link = new_link
         self._opened_at: dict[str, float] = {}
-        self._spare_since: dict[str, float] = {}
+        self._unneeded_since: dict[str, float] = {}
 
-    def up(self) -> list[Link]:
+    def live_links(self) -> list[Link]:
         """Return the links whose peer is heard."""
         return [link for link in self.link_by_address.values() if link.up]
 
-    def routers(self) -> dict[str, Link]:
+    def ingress_links(self) -> dict[str, Link]:
         """Return the links that are up to processes that place requests."""
         relays = self._introductions.relays
-        return {link.name: link for link in self.up() if link.name not in relays}
+        return {
+            link.name: link for link in self.live_links() if link.name not in relays
+        }
 
-    def relays(self) -> dict[str, Link]:
+    def relay_links(self) -> dict[str, Link]:
         """Return the links that are up to processes that only relay."""
         relays = self._introductions.relays
-        return {link.name: link for link in self.up() if link.name in relays}
+        return {link.name: link for link in self.live_links() if link.name in relays}
 
     def platform_relays(self) -> list[Link]:
         """Return the links that may carry calls of the platform, the best first."""
         links = []
-        for by_address in (self.relays(), self.routers()):
-            links += [by_address[name] for name in self._preferred(by_address)]
+        for by_address in (self.relay_links(), self.ingress_links()):
+            links += [by_address[name] for name in self._in_own_order(by_address)]
         return links
 
-    def missing(self) -> list[Link]:
+    def add_missing(self) -> list[Link]:
         """Return new links to processes that this one should link to."""
-        new = self._wanted() - self.link_by_address.keys()
+        new = self._needed_addresses() - self.link_by_address.keys()
         for address in new:
             heartbeat, silence = HEARTBEAT_SECONDS, SILENCE_SECONDS
             if self._is_relay or address in self._introductions.relays:
@@ -142,46 +146,52 @@
             self._opened_at[address] = monotonic()
         return [self.link_by_address[address] for address in new]
 
-    def spare(self, now: float | None = None) -> list[str]:
+    def remove_unneeded(self, now: float | None = None) -> list[str]:
         """Forget the links that have not been needed for long; return them."""
         now = monotonic() if now is None else now
-        unneeded = self.link_by_address.keys() - self._wanted()
-        since = {name: self._spare_since.get(name, now) for name in unneeded}
-        spare = [name for name, at in since.items() if now - at >= SPARE_SECONDS]
-        for name in spare:
+        unneeded = self.link_by_address.keys() - self._needed_addresses()
+        since = {name: self._unneeded_since.get(name, now) for name in unneeded}
+        removed = [
+            name
+            for name, unneeded_at in since.items()
+            if now - unneeded_at >= UNNEEDED_LINK_SECONDS
+        ]
+        for name in removed:
             del since[name]
             del self.link_by_address[name]
             del self._opened_at[name]
-        self._spare_since = since
-        return spare
+        self._unneeded_since = since
+        return removed
 
-    def set_pace(self, full: Iterable[str]) -> None:
+    def set_heartbeat_pace(self, full_pace: Iterable[str]) -> None:
         """Let the links share the heartbeats, but for those at full pace."""
-        at_full = set(full) | self._introductions.relays
-        idle = idle_pause(len(self.link_by_address))
+        at_full_pace = set(full_pace) | self._introductions.relays
+        idle = heartbeat_idle_seconds(len(self.link_by_address))
         for address, link in self.link_by_address.items():
-            link.idle_seconds = 0.0 if address in at_full or self._is_relay else idle
+            link.idle_seconds = (
+                0.0 if address in at_full_pace or self._is_relay else idle
+            )
 
-    def _wanted(self) -> set[str]:
+    def _needed_addresses(self) -> set[str]:
         relays = self._introductions.relays
         routers = self._introductions.known - relays
         if self._is_relay:
-            return set(self._first_up(routers, ADVERTISED_TO))
-        return routers | set(self._first_up(relays, RELAYS))
+            return set(self._first_live(routers, INGRESS_LINKS_PER_RELAY))
+        return routers | set(self._first_live(relays, RELAY_LINKS_PER_INGRESS))
 
-    def _first_up(self, names: Iterable[str], count: int) -> list[str]:
-        return first_up(self._preferred(names), is_down=self._is_down, count=count)
+    def _first_live(self, names: Iterable[str], count: int) -> list[str]:
+        return first_live(self._in_own_order(names), is_down=self._is_down, count=count)
 
     def _is_down(self, address: str) -> bool:
         link = self.link_by_address.get(address)
         if link is None or link.up:
             return False
-        return monotonic() - self._opened_at[address] >= OPENING_SECONDS
+        return monotonic() - self._opened_at[address] >= CONNECT_GRACE_SECONDS
 
-    def _preferred(self, names: Iterable[str]) -> list[str]:
-        return by_rendezvous(self._address, names)
+    def _in_own_order(self, names: Iterable[str]) -> list[str]:
+        return rendezvous_order(self._address, names)
 
 
 @lru_cache(maxsize=4096)
-def _weight(own: str, name: str) -> bytes:
+def _rendezvous_weight(own: str, name: str) -> bytes:
     return blake2b(f"{own}/{name}".encode(), digest_size=8).digest()
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -15,15 +15,15 @@
 from ragwortkeel.budget.sizing import ASKED_AT_ONCE, best_givers
 from ragwortkeel.exceptions import LinkLost
 from ragwortkeel.ingress.catch_up import (
-    GRACE_SECONDS,
-    UNWATCHED_GRACE_SECONDS,
+    NON_WATCHER_GRACE_SECONDS,
+    WATCHER_GRACE_SECONDS,
     CatchUp,
-    Question,
+    ConfigurationRequest,
 )
 from ragwortkeel.ingress.configuration import CONFIGURATION_KIND, CONFIGURATION_NAME
 from ragwortkeel.ingress.introductions import (
-    NEWS_SECONDS,
-    NOBODY,
+    ANNOUNCE_INTERVAL_SECONDS,
+    NO_INTRODUCTION,
     Introduction,
     Introductions,
 )
@@ -33,11 +33,11 @@
     LoadReports,
     hold_seconds,
 )
-from ragwortkeel.ingress.mesh import WRITERS_WATCHED, Mesh
+from ragwortkeel.ingress.mesh import FULL_PACE_WRITER_COUNT, Mesh
 from ragwortkeel.ingress.peer_handler import PeerHandler
 from ragwortkeel.ingress.placement import Load
 from ragwortkeel.ingress.relaying import carry_out
-from ragwortkeel.ingress.watching import SHARERS, watchers
+from ragwortkeel.ingress.watching import FORWARDER_COUNT, select_watchers
 from ragwortkeel.ingress.writers import Writers
 from ragwortkeel.links import Endpoint, Link, LinkDown, LinkUp, Received
 from ragwortkeel.logs import log_debug, log_info, log_warning
@@ -66,20 +66,20 @@
 from ragwortkeel.platform import Platform
 from ragwortkeel.traffic import Traffic, largest
 
-CLOCKS_SECONDS = 2.0
+CLOCK_QUERY_SECONDS = 2.0
 """How often some peers are asked for their time of day; an old answer stays good."""
 
-CLOCKS_ASKED = 4
+CLOCK_QUERY_PEER_COUNT = 4
 """Peers asked at a time, beside each one that is heard anew."""
 
-ANNOUNCED_TO = 8
+REVISION_PEER_COUNT = 8
 """Peers that are sent word of a new revision at once; the others have it from the
 platform, or from the next message of any of those."""
 
-TRAFFIC_SECONDS = 2.0
+TRAFFIC_LOG_SECONDS = 2.0
 """How often it is logged what the links carry: a line a process, however busy."""
 
-CATCH_UP_LOOK_SECONDS = 0.05
+CATCH_UP_POLL_SECONDS = 0.05
 """How often it is looked at whether to ask a peer, while one has a newer
 configuration than this process."""
 
@@ -145,15 +145,15 @@
         self._reports = LoadReports()
         self.writers = Writers(
             address=address,
-            links=self._mesh.routers,
-            processes=lambda: self.known_routers,
+            links=self._mesh.ingress_links,
+            processes=lambda: self.ingress_count,
             reply=self._send_answer,
             own_step=handler.writing_step,
             leaves=lambda: handler.heartbeat().leaving,
         )
-        self._called_parts = False
-        self._relays_asked: set[str] = set()
-        self._behind = curio.Event()
+        self._requested_blocks = False
+        self._queried_relays: set[str] = set()
+        self._behind_event = curio.Event()
         self._random = Random(incarnation)
         self._catch_up = CatchUp(random=self._random)
         self._tasks = curio.TaskGroup(wait=None)
@@ -163,74 +163,74 @@
         self._endpoint.open()
 
     @property
-    def known(self) -> int:
+    def known_count(self) -> int:
         """Other processes that this one has heard of."""
         return len(self._introductions.known)
 
     @property
-    def routers(self) -> frozenset[str]:
+    def ingress_addresses(self) -> frozenset[str]:
         """Addresses of the other processes that place requests, heard now or not."""
         return frozenset(self._introductions.known - self._introductions.relays)
 
     @property
-    def known_routers(self) -> int:
+    def ingress_count(self) -> int:
         """Processes that place requests, this one among them, heard now or not."""
-        return len(self.routers) + (not self._is_relay)
+        return len(self.ingress_addresses) + (not self._is_relay)
 
     @property
-    def clocks(self) -> int:
+    def clock_source_count(self) -> int:
         """Other processes whose time of day this one asks for."""
-        return self.known_routers - 1 + len(self._relays_asked)
+        return self.ingress_count - 1 + len(self._queried_relays)
 
     @property
-    def count(self) -> int:
+    def live_count(self) -> int:
         """Peers that were heard lately."""
-        return len(self._mesh.up())
+        return len(self._mesh.live_links())
 
     async def run(self) -> None:
         """Talk to peers until cancelled."""
         async with self._tasks:
-            await self._tasks.spawn(self._answer, daemon=True)
-            await self._tasks.spawn(self._tell, daemon=True)
-            await self._tasks.spawn(self._report, daemon=True)
+            await self._tasks.spawn(self._receive, daemon=True)
+            await self._tasks.spawn(self._send_reports, daemon=True)
+            await self._tasks.spawn(self._log_traffic, daemon=True)
             if not self._is_relay:
-                await self._tasks.spawn(self._keep_up, daemon=True)
+                await self._tasks.spawn(self._request_configurations, daemon=True)
             while True:
-                await self._linked(await self._inbox.get())
+                await self._handle_link_event(await self._inbox.get())
 
-    def meet(self, addresses: tuple[str, ...]) -> None:
+    def add_addresses(self, addresses: tuple[str, ...]) -> None:
         """Link to these peers too."""
-        self._introductions.meet(Introduction(addresses=addresses))
+        self._introductions.add(Introduction(addresses=addresses))
 
     def platform_relays(self) -> list[Link]:
         """Return the links to peers that may relay, pure relays first."""
         return self._mesh.platform_relays()
 
-    async def announce(self) -> None:
+    async def announce_revision(self) -> None:
         """Let some peers hear of a new revision now: any message tells it."""
-        await self._send(Heartbeat(), self._some_routers(ANNOUNCED_TO))
+        await self._send(Heartbeat(), self._sample_ingress_links(REVISION_PEER_COUNT))
 
-    def watches(self) -> bool:
+    def is_watcher(self) -> bool:
         """Whether this process is to watch the platform, for those that don't."""
-        return self._address in self._watchers()
+        return self._address in self._current_watchers()
 
-    async def share(self, changes: UpstreamChanges | EvacuatedZones) -> None:
+    async def forward_changes(self, changes: UpstreamChanges | EvacuatedZones) -> None:
         """Send what a watch brought to the processes that don't watch."""
-        watching = self._watchers()
-        if self._address not in watching[:SHARERS]:
+        watching = self._current_watchers()
+        if self._address not in watching[:FORWARDER_COUNT]:
             return
-        routers = self._mesh.routers()
-        others = routers.keys() - set(watching)
-        await self._send(changes, [routers[name] for name in others])
+        ingress_links = self._mesh.ingress_links()
+        others = ingress_links.keys() - set(watching)
+        await self._send(changes, [ingress_links[name] for name in others])
 
-    def _watchers(self) -> list[str]:
-        return watchers([self._address, *self._mesh.routers()])
+    def _current_watchers(self) -> list[str]:
+        return select_watchers([self._address, *self._mesh.ingress_links()])
 
     async def send_crash(self, crash: CrashSeen) -> None:
         """Tell all peers that place requests of a crash and what ran there."""
-        await self._send(crash, list(self._mesh.routers().values()))
+        await self._send(crash, list(self._mesh.ingress_links().values()))
 
-    async def ask_loan(self, customer: str, account: Account) -> None:
+    async def request_loan(self, customer: str, account: Account) -> None:
         """Ask the peers that hold most for tokens of a customer."""
         need = account.need(monotonic())
         request = LoanRequest(
@@ -240,27 +240,27 @@
             demand=need.demand,
             largest_request=need.largest_request,
         )
-        await self._send(request, self._givers(account, need.lacking))
+        await self._send(request, self._lender_links(account, need.lacking))
 
-    def _some_routers(self, most: int) -> list[Link]:
-        return self._some(list(self._mesh.routers().values()), most)
+    def _sample_ingress_links(self, count: int) -> list[Link]:
+        return self._sample(list(self._mesh.ingress_links().values()), count)
 
-    def _some(self, links: list[Link], most: int) -> list[Link]:
-        return self._random.sample(links, min(most, len(links)))
+    def _sample(self, links: list[Link], count: int) -> list[Link]:
+        return self._random.sample(links, min(count, len(links)))
 
-    def _givers(self, account: Account, lacking: int) -> list[Link]:
-        holders = best_givers(
+    def _lender_links(self, account: Account, lacking: int) -> list[Link]:
+        lenders = best_givers(
             account.ledger, router=account.slice.router, lacking=lacking
         )
-        up = self.writers.links_of(holder.partition("/")[0] for holder in holders)
-        return up or self._some_routers(ASKED_AT_ONCE)
+        links = self.writers.links_of(holder.partition("/")[0] for holder in lenders)
+        return links or self._sample_ingress_links(ASKED_AT_ONCE)
 
-    async def _ask_time(self, links: list[Link]) -> None:
+    async def _query_clocks(self, links: list[Link]) -> None:
         # A relay has no use for the time.
         if self._is_relay:
             return
         names = {link.name for link in links}
-        self._relays_asked |= names & self._introductions.relays
+        self._queried_relays |= names & self._introductions.relays
         await self._send(ClockQuestion(asked_at=read_clocks().boot), links)
 
     async def _send(self, message, links: list[Link]) -> None:
@@ -268,59 +268,68 @@
             if link.up:
                 await link.try_send(message)
 
-    async def _tell(self) -> None:
+    async def _send_reports(self) -> None:
         """Report loads and new addresses, and link to peers that are new.
 
         A few peers at a time: copies for dozens of them in one go are a tenth of a
         second of a small instance's link, in which callers' events wait.
         """
-        asked_time_at = told_whole_at = float("-inf")
+        clocks_queried_at = snapshot_sent_at = float("-inf")
         while True:
-            await self._keep_links()
+            await self._update_links()
             now = monotonic()
-            if now - asked_time_at >= CLOCKS_SECONDS:
-                asked_time_at = now
-                await self._ask_time(self._some(self._mesh.up(), CLOCKS_ASKED))
-            if now - told_whole_at >= NEWS_SECONDS:
-                told_whole_at = now
-                await self._tell_one_the_whole()
-            introduction = self._introductions.due(now)
+            if now - clocks_queried_at >= CLOCK_QUERY_SECONDS:
+                clocks_queried_at = now
+                await self._query_clocks(
+                    self._sample(self._mesh.live_links(), CLOCK_QUERY_PEER_COUNT)
+                )
+            if now - snapshot_sent_at >= ANNOUNCE_INTERVAL_SECONDS:
+                snapshot_sent_at = now
+                await self._send_snapshot()
+            introduction = self._introductions.drain_update(now)
             if introduction is not None:
-                await self._send(self._state(introduction), self._only_introduced())
-            await self._tell_routers(introduction or NOBODY)
+                await self._send(self._state(introduction), self._links_without_loads())
+            await self._report_to_ingress(introduction or NO_INTRODUCTION)
 
-    async def _keep_links(self) -> None:
-        for link in self._mesh.missing():
+    async def _update_links(self) -> None:
+        for link in self._mesh.add_missing():
             task = await self._tasks.spawn(link.run, daemon=True)
             self._task_by_address[link.name] = task
-        for address in self._mesh.spare():
+        for address in self._mesh.remove_unneeded():
             await self._task_by_address.pop(address).cancel()
-            self._catch_up.lost(address)
+            self._catch_up.remove(address)
             log_info("link_closed", address=address, reason="not needed")
-        full = {*self.writers.first(WRITERS_WATCHED), *self._watchers()}
-        self._mesh.set_pace(full)
+        full_pace = {
+            *self.writers.first(FULL_PACE_WRITER_COUNT),
+            *self._current_watchers(),
+        }
+        self._mesh.set_heartbeat_pace(full_pace)
 
-    async def _tell_one_the_whole(self) -> None:
-        up = self._mesh.up()
-        if up:
-            whole = self._state(self._introductions.whole())
-            await self._random.choice(up).try_send(whole)
+    async def _send_snapshot(self) -> None:
+        links = self._mesh.live_links()
+        if links:
+            snapshot = self._state(self._introductions.snapshot())
+            await self._random.choice(links).try_send(snapshot)
 
-    async def _tell_routers(self, introduction: Introduction) -> None:
+    async def _report_to_ingress(self, introduction: Introduction) -> None:
         """Report to all processes that place requests; take the time for a round."""
-        routers = [] if self._is_relay else list(self._mesh.routers().values())
+        ingress_links = (
+            [] if self._is_relay else list(self._mesh.ingress_links().values())
+        )
         parts = self._handler.parts_news()
-        for first in range(0, max(1, len(routers)), PEERS_AT_FULL_RATE):
+        for first in range(0, max(1, len(ingress_links)), PEERS_AT_FULL_RATE):
             state, now = self._state(introduction, parts), monotonic()
-            group = routers[first : first + PEERS_AT_FULL_RATE]
+            group = ingress_links[first : first + PEERS_AT_FULL_RATE]
             due = [link for link in group if self._reports.due(link.name, state, now)]
             await self._send(state, due)
             await curio.sleep(REPORT_SECONDS)
 
-    def _only_introduced(self) -> list[Link]:
+    def _links_without_loads(self) -> list[Link]:
         """Return the links to peers that have no use for loads."""
-        only = self._mesh.routers() if self._is_relay else self._mesh.relays()
-        return list(only.values())
+        links = (
+            self._mesh.ingress_links() if self._is_relay else self._mesh.relay_links()
+        )
+        return list(links.values())
 
     def _state(
         self,
@@ -354,27 +363,27 @@
             traffic=self._traffic,
         )
 
-    async def _report(self) -> None:
+    async def _log_traffic(self) -> None:
         """Say what the links carry: a link that is full only makes things late."""
         while True:
-            await curio.sleep(TRAFFIC_SECONDS)
+            await curio.sleep(TRAFFIC_LOG_SECONDS)
             report = self._traffic.take()
             self._metrics.link_traffic(report)
             log_info(
                 "link_traffic",
                 sent=report.sent,
                 heard=report.heard,
-                seconds=TRAFFIC_SECONDS,
+                seconds=TRAFFIC_LOG_SECONDS,
                 most_sent=largest(report.sent_by_kind),
                 most_heard=largest(report.heard_by_kind),
             )
 
-    async def _linked(self, event) -> None:
+    async def _handle_link_event(self, event) -> None:
         if event.peer not in self._mesh.link_by_address:
             # The link was closed with this event on its way.
             return
         if isinstance(event, Received):
-            await self._note_revision(event.peer, event.envelope.revision)
+            await self._record_revision(event.peer, event.envelope.revision)
             sender = event.envelope.sender.partition("/")[0]
             self.writers.note_address(node=sender, address=event.peer)
         match event:
@@ -389,81 +398,94 @@
             case Received(peer=peer, envelope=Envelope(message=Heartbeat() as beat)):
                 self.writers.note_leaving(peer, leaving=beat.leaving)
             case LinkDown(peer=peer):
-                self._catch_up.lost(peer)
+                self._catch_up.remove(peer)
                 log_warning("dependency_lost", dependency="peer", address=peer)
             case Received(envelope=envelope):
-                await self._take(envelope.message)
+                await self._handle_message(envelope.message)
 
     async def _greet(self, link: Link) -> None:
         """Tell a peer that is heard again little: all are, at the end of a cut."""
-        await self._send(self._state(self._introductions.whole()), [link])
-        await self._ask_time([link])
+        await self._send(self._state(self._introductions.snapshot()), [link])
+        await self._query_clocks([link])
         to_relay = link.name in self._introductions.relays
-        if not (self._is_relay or self._called_parts or to_relay):
-            self._called_parts = await link.try_send(PartsCall())
+        if not (self._is_relay or self._requested_blocks or to_relay):
+            self._requested_blocks = await link.try_send(PartsCall())
 
-    async def _note_revision(self, peer: str, revision: int) -> None:
-        self._catch_up.heard(peer, revision)
+    async def _record_revision(self, peer: str, revision: int) -> None:
+        self._catch_up.record_revision(peer, revision)
         self._handler.heard_revision(peer, revision)
         if revision > self._handler.revision():
-            await self._behind.set()
+            await self._behind_event.set()
 
-    async def _note_sender(self, envelope: Envelope) -> None:
+    async def _record_sender_revision(self, envelope: Envelope) -> None:
         """Note the revision of a peer that sends over a link of its own."""
         link = self.writers.link_of(envelope.sender.partition("/")[0])
         if link is not None:
-            await self._note_revision(link.name, envelope.revision)
+            await self._record_revision(link.name, envelope.revision)
 
-    async def _keep_up(self) -> None:
+    async def _request_configurations(self) -> None:
         """Ask a peer for the configuration where this process stays behind."""
         while True:
-            await self._behind.wait()
-            own = self._handler.revision()
-            grace = GRACE_SECONDS if self.watches() else UNWATCHED_GRACE_SECONDS
-            question = self._catch_up.ask(own=own, now=monotonic(), grace=grace)
-            if question is not None:
-                await self._ask_configuration(question, own)
-            if not self._catch_up.behind:
-                self._behind.clear()
-            await curio.sleep(CATCH_UP_LOOK_SECONDS)
-
-    async def _ask_configuration(self, question: Question, own: int) -> None:
+            await self._behind_event.wait()
+            own_revision = self._handler.revision()
+            grace_seconds = (
+                WATCHER_GRACE_SECONDS
+                if self.is_watcher()
+                else NON_WATCHER_GRACE_SECONDS
+            )
+            request = self._catch_up.next_request(
+                own_revision=own_revision, now=monotonic(), grace_seconds=grace_seconds
+            )
+            if request is not None:
+                await self._send_pull(request, own_revision)
+            if not self._catch_up.is_behind:
+                self._behind_event.clear()
+            await curio.sleep(CATCH_UP_POLL_SECONDS)
+
+    async def _send_pull(
+        self, request: ConfigurationRequest, own_revision: int
+    ) -> None:
         log_info(
-            "configuration_asked", peer=question.peer, heard=question.heard, own=own
+            "configuration_asked",
+            peer=request.peer,
+            heard=request.revision,
+            own=own_revision,
         )
         pull = ConfigurationPull(
-            kind=CONFIGURATION_KIND, ranks={CONFIGURATION_NAME: (False, own)}
+            kind=CONFIGURATION_KIND, ranks={CONFIGURATION_NAME: (False, own_revision)}
         )
-        await self._mesh.link_by_address[question.peer].try_send(pull)
+        await self._mesh.link_by_address[request.peer].try_send(pull)
 
-    def _pushed(self, pull: ConfigurationPull) -> ConfigurationPush | None:
+    def _configuration_push(self, pull: ConfigurationPull) -> ConfigurationPush | None:
         """Return the configuration for a peer that is behind."""
         configuration = self._handler.configuration_object()
         if configuration is None:
             return None
-        _, peers = pull.ranks.get(configuration.name, (False, 0))
-        if configuration.version <= peers:
+        _, peer_revision = pull.ranks.get(configuration.name, (False, 0))
+        if configuration.version <= peer_revision:
             return None
         return ConfigurationPush(objects=(configuration,))
 
-    async def _answer(self) -> None:
+    async def _receive(self) -> None:
         """Take what peers send over their own links; echo what keeps them up."""
         while True:
             received = await self._endpoint.receive()
-            await self._note_sender(received.envelope)
+            await self._record_sender_revision(received.envelope)
             message = received.envelope.message
             if isinstance(message, HandedRenewals):
                 self.writers.note_identity(message.holder, received.peer)
             if isinstance(message, PlatformCall | LoanRequest):
                 # These wait for the platform, and what comes next does not.
-                serve = self._serve, received.peer, message
-                await self._tasks.spawn(*serve, daemon=True)
+                call = self._handle_slow_message, received.peer, message
+                await self._tasks.spawn(*call, daemon=True)
                 continue
-            answer = await self._take(message)
+            answer = await self._handle_message(message)
             if answer is not None:
                 await self._send_answer(received.peer, answer)
 
-    async def _serve(self, peer: str, message: PlatformCall | LoanRequest) -> None:
+    async def _handle_slow_message(
+        self, peer: str, message: PlatformCall | LoanRequest
+    ) -> None:
         match message:
             case PlatformCall(operation=operation) as call:
                 answer = await carry_out(self._platform, call)
@@ -478,15 +500,15 @@
         except LinkLost as exc:
             log_debug("peer_answer_lost", peer=peer, error=str(exc))
 
-    async def _take(self, message):
+    async def _handle_message(self, message):
         """Take one message in; return what to answer."""
         match message:
             case IngressState() as state:
-                await self._take_state(state)
+                await self._merge_state(state)
             case ConfigurationPush() | ConfigurationPull():
-                return await self._take_configuration(message)
+                return await self._handle_configuration(message)
             case PartsCall() | Heartbeat() | ClockQuestion():
-                return self._answered(message)
+                return self._reply_to(message)
             case CrashSeen() as crash:
                 self._handler.heard_crash(crash)
             case UpstreamChanges() as changes:
@@ -498,20 +520,20 @@
             case PlatformAnswer() as answer:
                 await self._handler.relayed(answer)
             case RenewalCall() | HandedRenewals() | RenewalsWritten():
-                return await self._take_renewals(message)
+                return await self._handle_renewals(message)
         return None
 
-    def _answered(self, message) -> IngressState | Heartbeat | ClockAnswer:
+    def _reply_to(self, message) -> IngressState | Heartbeat | ClockAnswer:
         match message:
             case PartsCall():
-                return self._state(NOBODY, self._handler.all_parts())
+                return self._state(NO_INTRODUCTION, self._handler.all_parts())
             case Heartbeat():
                 return self._handler.heartbeat()
             case ClockQuestion(asked_at=asked_at):
                 return ClockAnswer(asked_at=asked_at, wall=read_clocks().wall)
 
-    async def _take_state(self, state: IngressState) -> None:
-        self._meet(state)
+    async def _merge_state(self, state: IngressState) -> None:
+        self._record_sender(state)
         self._handler.heard_upstreams_revision(state.upstreams_revision)
         await self._handler.report_evacuated(
             EvacuatedZones(
@@ -527,21 +549,21 @@
             for name, load in state.load_by_upstream.items()
         }
         self._handler.merge_limits(state.limit_by_upstream)
-        hold = hold_seconds(self.known_routers)
+        hold = hold_seconds(self.ingress_count)
         await self._handler.heard_loads(state.node, loads, hold_seconds=hold)
         for name, parts in state.parts_by_upstream.items():
             self._handler.heard_parts(name, parts)
 
-    async def _take_configuration(self, message) -> ConfigurationPush | None:
+    async def _handle_configuration(self, message) -> ConfigurationPush | None:
         match message:
             case ConfigurationPull() as pull:
-                return self._pushed(pull)
+                return self._configuration_push(pull)
             case ConfigurationPush(objects=objects):
                 for one in objects:
                     await self._handler.heard_configuration(one)
         return None
 
-    async def _take_renewals(self, message) -> HandedRenewals | None:
+    async def _handle_renewals(self, message) -> HandedRenewals | None:
         match message:
             case RenewalCall():
                 return self._handler.renewals_called()
@@ -551,11 +573,11 @@
                 await self._handler.renewals_written(answer)
         return None
 
-    def _meet(self, state: IngressState) -> None:
+    def _record_sender(self, state: IngressState) -> None:
         self.writers.heard(
             node=state.node, address=state.address, step=state.writing_step
         )
-        self._introductions.meet(
+        self._introductions.add(
             Introduction(
                 addresses=(state.address, *state.addresses), relays=state.relays
             )
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -373,11 +373,11 @@
 
     def _state(self, upstream: Upstream) -> _State:
         state = self._state_by_name.setdefault(upstream.name, _State())
-        if state.born != upstream.born:
+        if state.born != upstream.started_ms:
             # What peers told before this process knew the upstream still holds.
             if state.born is not None:
                 state.memory = None
-            state.born = upstream.born
+            state.born = upstream.started_ms
         return state
 
     def _has_room(
--- a/src/ragwortkeel/ingress/relay_worker.py
+++ b/src/ragwortkeel/ingress/relay_worker.py
@@ -61,7 +61,7 @@
 
     def reload(self, settings: RelaySettings) -> None:
         """Take over the peers; see `IngressWorker.reload`."""
-        self._peers.meet(settings.peers)
+        self._peers.add_addresses(settings.peers)
 
     async def run(self) -> None:
         """Work until cancelled or until a task fails."""
--- a/src/ragwortkeel/ingress/stated_limits.py
+++ b/src/ragwortkeel/ingress/stated_limits.py
@@ -89,8 +89,8 @@
     def note_instance(self, upstream: Upstream) -> None:
         """Drop what an earlier instance of that name said."""
         known = self._born_by_upstream.get(upstream.name)
-        self._born_by_upstream[upstream.name] = upstream.born
-        if known is None or upstream.born <= known:
+        self._born_by_upstream[upstream.name] = upstream.started_ms
+        if known is None or upstream.started_ms <= known:
             return
         was = self.limits.of(upstream.name)
         self.limits.forget(upstream.name)
--- a/src/ragwortkeel/ingress/upstream_connection.py
+++ b/src/ragwortkeel/ingress/upstream_connection.py
@@ -224,7 +224,7 @@
         ConnectFailed
             There is none and none could be made.
         """
-        idle = self._idle_by_upstream.get((upstream.name, upstream.born), [])
+        idle = self._idle_by_upstream.get((upstream.name, upstream.started_ms), [])
         while idle:
             connection = idle.pop()
             stale = fresh and connection.idle_for > FRESH_SECONDS
@@ -235,7 +235,9 @@
 
     async def give_back(self, upstream: Upstream, connection: UpstreamConnection):
         """Keep a connection whose answer is whole; close any other."""
-        idle = self._idle_by_upstream.setdefault((upstream.name, upstream.born), [])
+        idle = self._idle_by_upstream.setdefault(
+            (upstream.name, upstream.started_ms), []
+        )
         if connection.reusable and len(idle) < MAX_IDLE:
             idle.append(connection)
             return
--- a/src/ragwortkeel/ingress/watching.py
+++ b/src/ragwortkeel/ingress/watching.py
@@ -9,23 +9,23 @@
 
 from collections.abc import Iterable
 
-from ragwortkeel.ingress.mesh import by_rendezvous
+from ragwortkeel.ingress.mesh import rendezvous_order
 
-WATCHERS = 6
+WATCHER_COUNT = 6
 """Of those that hear each other; so many hardly ever die in the same second."""
 
-SHARERS = 2
+FORWARDER_COUNT = 2
 """Of those that watch, the first ones; only they pass changes on unasked."""
 
-LAG_SECONDS = 0.5
+LAG_GRACE_SECONDS = 0.5
 """For so long a change may be on its way from the processes that watch."""
 
 _ORDER = "watchers"
 
 
-def watchers(names: Iterable[str]) -> list[str]:
+def select_watchers(names: Iterable[str]) -> list[str]:
     """Return which of the processes watch."""
-    return by_rendezvous(_ORDER, names)[:WATCHERS]
+    return rendezvous_order(_ORDER, names)[:WATCHER_COUNT]
 
 
 class Feed:
@@ -41,54 +41,54 @@
     Examples
     --------
     >>> feed = Feed()
-    >>> feed.listed(revision=7, newest=5)
-    >>> feed.passed_on(since=6, revision=9), feed.complete
+    >>> feed.record_listing(revision=7, newest=5)
+    >>> feed.record_forwarded(since=6, revision=9), feed.complete_revision
     (True, 9)
-    >>> feed.passed_on(since=12, revision=13), feed.complete
+    >>> feed.record_forwarded(since=12, revision=13), feed.complete_revision
     (False, 9)
     """
 
     def __init__(self) -> None:
-        self.complete = 0
-        self.newest = 0
-        self._since = 0
-        self._heard = 0
+        self.complete_revision = 0
+        self.newest_revision = 0
+        self._last_change_revision = 0
+        self._peer_revision = 0
         self._behind_since: float | None = None
 
-    def listed(self, *, revision: int, newest: int) -> None:
+    def record_listing(self, *, revision: int, newest: int) -> None:
         """Note a list of a revision, and the newest change that it shows."""
-        self.complete = max(self.complete, revision)
-        self._since = max(self._since, revision)
-        self.newest = max(self.newest, newest)
+        self.complete_revision = max(self.complete_revision, revision)
+        self._last_change_revision = max(self._last_change_revision, revision)
+        self.newest_revision = max(self.newest_revision, newest)
 
-    def watched(self, *, revision: int, newest: int) -> int:
+    def record_watch(self, *, revision: int, newest: int) -> int:
         """Note what a watch brought; return since when these changes follow on."""
-        since = self._since
-        self.complete = max(self.complete, revision)
+        since = self._last_change_revision
+        self.complete_revision = max(self.complete_revision, revision)
         if newest:
-            self.newest = max(self.newest, newest)
-            self._since = max(self._since, newest)
+            self.newest_revision = max(self.newest_revision, newest)
+            self._last_change_revision = max(self._last_change_revision, newest)
         return since
 
-    def passed_on(self, *, since: int, revision: int) -> bool:
+    def record_forwarded(self, *, since: int, revision: int) -> bool:
         """Note changes that a peer passed on; return whether none is missing."""
-        self.newest = max(self.newest, revision)
-        if since > self.complete:
-            self.heard(revision)
+        self.newest_revision = max(self.newest_revision, revision)
+        if since > self.complete_revision:
+            self.record_peer_revision(revision)
             return False
-        self.complete = max(self.complete, revision)
-        self._since = max(self._since, revision)
+        self.complete_revision = max(self.complete_revision, revision)
+        self._last_change_revision = max(self._last_change_revision, revision)
         return True
 
-    def heard(self, newest: int) -> None:
+    def record_peer_revision(self, newest: int) -> None:
         """Note the newest change that a peer knows of."""
-        self._heard = max(self._heard, newest)
+        self._peer_revision = max(self._peer_revision, newest)
 
-    def lags(self, now: float) -> bool:
+    def is_lagging(self, now: float) -> bool:
         """Whether a change that a peer knows of has been missing for too long."""
-        if self._heard <= self.complete:
+        if self._peer_revision <= self.complete_revision:
             self._behind_since = None
             return False
         if self._behind_since is None:
             self._behind_since = now
-        return now - self._behind_since >= LAG_SECONDS
+        return now - self._behind_since >= LAG_GRACE_SECONDS
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -18,7 +18,7 @@
     decode_value,
 )
 from ragwortkeel.ingress.crashes import CrashWatch
-from ragwortkeel.ingress.directory import Directory, Moved
+from ragwortkeel.ingress.directory import Directory, DirectoryChange
 from ragwortkeel.ingress.dispatch import Dispatcher
 from ragwortkeel.ingress.evacuations import Evacuations
 from ragwortkeel.ingress.fleet_time import FleetTime
@@ -28,7 +28,7 @@
     UpstreamFollower,
 )
 from ragwortkeel.ingress.front import Front
-from ragwortkeel.ingress.front_parts import FrontParts
+from ragwortkeel.ingress.front_components import FrontComponents
 from ragwortkeel.ingress.names import HeaderNames
 from ragwortkeel.ingress.peers import Peers
 from ragwortkeel.ingress.placement import Load, Placement
@@ -62,7 +62,7 @@
 from ragwortkeel.tasks import run_together
 from ragwortkeel.traces import Tracing
 
-RETRY_SHARE = 0.12
+RETRY_FRACTION = 0.12
 """Of first attempts at a service.  The fleet as a whole may add a fifth; each process
 keeps below, as its own count of first attempts may run behind."""
 
@@ -73,7 +73,7 @@
 UPKEEP_SECONDS = 0.2
 """How often lapsed entries and idle connections are looked at."""
 
-LATE_SECONDS = 0.25
+LATE_TIMER_SECONDS = 0.25
 """A timer that fires so late shows a process without processor time, or frozen; the
 links' heartbeats are late then too."""
 
@@ -81,13 +81,13 @@
 """A balancer that looks once a second and wants two misses has stopped sending
 by then; new connections are taken so long after a planned stop has begun."""
 
-STOP_LOOK_SECONDS = 0.05
+STOP_POLL_SECONDS = 0.05
 
 ENTRY_LAG_SECONDS = 2.0
 """Upstreams of an availability zone that is taken back may have become cold without
 their entries saying so yet."""
 
-IDLE_SLACK = 1.2
+IDLE_TIMEOUT_FACTOR = 1.2
 """A caller's idle connection is kept this much longer than callers may use it, so
 that no request crosses the close."""
 
@@ -112,8 +112,8 @@
         self.tracing = Tracing(node=settings.name)
         self._settings = settings
         self._stopping = False
-        self._raw_configuration: bytes = b""
-        self._revision_heard = 0
+        self._encoded_configuration: bytes = b""
+        self._peer_revision = 0
         incarnation = f"{settings.name}/{secrets.token_hex(4)}"
         self._directory = Directory(region_by_zone=settings.region_by_zone)
         self._evacuations = Evacuations()
@@ -126,8 +126,8 @@
             rates=FleetRates(
                 sharing=lambda: sharing_among(
                     own=settings.address,
-                    others=self._peers.routers,
-                    holders=self._keeper.allowances.holders,
+                    others=self._peers.ingress_addresses,
+                    holders=self._budget_keeper.allowances.holders,
                 ),
                 random=Random(incarnation),
                 started=monotonic(),
@@ -150,22 +150,22 @@
         self._platform = RelayedPlatform(
             direct=self._counted, relays=self._peers.platform_relays
         )
-        self._time = FleetTime(others=lambda: self._peers.clocks)
-        self._keeper = BudgetKeeper(
+        self._fleet_time = FleetTime(others=lambda: self._peers.clock_source_count)
+        self._budget_keeper = BudgetKeeper(
             platform=self._platform,
             holder=incarnation,
-            ask_peers=self._peers.ask_loan,
+            ask_peers=self._peers.request_loan,
             group=self._peers.writers,
-            clocks=self._time.reading,
+            clocks=self._fleet_time.reading,
         )
-        self._retries = RetryBudgets(share=RETRY_SHARE, reserve=RETRY_RESERVE)
+        self._retries = RetryBudgets(share=RETRY_FRACTION, reserve=RETRY_RESERVE)
         self._connections = UpstreamConnections(id_header=names.request_id)
         self._front = Front(
-            parts=FrontParts(
+            components=FrontComponents(
                 names=names,
                 dispatcher=self._dispatcher,
                 placement=self._placement,
-                keeper=self._keeper,
+                keeper=self._budget_keeper,
                 crashes=self._crashes,
                 connections=self._connections,
                 retries=self._retries,
@@ -173,30 +173,30 @@
                 metrics=self.metrics,
             )
         )
-        where = Address.parse(settings.http)
+        http_address = Address.parse(settings.http)
         self._server = HttpServer(
-            host=where.host,
-            port=where.port,
+            host=http_address.host,
+            port=http_address.port,
             handler=self._front.handle,
             cancels_abandoned=True,
         )
         self._configurations = ConfigurationFollower(
             platform=self._platform,
-            take=self._take_configuration,
-            watches=self._peers.watches,
+            apply=self._apply_configuration,
+            is_watcher=self._peers.is_watcher,
         )
         self._upstreams = UpstreamFollower(
             platform=self._platform,
             directory=self._directory,
-            take=self._take_moves,
-            watches=self._peers.watches,
-            share=self._peers.share,
+            apply=self._apply_directory_changes,
+            is_watcher=self._peers.is_watcher,
+            forward=self._peers.forward_changes,
         )
         self._evacuation_follower = EvacuationFollower(
             platform=self._platform,
-            take=self.report_evacuated,
-            watches=self._peers.watches,
-            share=self._peers.share,
+            apply=self.report_evacuated,
+            is_watcher=self._peers.is_watcher,
+            forward=self._peers.forward_changes,
         )
 
     @property
@@ -214,12 +214,12 @@
 
         Addresses hold until the next start; a change of one is logged.
         """
-        self._peers.meet(settings.peers)
+        self._peers.add_addresses(settings.peers)
         changed = changed_fields(self._settings, settings)
         log_info("settings_reloaded", changed=changed)
-        fixed = [name for name in changed if name != "peers"]
-        if fixed:
-            log_warning("settings_need_a_restart", fields=fixed)
+        restart_fields = [name for name in changed if name != "peers"]
+        if restart_fields:
+            log_warning("settings_need_a_restart", fields=restart_fields)
 
     async def run(self) -> None:
         """Work until cancelled or until a task fails."""
@@ -228,7 +228,7 @@
             self._configurations.run,
             self._upstreams.run,
             self._evacuation_follower.run,
-            self._keeper.run,
+            self._budget_keeper.run,
             self._peers.run,
             self._platform.run,
             self._counted.run,
@@ -243,17 +243,17 @@
         """
         self._stopping = True
         self._server.begin_closing()
-        begun = monotonic()
-        deadline = begun + self._settings.stop_deadline_seconds
+        stop_started_at = monotonic()
+        deadline = stop_started_at + self._settings.stop_deadline_seconds
         await curio.sleep(BALANCER_SECONDS)
         await self._server.stop_accepting()
         self._front.stopping = True
         await self._server.close_idle()
         while self._server.open_exchanges and monotonic() < deadline:
-            await curio.sleep(STOP_LOOK_SECONDS)
-        cut = self._server.open_exchanges
-        returned = await self._keeper.close()
-        return Leftover(counts={"requests": cut, "slices": int(not returned)})
+            await curio.sleep(STOP_POLL_SECONDS)
+        cut_count = self._server.open_exchanges
+        returned = await self._budget_keeper.close()
+        return Leftover(counts={"requests": cut_count, "slices": int(not returned)})
 
     def in_force(self, kind: str, name: str) -> InForce:
         """Return what is in force here of an object."""
@@ -288,18 +288,18 @@
 
     def configuration_object(self) -> VersionedObject | None:
         """Return the configuration in force, for a peer."""
-        if not self._raw_configuration:
+        if not self._encoded_configuration:
             return None
         return VersionedObject(
             kind=CONFIGURATION_KIND,
             name=CONFIGURATION_NAME,
             version=self.revision(),
-            value=self._raw_configuration,
+            value=self._encoded_configuration,
         )
 
     def heard_clock(self, peer: str, answer: ClockAnswer) -> None:
         """Take in a peer's time of day."""
-        self._time.answered(peer, answer, read_clocks().boot)
+        self._fleet_time.answered(peer, answer, read_clocks().boot)
 
     async def heard_loads(
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
@@ -310,9 +310,9 @@
 
     def heard_revision(self, peer: str, revision: int) -> None:
         """Take in which configuration a peer has in force; 0 for none."""
-        if revision <= max(self._revision_heard, self.revision()):
+        if revision <= max(self._peer_revision, self.revision()):
             return
-        self._revision_heard = revision
+        self._peer_revision = revision
         self.metrics.configuration_heard(revision=revision)
         log_info("configuration_behind", peer=peer, heard=revision, own=self.revision())
 
@@ -325,7 +325,7 @@
         except ConfigurationUnreadable as exc:
             log_warning("configuration_unreadable", source="peer", error=str(exc))
             return
-        await self._take_configuration(configuration, pushed.value, source="peer")
+        await self._apply_configuration(configuration, pushed.value, source="peer")
 
     def heard_crash(self, crash: CrashSeen) -> None:
         """Take in a crash that a peer found."""
@@ -343,40 +343,40 @@
 
     def upstreams_revision(self) -> int:
         """Return the revision of the newest change of an upstream's entry here."""
-        return self._upstreams.newest
+        return self._upstreams.newest_revision
 
     def heard_upstreams_revision(self, revision: int) -> None:
         """Take in the newest such change that a peer knows of."""
-        self._upstreams.heard_newest(revision)
+        self._upstreams.receive_newest_revision(revision)
 
     async def heard_upstreams(self, changes: UpstreamChanges) -> None:
         """Take in changes from a peer that watches the platform."""
-        await self._upstreams.heard(changes)
+        await self._upstreams.receive_changes(changes)
 
     def evacuated_zones(self) -> EvacuatedZones:
         """Return the evacuated availability zones as known here."""
         return self._evacuations.current
 
-    async def report_evacuated(self, found: EvacuatedZones) -> None:
+    async def report_evacuated(self, received: EvacuatedZones) -> None:
         """Take over which availability zones are evacuated, where that is newer."""
         since = time()
-        changed = self._evacuations.report(found, now=since)
+        changed = self._evacuations.merge(received, now=since)
         if changed is None:
             return
         self._directory.evacuated_zones = self._evacuations.zones
         for zone in changed.evacuated:
-            log_info("zone_evacuated", zone=zone, revision=found.revision)
+            log_info("zone_evacuated", zone=zone, revision=received.revision)
             self.metrics.zone_evacuated(zone=zone, since=since)
         for zone in changed.returned:
-            log_info("zone_taken_back", zone=zone, revision=found.revision)
+            log_info("zone_taken_back", zone=zone, revision=received.revision)
             self.metrics.zone_evacuated(zone=zone, since=0.0)
-        for name in self._directory.in_zones(changed.returned):
+        for name in self._directory.names_in_zones(changed.returned):
             self._placement.note_cold(name, ENTRY_LAG_SECONDS, monotonic())
         await self._dispatcher.place_waiting()
 
     async def lend(self, request: LoanRequest) -> TokenLoan:
         """Answer a peer that lacks tokens."""
-        return await self._keeper.lend(request)
+        return await self._budget_keeper.lend(request)
 
     async def borrowed(self, loan: TokenLoan) -> None:
         """Take in what a peer did for requests that wait for tokens here."""
@@ -386,29 +386,29 @@
             tokens=loan.tokens,
             returned=loan.returned,
         )
-        await self._keeper.borrowed(loan)
+        await self._budget_keeper.borrowed(loan)
 
     def writing_step(self) -> int:
         """Return how slowly this process writes ledgers."""
-        return self._keeper.renewals.writing_step
+        return self._budget_keeper.renewals.writing_step
 
     def renewals_called(self) -> HandedRenewals | None:
         """Return what a peer that writes the ledgers should take along."""
-        return self._keeper.renewals.called()
+        return self._budget_keeper.renewals.called()
 
     async def heard_renewals(self, handed: HandedRenewals) -> None:
         """Take in renewals to write along."""
-        await self._keeper.renewals.heard(handed)
+        await self._budget_keeper.renewals.heard(handed)
 
     async def renewals_written(self, answer: RenewalsWritten) -> None:
         """Take in what became of renewals that a peer was handed."""
-        await self._keeper.renewals.written(answer)
+        await self._budget_keeper.renewals.written(answer)
 
     async def relayed(self, answer: PlatformAnswer) -> None:
         """Take in the answer to a call that a peer made."""
         await self._platform.answered(answer)
 
-    async def _take_configuration(
+    async def _apply_configuration(
         self,
         configuration: IngressConfiguration,
         value: bytes,
@@ -425,38 +425,38 @@
             routes=len(configuration.routes),
             customers=len(configuration.customers),
         )
-        self._raw_configuration = value
+        self._encoded_configuration = value
         self._front.table = RoutingTable(configuration=configuration)
-        self._keeper.configure(self._front.table)
+        self._budget_keeper.configure(self._front.table)
         limits = configuration.limits
-        self._server.keep_alive_seconds = limits.idle_seconds * IDLE_SLACK
+        self._server.keep_alive_seconds = limits.idle_seconds * IDLE_TIMEOUT_FACTOR
         self._server.max_body_bytes = limits.max_body_bytes
         self.metrics.configuration_in_force(revision=configuration.revision)
-        await self._peers.announce()
+        await self._peers.announce_revision()
 
-    async def _take_moves(self, moves: list[Moved]) -> None:
-        for move in moves:
+    async def _apply_directory_changes(self, changes: list[DirectoryChange]) -> None:
+        for change in changes:
             log_info(
                 "upstream_changed",
-                upstream=move.name,
-                was_usable=move.was_usable,
-                usable=move.usable,
-                service=move.upstream.service if move.upstream else None,
-                cold_seconds=move.upstream.cold_seconds if move.upstream else None,
+                upstream=change.name,
+                was_usable=change.was_usable,
+                usable=change.usable,
+                service=change.upstream.service if change.upstream else None,
+                cold_seconds=change.upstream.cold_seconds if change.upstream else None,
             )
-            if move.upstream is None:
-                self._placement.forget(move.name)
+            if change.upstream is None:
+                self._placement.forget(change.name)
             else:
-                self._stated_limits.note_instance(move.upstream)
-                cold_seconds = move.upstream.cold_seconds
-                self._placement.note_cold(move.name, cold_seconds, monotonic())
-        if moves:
+                self._stated_limits.note_instance(change.upstream)
+                cold_seconds = change.upstream.cold_seconds
+                self._placement.note_cold(change.name, cold_seconds, monotonic())
+        if changes:
             upstreams = set(self._directory.upstream_by_name)
             self._placement.keep(upstreams)
             self._stated_limits.keep(upstreams)
             await self._dispatcher.place_waiting()
 
-    async def _tell_crashes(self) -> None:
+    async def _send_crashes(self) -> None:
         while self._crashes.found:
             crash = self._crashes.found.popleft()
             log_warning("upstream_crashed", crash=crash.crash_id)
@@ -469,16 +469,16 @@
         while True:
             await self._upstreams.expire()
             await self._connections.sweep()
-            await self._tell_crashes()
-            holders = self._keeper.allowances.holders
-            processes = max(self._peers.known_routers, holders)
+            await self._send_crashes()
+            holders = self._budget_keeper.allowances.holders
+            processes = max(self._peers.ingress_count, holders)
             reserve = reserve_of_one(processes=processes, most=RETRY_RESERVE)
             self._retries.keep(reserve)
             self.metrics.load(
                 running=self._server.open_exchanges, queued=len(self._dispatcher.room)
             )
-            due = monotonic() + UPKEEP_SECONDS
+            due_at = monotonic() + UPKEEP_SECONDS
             await curio.sleep(UPKEEP_SECONDS)
-            late = monotonic() - due
-            if late > LATE_SECONDS:
-                log_warning("loop_late", seconds=round(late, 3))
+            late_seconds = monotonic() - due_at
+            if late_seconds > LATE_TIMER_SECONDS:
+                log_warning("loop_late", seconds=round(late_seconds, 3))
--- a/tests/ingress/in_process.py
+++ b/tests/ingress/in_process.py
@@ -32,7 +32,7 @@
 
 NAMES = HeaderNames()
 KEY = "key-1"
-PATIENCE = 20.0
+SCENARIO_TIMEOUT_SECONDS = 20.0
 SETTLED_SECONDS = 1.5
 """Longer than links take to notice each other and to pass on what they have."""
 ROUTES = (
@@ -70,7 +70,7 @@
         fleet = IngressFleet(**options)
         await fleet.start()
         try:
-            async with curio.timeout_after(PATIENCE):
+            async with curio.timeout_after(SCENARIO_TIMEOUT_SECONDS):
                 return await scenario(fleet)
         finally:
             await fleet.stop()
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class ReceivedRequest:
     """One request as an upstream got it."""
 
     method: str
@@ -125,14 +125,14 @@
 
     async def _serve(self, sock):
         try:
-            while await self._one(sock):
+            while await self._serve_request(sock):
                 pass
         except OSError:
             pass
         finally:
             await sock.close()
 
-    async def _one(self, sock):
+    async def _serve_request(self, sock):
         conn = h11.Connection(h11.SERVER)
         head = await next_event(sock, conn)
         if not isinstance(head, h11.Request):
@@ -140,7 +140,7 @@
         body = b""
         while isinstance(event := await next_event(sock, conn), h11.Data):
             body += bytes(event.data)
-        seen = Seen(
+        seen = ReceivedRequest(
             method=head.method.decode(),
             target=head.target.decode(),
             headers=joined_headers(head.headers),
@@ -223,7 +223,7 @@
         self.workers = []
         self.addresses = []
         self.tasks = []
-        self.platform_ids = 0
+        self.request_count = 0
 
     async def start(self):
         for one in self.upstreams.values():
@@ -233,10 +233,10 @@
         links = [free_address() for _ in range(self.count)]
         for i in range(self.count):
             await self.start_worker(f"ingress-{i}", links[i], tuple(links))
-        while not all(self.knows_all(worker) for worker in self.workers):
+        while not all(self.is_ready(worker) for worker in self.workers):
             await curio.sleep(0.01)
 
-    def knows_all(self, worker):
+    def is_ready(self, worker):
         """Whether the process may serve and has all upstreams."""
         known = worker._directory.upstream_by_name
         return worker.ready and len(known) == len(self.upstreams)
@@ -299,12 +299,12 @@
 
     async def ask(self, path, *, process=0, method="POST", body=b"q", **headers):
         """Send one request and return its response."""
-        self.platform_ids += 1
+        self.request_count += 1
         host, port = self.addresses[process].split(":")
         client = HttpClient(host=host, port=int(port))
         fields = {
             "host": "app.example",
-            "x-request-id": f"r{self.platform_ids}",
+            "x-request-id": f"r{self.request_count}",
             "x-deadline-ms": "3000",
             "authorization": f"Bearer {KEY}",
         }
@@ -321,7 +321,7 @@
         return {name: one.seen for name, one in self.upstreams.items()}
 
 
-def value(fleet, revision):
+def configuration_value(fleet, revision):
     """Return the fleet's configuration as the platform keeps it."""
     one = configuration(
         revision, routes=ROUTES, services=SERVICES, customers=fleet.customers
@@ -329,17 +329,17 @@
     return msgspec.json.encode(one)
 
 
-def pushed(fleet, revision):
+def configuration_object(fleet, revision):
     """Return the fleet's configuration as a peer sends it."""
     return VersionedObject(
         kind=CONFIGURATION_KIND,
         name=CONFIGURATION_NAME,
         version=revision,
-        value=value(fleet, revision),
+        value=configuration_value(fleet, revision),
     )
 
 
-async def reached(worker, revision):
+async def wait_for_revision(worker, revision):
     """Wait until the process has this revision in force; return the one it has."""
     async with curio.timeout_after(5):
         while worker.revision() < revision:
--- a/tests/ingress/test_configuration_in_force.py
+++ b/tests/ingress/test_configuration_in_force.py
@@ -3,7 +3,13 @@
 import curio
 import pytest
 from deployments.ports import free_address
-from tests.ingress.in_process import KEY, pushed, reached, run_ingress, value
+from tests.ingress.in_process import (
+    KEY,
+    configuration_object,
+    configuration_value,
+    run_ingress,
+    wait_for_revision,
+)
 
 from ragwortkeel.ingress.configuration import (
     CONFIGURATION_KIND,
@@ -22,8 +28,10 @@
 
         async def scenario(fleet):
             await fleet.configure()
-            await reached(fleet.workers[0], 2)
-            await fleet.write(CONFIGURATION_KIND, CONFIGURATION_NAME, value(fleet, 1))
+            await wait_for_revision(fleet.workers[0], 2)
+            await fleet.write(
+                CONFIGURATION_KIND, CONFIGURATION_NAME, configuration_value(fleet, 1)
+            )
             await curio.sleep(0.2)
             return fleet.workers[0].revision()
 
@@ -33,8 +41,8 @@
         """A change does not reach a process that is cut off from the platform."""
 
         async def scenario(fleet):
-            await fleet.workers[0].heard_configuration(pushed(fleet, 9))
-            return await reached(fleet.workers[1], 9)
+            await fleet.workers[0].heard_configuration(configuration_object(fleet, 9))
+            return await wait_for_revision(fleet.workers[1], 9)
 
         assert run_ingress(scenario, processes=2) == 9
 
@@ -42,11 +50,11 @@
         """A restarted process answers 503 until the platform is back."""
 
         async def scenario(fleet):
-            await fleet.workers[0].heard_configuration(pushed(fleet, 9))
+            await fleet.workers[0].heard_configuration(configuration_object(fleet, 9))
             fleet.platform.switches.down = True
             link, known = free_address(), fleet.workers[0]._settings.address
             late = await fleet.start_worker("ingress-late", link, (known, link))
-            return await reached(late, 9)
+            return await wait_for_revision(late, 9)
 
         assert run_ingress(scenario) == 9
 
@@ -62,7 +70,7 @@
             await fleet.configure()
             platform._forgotten = platform.revision
             await fleet.write("others", "one", b"{}")
-            return await reached(fleet.workers[0], 2)
+            return await wait_for_revision(fleet.workers[0], 2)
 
         assert run_ingress(scenario) == 2
 
@@ -91,7 +99,7 @@
         async def scenario(fleet):
             limits = Limits(idle_seconds=1.0)
             await fleet.configure(limits=limits)
-            await reached(fleet.workers[0], 2)
+            await wait_for_revision(fleet.workers[0], 2)
             host, port = fleet.addresses[0].split(":")
             sock = await curio.open_connection(host, int(port))
             answers = []
--- a/tests/ingress/test_configuration_spread.py
+++ b/tests/ingress/test_configuration_spread.py
@@ -13,9 +13,9 @@
 from tests.ingress.in_process import (
     ROUTES,
     SETTLED_SECONDS,
-    pushed,
-    reached,
+    configuration_object,
     run_ingress,
+    wait_for_revision,
 )
 
 from ragwortkeel.ingress import mesh, peers, renewals
@@ -57,7 +57,7 @@
 
 async def linked(relay, count):
     async with curio.timeout_after(5):
-        while relay._peers.count < count:
+        while relay._peers.live_count < count:
             await curio.sleep(0.01)
 
 
@@ -70,7 +70,7 @@
             for _ in range(CHANGES):
                 await fleet.configure(routes=ROUTES)
                 for worker in fleet.workers:
-                    await reached(worker, fleet.revision)
+                    await wait_for_revision(worker, fleet.revision)
             await curio.sleep(SETTLED_SECONDS)
             return [len(heard) for heard in copies]
 
@@ -85,7 +85,7 @@
             copies = count_copies(relay)
             await linked(relay, len(fleet.workers))
             await fleet.configure()
-            await reached(fleet.workers[0], fleet.revision)
+            await wait_for_revision(fleet.workers[0], fleet.revision)
             await curio.sleep(SETTLED_SECONDS)
             return copies
 
@@ -102,7 +102,7 @@
             late_link = free_address()
             late = await fleet.start_worker("ingress-late", late_link, links)
             copies = count_copies(late)
-            await reached(late, fleet.revision)
+            await wait_for_revision(late, fleet.revision)
             await curio.sleep(SETTLED_SECONDS)
             return copies
 
@@ -125,7 +125,7 @@
                 late = await fleet.start_worker(f"late-{i}", link, tuple(links))
                 copies.append(count_copies(late))
             for late in fleet.workers[1:]:
-                await reached(late, fleet.revision)
+                await wait_for_revision(late, fleet.revision)
             await curio.sleep(SETTLED_SECONDS)
             return [len(heard) for heard in copies]
 
@@ -139,9 +139,9 @@
         async def scenario(fleet):
             fleet.platform.switches.down = True
             copies = [count_copies(worker) for worker in fleet.workers[1:]]
-            await fleet.workers[0].heard_configuration(pushed(fleet, 9))
+            await fleet.workers[0].heard_configuration(configuration_object(fleet, 9))
             for worker in fleet.workers[1:]:
-                await reached(worker, 9)
+                await wait_for_revision(worker, 9)
             return [len(heard) for heard in copies]
 
         heard = run_ingress(scenario, processes=PROCESSES)
@@ -154,7 +154,7 @@
         and they heard of its change with the next heartbeat, asked late, and waited
         for a peer that had just been killed.
         """
-        monkeypatch.setattr(peers, "CLOCKS_SECONDS", 60.0)
+        monkeypatch.setattr(peers, "CLOCK_QUERY_SECONDS", 60.0)
         for rare in ("HEARTBEAT_SECONDS", "SILENCE_SECONDS"):
             monkeypatch.setattr(mesh, rare, 60.0)
         monkeypatch.setattr(renewals, "TICK_SECONDS", 60.0)
@@ -162,7 +162,7 @@
 
         async def scenario(fleet):
             await curio.sleep(SETTLED_SECONDS)
-            await fleet.workers[0].heard_configuration(pushed(fleet, 9))
-            return [await reached(worker, 9) for worker in fleet.workers]
+            await fleet.workers[0].heard_configuration(configuration_object(fleet, 9))
+            return [await wait_for_revision(worker, 9) for worker in fleet.workers]
 
         assert run_ingress(scenario, processes=3) == [9] * 3
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -25,7 +25,7 @@
 
 def dispatcher(slots=1, limits=None, rates=None):
     directory = Directory()
-    directory.written("u0", upstream("u0", slots=slots), version=1, now=0.0)
+    directory.merge_entry("u0", upstream("u0", slots=slots), version=1, now=0.0)
     placement = Placement(zone="a", limits=limits, rates=rates)
     return Dispatcher(directory=directory, placement=placement)
 
--- a/tests/ingress/test_evacuations.py
+++ b/tests/ingress/test_evacuations.py
@@ -37,20 +37,20 @@
     def test_of_two_sets_the_one_of_the_higher_revision_holds(self):
         """Guards against a late message that brings an evacuation back."""
         evacuations = Evacuations()
-        assert evacuations.report(zones(7, "a", "b"), now=1.0) == ZonesChanged(
+        assert evacuations.merge(zones(7, "a", "b"), now=1.0) == ZonesChanged(
             evacuated=frozenset("ab"), returned=frozenset()
         )
-        assert evacuations.report(zones(9, "b"), now=2.0) == ZonesChanged(
+        assert evacuations.merge(zones(9, "b"), now=2.0) == ZonesChanged(
             evacuated=frozenset(), returned=frozenset("a")
         )
-        assert evacuations.report(zones(8, "a", "b"), now=3.0) is None
+        assert evacuations.merge(zones(8, "a", "b"), now=3.0) is None
         assert evacuations.zones == {"b"}
         assert evacuations.since_by_zone == {"b": 1.0}
 
     def test_the_same_zone_again_changes_nothing(self):
         evacuations = Evacuations()
-        evacuations.report(zones(7, "a"), now=1.0)
-        assert evacuations.report(zones(8, "a"), now=2.0) is None
+        evacuations.merge(zones(7, "a"), now=1.0)
+        assert evacuations.merge(zones(8, "a"), now=2.0) is None
         assert evacuations.current == zones(8, "a")
         assert evacuations.since_by_zone == {"a": 1.0}
 
@@ -99,71 +99,71 @@
 
 def follow(monkeypatch, *answers):
     """Return what a follower takes and what it shares, for these answers."""
-    monkeypatch.setattr(following, "RETRY_SECONDS", 0.0)
-    taken, shared = [], []
+    monkeypatch.setattr(following, "RETRY_DELAY_SECONDS", 0.0)
+    applied, forwarded = [], []
 
-    async def take(found):
-        taken.append(found)
+    async def apply(found):
+        applied.append(found)
 
-    async def share(found):
-        shared.append(found)
+    async def forward(found):
+        forwarded.append(found)
 
     follower = EvacuationFollower(
         platform=ScriptedPlatform(*answers),
-        take=take,
-        share=share,
-        watches=lambda: True,
+        apply=apply,
+        forward=forward,
+        is_watcher=lambda: True,
     )
     with pytest.raises(_End):
         curio.run(follower.run)
-    return taken, shared
+    return applied, forwarded
 
 
 class TestFollower:
     def test_the_whole_set_is_taken_and_shared_with_each_change(self, monkeypatch):
-        taken, shared = follow(
+        applied, forwarded = follow(
             monkeypatch,
             listing(5),
             change(6, "a"),
             change(7, "b"),
             change(9, "a", gone=True),
         )
-        assert taken == [zones(5), zones(6, "a"), zones(7, "a", "b"), zones(9, "b")]
-        assert shared == taken[1:]
+        assert applied == [zones(5), zones(6, "a"), zones(7, "a", "b"), zones(9, "b")]
+        assert forwarded == applied[1:]
 
     @pytest.mark.parametrize("value", [b"null", b"\xff\x00", b'"', b"[1,2"])
     def test_an_entry_counts_by_its_name_whether_readable_or_not(
         self, monkeypatch, value
     ):
         """Guards against requests for a zone whose evacuation somebody wrote badly."""
-        taken, _ = follow(
+        applied, _ = follow(
             monkeypatch,
             listing(5),
             change(6, "a", value=value),
             change(7, "a", gone=True, value=value),
         )
-        assert taken[1:] == [zones(6, "a"), zones(7)]
+        assert applied[1:] == [zones(6, "a"), zones(7)]
 
     def test_a_lost_history_is_read_anew(self, monkeypatch):
         """Guards against an evacuation that came in a gap of the watch."""
-        taken, _ = follow(monkeypatch, listing(5), GAP, listing(9, "b"))
-        assert taken[-1] == zones(9, "b")
+        applied, _ = follow(monkeypatch, listing(5), GAP, listing(9, "b"))
+        assert applied[-1] == zones(9, "b")
 
     def test_an_outage_changes_nothing(self, monkeypatch):
         """Guards against zones that count as back while the platform is away."""
-        taken, _ = follow(
+        applied, _ = follow(
             monkeypatch,
             listing(5, "a"),
             PlatformUnavailable("cut off"),
             Changes(changes=(), revision=6, gap=False),
         )
-        assert taken == [zones(5, "a")]
+        assert applied == [zones(5, "a")]
 
 
 def two_zones(**region_by_zone):
     directory = Directory(region_by_zone=region_by_zone)
-    directory.written("ua", upstream("ua", zone="a", slots=1), version=1, now=0.0)
-    directory.written("ub", upstream("ub", zone="b", slots=1), version=2, now=0.0)
+    directory.merge_entry("ua", upstream("ua", zone="a", slots=1), version=1, now=0.0)
+    directory.merge_entry("ub", upstream("ub", zone="b", slots=1), version=2, now=0.0)
     return directory
 
 
--- a/tests/ingress/test_following.py
+++ b/tests/ingress/test_following.py
@@ -9,10 +9,10 @@
 
 from ragwortkeel.exceptions import PlatformUnavailable
 from ragwortkeel.ingress import following
-from ragwortkeel.ingress.directory import LAPSE_SECONDS, Directory
+from ragwortkeel.ingress.directory import OUTAGE_GRACE_SECONDS, Directory
 from ragwortkeel.ingress.following import (
-    GATHER_SECONDS,
-    WATCH_SECONDS,
+    BATCH_DELAY_SECONDS,
+    WATCH_TIMEOUT_SECONDS,
     UpstreamFollower,
 )
 from ragwortkeel.platform import Change, Changes, Listing, Stored
@@ -48,7 +48,7 @@
 
 def quiet(platform):
     """Wait for as long as a watch does, and bring nothing."""
-    platform.now += WATCH_SECONDS
+    platform.now += WATCH_TIMEOUT_SECONDS
     return Changes(changes=(), revision=6, gap=False)
 
 
@@ -97,21 +97,21 @@
     follower = UpstreamFollower(
         platform=platform,
         directory=Directory(),
-        take=ignore,
-        watches=lambda: True,
-        share=ignore,
+        apply=ignore,
+        is_watcher=lambda: True,
+        forward=ignore,
     )
     with pytest.raises(_End):
         curio.run(follower.run)
-    assert platform.calls <= 1.0 / GATHER_SECONDS + 2
+    assert platform.calls <= 1.0 / BATCH_DELAY_SECONDS + 2
 
 
 def follow(monkeypatch, *watches):
     """Return the directory after these watches, and the time by their clock."""
     platform, directory = ScriptedPlatform(*watches), Directory()
     monkeypatch.setattr(following, "monotonic", lambda: platform.now)
-    monkeypatch.setattr(following, "RETRY_SECONDS", 0.0)
-    monkeypatch.setattr(following, "GATHER_SECONDS", 0.0)
+    monkeypatch.setattr(following, "RETRY_DELAY_SECONDS", 0.0)
+    monkeypatch.setattr(following, "BATCH_DELAY_SECONDS", 0.0)
 
     async def ignore(found):
         pass
@@ -119,9 +119,9 @@
     follower = UpstreamFollower(
         platform=platform,
         directory=directory,
-        take=ignore,
-        watches=lambda: True,
-        share=ignore,
+        apply=ignore,
+        is_watcher=lambda: True,
+        forward=ignore,
     )
     with pytest.raises(_End):
         curio.run(follower.run)
@@ -142,5 +142,5 @@
     """All upstreams look gone when the platform returns without their entries."""
     directory, now = follow(monkeypatch, unavailable, slow_and_quiet, gone)
     assert directory.is_usable(NAME)
-    assert directory.expire(now + LAPSE_SECONDS)
+    assert directory.expire(now + OUTAGE_GRACE_SECONDS)
     assert not directory.is_usable(NAME)
--- a/tests/ingress/test_greetings.py
+++ b/tests/ingress/test_greetings.py
@@ -55,7 +55,7 @@
             tellings = [count_tellings(worker) for worker in fleet.workers]
             for worker in fleet.workers:
                 for link in list(worker._peers._mesh.link_by_address.values()):
-                    await worker._peers._linked(_up(link))
+                    await worker._peers._handle_link_event(_up(link))
             await curio.sleep(SETTLED_SECONDS)
             return [heard for heard in tellings if heard]
 
--- a/tests/ingress/test_introductions.py
+++ b/tests/ingress/test_introductions.py
@@ -6,7 +6,7 @@
 from tests.ingress.in_process import run_ingress
 
 from ragwortkeel.ingress.introductions import (
-    NEWS_SECONDS,
+    ANNOUNCE_INTERVAL_SECONDS,
     Introduction,
     Introductions,
 )
@@ -19,26 +19,26 @@
 class TestIntroductions:
     def test_a_quiet_fleet_is_told_once(self):
         """Links of small instances carry the same list of addresses all day."""
-        one = introductions("a:1", "b:1")
-        assert one.due(0.0) == Introduction(addresses=("a:1", "b:1"))
-        seconds = [one.due(0.1 * step) for step in range(1, 1000)]
-        assert seconds == [None] * len(seconds)
+        known = introductions("a:1", "b:1")
+        assert known.drain_update(0.0) == Introduction(addresses=("a:1", "b:1"))
+        updates = [known.drain_update(0.1 * step) for step in range(1, 1000)]
+        assert updates == [None] * len(updates)
 
     def test_news_are_told_alone_and_together(self):
-        one = introductions("a:1")
-        one.due(0.0)
-        one.meet(Introduction(addresses=("b:1", "own:1"), relays=("b:1",)))
-        one.meet(Introduction(addresses=("c:1",)))
-        assert one.due(NEWS_SECONDS / 2) is None
-        news = Introduction(addresses=("b:1", "c:1"), relays=("b:1",))
-        assert one.due(NEWS_SECONDS) == news
-        assert one.due(2 * NEWS_SECONDS) is None
+        known = introductions("a:1")
+        known.drain_update(0.0)
+        known.add(Introduction(addresses=("b:1", "own:1"), relays=("b:1",)))
+        known.add(Introduction(addresses=("c:1",)))
+        assert known.drain_update(ANNOUNCE_INTERVAL_SECONDS / 2) is None
+        update = Introduction(addresses=("b:1", "c:1"), relays=("b:1",))
+        assert known.drain_update(ANNOUNCE_INTERVAL_SECONDS) == update
+        assert known.drain_update(2 * ANNOUNCE_INTERVAL_SECONDS) is None
 
     def test_a_fresh_link_is_told_all(self):
-        one = introductions("a:1")
-        one.due(0.0)
-        one.meet(Introduction(addresses=("b:1",)))
-        assert one.whole() == Introduction(addresses=("a:1", "b:1"))
+        known = introductions("a:1")
+        known.drain_update(0.0)
+        known.add(Introduction(addresses=("b:1",)))
+        assert known.snapshot() == Introduction(addresses=("a:1", "b:1"))
 
 
 class TestALostIntroduction:
@@ -49,13 +49,13 @@
         """
 
         async def scenario(fleet):
-            await curio.sleep(2 * NEWS_SECONDS)
-            told = []
-            fleet.workers[0]._peers._introductions.meet = told.append
+            await curio.sleep(2 * ANNOUNCE_INTERVAL_SECONDS)
+            received = []
+            fleet.workers[0]._peers._introductions.add = received.append
             begun = monotonic()
-            async with curio.timeout_after(10 * NEWS_SECONDS):
-                while not any(len(one.addresses) > 1 for one in told):
+            async with curio.timeout_after(10 * ANNOUNCE_INTERVAL_SECONDS):
+                while not any(len(known.addresses) > 1 for known in received):
                     await curio.sleep(0.01)
             return monotonic() - begun
 
-        assert run_ingress(scenario, processes=2) < 5 * NEWS_SECONDS
+        assert run_ingress(scenario, processes=2) < 5 * ANNOUNCE_INTERVAL_SECONDS
--- a/tests/ingress/test_mesh.py
+++ b/tests/ingress/test_mesh.py
@@ -7,15 +7,15 @@
 from ragwortkeel.ingress import mesh as mesh_module
 from ragwortkeel.ingress.introductions import Introduction, Introductions
 from ragwortkeel.ingress.mesh import (
-    ADVERTISED_TO,
     HEARTBEAT_SECONDS,
     HEARTBEATS_PER_SECOND,
-    RELAYS,
-    SPARE_SECONDS,
+    INGRESS_LINKS_PER_RELAY,
+    RELAY_LINKS_PER_INGRESS,
+    UNNEEDED_LINK_SECONDS,
     Mesh,
-    by_rendezvous,
-    first_up,
-    idle_pause,
+    first_live,
+    heartbeat_idle_seconds,
+    rendezvous_order,
 )
 
 SIZES = (5, 68, 1000)
@@ -23,7 +23,7 @@
 
 @pytest.fixture(autouse=True)
 def _links_open_at_once(monkeypatch):
-    monkeypatch.setattr(mesh_module, "OPENING_SECONDS", 0.0)
+    monkeypatch.setattr(mesh_module, "CONNECT_GRACE_SECONDS", 0.0)
 
 
 class FakeLink:
@@ -41,16 +41,22 @@
     return tuple(f"10.2.{n // 250}.{n % 250}:1" for n in range(count))
 
 
-def mesh(*, own, ingress, beside, is_relay=False):
-    known = Introductions(address=own, seeds=ingress, is_relay=is_relay)
-    known.meet(Introduction(addresses=(*ingress, *beside), relays=beside))
+def mesh(*, own, router_addresses, relay_addresses, is_relay=False):
+    known_processes = Introductions(
+        address=own, seeds=router_addresses, is_relay=is_relay
+    )
+    known_processes.add(
+        Introduction(
+            addresses=(*router_addresses, *relay_addresses), relays=relay_addresses
+        )
+    )
     rv = Mesh(
         address=own,
-        introductions=known,
+        introductions=known_processes,
         is_relay=is_relay,
         new_link=lambda address, heartbeat, silence: FakeLink(address),
     )
-    while rv.missing():
+    while rv.add_missing():
         pass
     return rv
 
@@ -61,58 +67,83 @@
 
         All sorted the relays by name; its link was full and all calls were late.
         """
-        ingress, beside = routers(68), relays(60)
-        first = Counter(
-            mesh(own=own, ingress=ingress, beside=beside).platform_relays()[0].name
-            for own in ingress
+        router_addresses, relay_addresses = routers(68), relays(60)
+        process_count_by_relay = Counter(
+            mesh(
+                own=own,
+                router_addresses=router_addresses,
+                relay_addresses=relay_addresses,
+            )
+            .platform_relays()[0]
+            .name
+            for own in router_addresses
         )
-        assert max(first.values()) <= 6
-        assert len(first) >= 30
+        assert max(process_count_by_relay.values()) <= 6
+        assert len(process_count_by_relay) >= 30
 
     def test_a_process_links_to_a_few_relays_however_many_there_are(self):
         for size in SIZES:
             own = routers(5)[0]
-            links = mesh(own=own, ingress=routers(5), beside=relays(size))
-            assert len(links.relays()) == min(size, RELAYS)
+            links = mesh(
+                own=own, router_addresses=routers(5), relay_addresses=relays(size)
+            )
+            assert len(links.relay_links()) == min(size, RELAY_LINKS_PER_INGRESS)
 
     def test_a_relay_links_to_a_few_processes_however_many_there_are(self):
         for size in SIZES:
-            beside = relays(3)
+            relay_addresses = relays(3)
             links = mesh(
-                own=beside[0], ingress=routers(size), beside=beside, is_relay=True
+                own=relay_addresses[0],
+                router_addresses=routers(size),
+                relay_addresses=relay_addresses,
+                is_relay=True,
             )
             assert links.link_by_address.keys() <= set(routers(size))
-            assert len(links.link_by_address) == ADVERTISED_TO
+            assert len(links.link_by_address) == INGRESS_LINKS_PER_RELAY
 
     def test_a_dead_relay_is_replaced_by_the_next(self):
         """After some deaths a process has no way round a cut left."""
-        links = mesh(own=routers(5)[0], ingress=routers(5), beside=relays(60))
-        dead = links.platform_relays()[0]
-        dead.up = False
-        while links.missing():
+        links = mesh(
+            own=routers(5)[0], router_addresses=routers(5), relay_addresses=relays(60)
+        )
+        stopped = links.platform_relays()[0]
+        stopped.up = False
+        while links.add_missing():
             pass
-        assert len(links.relays()) == RELAYS
-        assert dead.name in links.link_by_address
+        assert len(links.relay_links()) == RELAY_LINKS_PER_INGRESS
+        assert stopped.name in links.link_by_address
 
     def test_a_link_is_closed_only_when_nothing_waits_on_it_any_more(self):
-        links = mesh(own=routers(5)[0], ingress=routers(5), beside=relays(60))
-        dead = links.platform_relays()[0]
-        dead.up = False
-        (spare,) = links.missing()
-        dead.up = True
-        assert links.spare(100.0) == []
-        assert links.spare(100.0 + SPARE_SECONDS / 2) == []
-        assert links.spare(100.0 + SPARE_SECONDS) == [spare.name]
-        assert spare.name not in links.link_by_address
+        links = mesh(
+            own=routers(5)[0], router_addresses=routers(5), relay_addresses=relays(60)
+        )
+        stopped = links.platform_relays()[0]
+        stopped.up = False
+        (unneeded,) = links.add_missing()
+        stopped.up = True
+        assert links.remove_unneeded(100.0) == []
+        assert links.remove_unneeded(100.0 + UNNEEDED_LINK_SECONDS / 2) == []
+        assert links.remove_unneeded(100.0 + UNNEEDED_LINK_SECONDS) == [unneeded.name]
+        assert unneeded.name not in links.link_by_address
 
     def test_with_all_down_all_are_tried(self):
-        order = by_rendezvous("own", relays(9))
-        assert first_up(order, is_down=lambda name: True, count=RELAYS) == order
+        order = rendezvous_order("own", relays(9))
+        assert (
+            first_live(order, is_down=lambda name: True, count=RELAY_LINKS_PER_INGRESS)
+            == order
+        )
 
     def test_at_the_start_only_a_few_are_tried(self):
         """A process that had just started linked to all relays at once."""
-        order = by_rendezvous("own", relays(60))
-        assert len(first_up(order, is_down=lambda name: False, count=RELAYS)) == RELAYS
+        order = rendezvous_order("own", relays(60))
+        assert (
+            len(
+                first_live(
+                    order, is_down=lambda name: False, count=RELAY_LINKS_PER_INGRESS
+                )
+            )
+            == RELAY_LINKS_PER_INGRESS
+        )
 
 
 class TestHeartbeats:
@@ -123,16 +154,22 @@
         """
         for size in SIZES:
             links = size - 1
-            sent = links / (HEARTBEAT_SECONDS + idle_pause(links))
-            assert sent <= HEARTBEATS_PER_SECOND + 1e-9
+            heartbeats_per_second = links / (
+                HEARTBEAT_SECONDS + heartbeat_idle_seconds(links)
+            )
+            assert heartbeats_per_second <= HEARTBEATS_PER_SECOND + 1e-9
 
     def test_the_writers_links_keep_the_full_pace(self):
-        ingress = routers(68)
-        links = mesh(own=ingress[0], ingress=ingress, beside=relays(60))
-        links.set_pace(ingress[1:4])
-        full = {
+        router_addresses = routers(68)
+        links = mesh(
+            own=router_addresses[0],
+            router_addresses=router_addresses,
+            relay_addresses=relays(60),
+        )
+        links.set_heartbeat_pace(router_addresses[1:4])
+        at_full_pace = {
             name
             for name, link in links.link_by_address.items()
             if not link.idle_seconds
         }
-        assert full == {*ingress[1:4], *links.relays()}
+        assert at_full_pace == {*router_addresses[1:4], *links.relay_links()}
--- a/tests/ingress/test_placement.py
+++ b/tests/ingress/test_placement.py
@@ -121,10 +121,10 @@
     def test_a_restarted_engine_holds_nothing_that_was_told(self):
         one, peer = Placement(zone="a"), Placement(zone="a")
         place(one, chat(0), POOL, engines(1))
-        place(peer, chat(1), POOL, {"e0": upstream("e0", service="pool", born=1)})
+        place(peer, chat(1), POOL, {"e0": upstream("e0", service="pool", started_ms=1)})
         for name, parts in one.news().items():
             peer.heard_parts(name, parts)
-        reborn = {"e0": upstream("e0", service="pool", born=2)}
+        reborn = {"e0": upstream("e0", service="pool", started_ms=2)}
         assert place(peer, chat(2), POOL, reborn).unread_tokens == 4_050
 
     def test_the_own_part_of_a_request_is_told_to_nobody(self):
@@ -175,7 +175,7 @@
         again = place(placement, one, POOL, engines(1))
         assert again.unread_tokens == 0
         placement.release(again)
-        reborn = {"e0": upstream("e0", service="pool", slots=64, born=7)}
+        reborn = {"e0": upstream("e0", service="pool", slots=64, started_ms=7)}
         assert place(placement, one, POOL, reborn).unread_tokens == 5500
 
 
--- a/tests/ingress/test_requests.py
+++ b/tests/ingress/test_requests.py
@@ -21,7 +21,7 @@
 from ragwortkeel.exceptions import ExchangeBroken
 from ragwortkeel.ingress.configuration import UpstreamState
 from ragwortkeel.ingress.upstream_connection import FRESH_SECONDS
-from ragwortkeel.ingress.worker import RETRY_RESERVE, RETRY_SHARE
+from ragwortkeel.ingress.worker import RETRY_FRACTION, RETRY_RESERVE
 
 
 def problem(response):
@@ -313,7 +313,7 @@
             return sum(map(len, fleet.seen().values()))
 
         scripts = dict.fromkeys(("u1", "u2", "u3"), nothing)
-        most = 20 + RETRY_RESERVE + 20 * RETRY_SHARE
+        most = 20 + RETRY_RESERVE + 20 * RETRY_FRACTION
         assert run_ingress(scenario, scripts=scripts) <= most
 
     def test_where_all_fail_the_caller_gets_the_upstreams_answer(self):
--- a/tests/ingress/test_retry_limits.py
+++ b/tests/ingress/test_retry_limits.py
@@ -4,7 +4,7 @@
 from deployments.ports import free_address
 from tests.ingress.in_process import plain, reset, run_ingress, stream_whole
 
-from ragwortkeel.ingress.worker import RETRY_RESERVE, RETRY_SHARE
+from ragwortkeel.ingress.worker import RETRY_FRACTION, RETRY_RESERVE
 from ragwortkeel.policy.retries import FLEET_RESERVE
 
 
@@ -52,7 +52,7 @@
 
     scripts = {"e1": stream_whole} | dict.fromkeys(("u1", "u2", "u3"), sheds)
     repeats = run_ingress(scenario, scripts=scripts) - filings
-    assert repeats <= RETRY_RESERVE + filings * RETRY_SHARE
+    assert repeats <= RETRY_RESERVE + filings * RETRY_FRACTION
 
 
 def test_requests_at_addresses_of_other_instances_are_repeated_within_the_budget():
@@ -72,7 +72,7 @@
     scripts = {f"u{i}": is_another for i in range(6)}
     scripts |= {f"u{i}": is_another_and_slow for i in range(6, 12)}
     repeats = run_ingress(scenario, scripts=scripts) - lookups
-    assert repeats <= RETRY_RESERVE + lookups * RETRY_SHARE
+    assert repeats <= RETRY_RESERVE + lookups * RETRY_FRACTION
 
 
 def test_a_series_of_starts_does_not_free_a_reserve_each():
@@ -87,7 +87,7 @@
         for i in range(starts):
             link = free_address()
             worker = await fleet.start_worker(f"again-{i}", link, (link,))
-            while not fleet.knows_all(worker):
+            while not fleet.is_ready(worker):
                 await curio.sleep(0.01)
             process = len(fleet.workers) - 1
             for j in range(lookups):
@@ -98,4 +98,4 @@
     scripts = dict.fromkeys(("u1", "u2", "u3"), breaks)
     sent = starts * lookups
     repeats = run_ingress(scenario, scripts=scripts) - sent
-    assert repeats <= FLEET_RESERVE + sent * RETRY_SHARE
+    assert repeats <= FLEET_RESERVE + sent * RETRY_FRACTION
--- a/tests/ingress/test_stated_limits.py
+++ b/tests/ingress/test_stated_limits.py
@@ -62,11 +62,11 @@
     def test_a_later_instance_of_that_name_has_no_limit(self):
         """Guards against an upstream that is spared after its restart."""
         stated = StatedLimits(header=HEADER, metrics=Metrics())
-        stated.note_instance(upstream("u1", born=1))
+        stated.note_instance(upstream("u1", started_ms=1))
         stated.note("u1", head("1.5"), sent_at=0.0)
-        stated.note_instance(upstream("u1", born=1))
+        stated.note_instance(upstream("u1", started_ms=1))
         assert stated.limits.of("u1") == 1.5
-        stated.note_instance(upstream("u1", born=2))
+        stated.note_instance(upstream("u1", started_ms=2))
         assert stated.limits.of("u1") is None
 
     @pytest.mark.parametrize("gone", [False, True])
--- a/tests/ingress/test_watching.py
+++ b/tests/ingress/test_watching.py
@@ -1,70 +1,80 @@
 """Few processes watch the platform; the others keep up by what those pass on."""
 
 import curio
-from tests.ingress.in_process import ROUTES, answer_whole, reached, run_ingress
+from tests.ingress.in_process import (
+    ROUTES,
+    answer_whole,
+    run_ingress,
+    wait_for_revision,
+)
 
 from ragwortkeel.ingress import watching
 from ragwortkeel.ingress.configuration import UPSTREAMS_KIND
-from ragwortkeel.ingress.watching import LAG_SECONDS, WATCHERS, Feed, watchers
+from ragwortkeel.ingress.watching import (
+    LAG_GRACE_SECONDS,
+    WATCHER_COUNT,
+    Feed,
+    select_watchers,
+)
 
 NAMES = [f"10.1.0.{n}:1" for n in range(68)]
 
 
 class TestWatchers:
     def test_their_number_does_not_grow_with_the_fleet(self):
-        assert len(watchers(NAMES[:3])) == 3
-        assert len(watchers(NAMES)) == WATCHERS
+        assert len(select_watchers(NAMES[:3])) == 3
+        assert len(select_watchers(NAMES)) == WATCHER_COUNT
 
     def test_the_death_of_one_changes_only_one(self):
-        before = set(watchers(NAMES))
-        dead = next(iter(before))
-        after = set(watchers([name for name in NAMES if name != dead]))
+        before = set(select_watchers(NAMES))
+        stopped = next(iter(before))
+        after = set(select_watchers([name for name in NAMES if name != stopped]))
         assert len(after - before) == 1
 
     def test_who_hears_nobody_watches_by_itself(self):
-        assert watchers([NAMES[5]]) == [NAMES[5]]
+        assert select_watchers([NAMES[5]]) == [NAMES[5]]
 
 
 class TestFeed:
     def test_changes_that_follow_on_are_complete(self):
         feed = Feed()
-        feed.listed(revision=10, newest=9)
-        assert feed.passed_on(since=9, revision=12)
-        assert feed.passed_on(since=12, revision=15)
-        assert feed.complete == 15
-        assert not feed.lags(100.0)
+        feed.record_listing(revision=10, newest=9)
+        assert feed.record_forwarded(since=9, revision=12)
+        assert feed.record_forwarded(since=12, revision=15)
+        assert feed.complete_revision == 15
+        assert not feed.is_lagging(100.0)
 
     def test_a_lost_message_shows_by_the_next_one(self):
         """Requests went on to an upstream that had left: its change was lost."""
         feed = Feed()
-        feed.listed(revision=10, newest=9)
-        assert not feed.passed_on(since=12, revision=15)
-        assert not feed.lags(1.0)
-        assert feed.lags(1.0 + LAG_SECONDS)
-        assert feed.complete == 10
+        feed.record_listing(revision=10, newest=9)
+        assert not feed.record_forwarded(since=12, revision=15)
+        assert not feed.is_lagging(1.0)
+        assert feed.is_lagging(1.0 + LAG_GRACE_SECONDS)
+        assert feed.complete_revision == 10
 
     def test_a_lost_message_shows_by_what_peers_know(self):
         feed = Feed()
-        feed.listed(revision=10, newest=9)
-        feed.heard(12)
-        assert not feed.lags(1.0)
-        assert feed.lags(1.0 + LAG_SECONDS)
-        feed.watched(revision=14, newest=12)
-        assert not feed.lags(3.0)
+        feed.record_listing(revision=10, newest=9)
+        feed.record_peer_revision(12)
+        assert not feed.is_lagging(1.0)
+        assert feed.is_lagging(1.0 + LAG_GRACE_SECONDS)
+        feed.record_watch(revision=14, newest=12)
+        assert not feed.is_lagging(3.0)
 
     def test_what_was_watched_is_told_with_what_it_follows_on(self):
         feed = Feed()
-        feed.listed(revision=10, newest=9)
-        assert feed.watched(revision=20, newest=0) == 10
-        assert feed.watched(revision=24, newest=23) == 10
-        assert feed.watched(revision=30, newest=29) == 23
+        feed.record_listing(revision=10, newest=9)
+        assert feed.record_watch(revision=20, newest=0) == 10
+        assert feed.record_watch(revision=24, newest=23) == 10
+        assert feed.record_watch(revision=30, newest=29) == 23
 
     def test_older_changes_from_a_second_watcher_change_nothing(self):
         feed = Feed()
-        feed.listed(revision=10, newest=9)
-        feed.passed_on(since=10, revision=20)
-        assert feed.passed_on(since=10, revision=12)
-        assert feed.complete == 20
+        feed.record_listing(revision=10, newest=9)
+        feed.record_forwarded(since=10, revision=20)
+        assert feed.record_forwarded(since=10, revision=12)
+        assert feed.complete_revision == 20
 
 
 def count_watches(fleet):
@@ -88,7 +98,7 @@
 
 class TestProcessesThatDoNotWatch:
     def test_they_have_changes_of_upstreams_and_routes(self, monkeypatch):
-        monkeypatch.setattr(watching, "WATCHERS", 1)
+        monkeypatch.setattr(watching, "WATCHER_COUNT", 1)
 
         async def scenario(fleet):
             await curio.sleep(1.0)
@@ -99,7 +109,7 @@
                 await until(lambda w=worker: not w._directory.is_usable("u1"))
             await fleet.configure(routes=ROUTES)
             for worker in fleet.workers:
-                await reached(worker, fleet.revision)
+                await wait_for_revision(worker, fleet.revision)
             return len(watches)
 
         scripts = {"u1": answer_whole}
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from ragwortkeel.ingress.worker import RETRY_FRACTION as INGRESS_SHARE
 from ragwortkeel.ingress.worker import RETRY_RESERVE as INGRESS_RESERVE
-from ragwortkeel.ingress.worker import RETRY_SHARE as INGRESS_SHARE
 from ragwortkeel.policy.retries import (
     FLEET_RESERVE,
     RESERVE,
--- a/tests/site/test_site_objects.py
+++ b/tests/site/test_site_objects.py
@@ -198,7 +198,7 @@
             zone="maule-a",
             slots=64,
             state=UpstreamState.READY,
-            born=1773839388573,
+            started_ms=1773839388573,
         )
 
     @pytest.mark.parametrize(
