--- a/src/ragwortkeel/ingress/__init__.py
+++ b/src/ragwortkeel/ingress/__init__.py
@@ -1,9 +1,10 @@
-"""The ingress: raw HTTP routes to upstreams, drawn on customers' prepaid budgets.
+"""The ingress: HTTP routes to upstreams, paid from customers' prepaid budgets.
 
-A route is chosen by host and path prefix, a customer by its API key; method,
-path, query and body go to the upstream unchanged.  An ingress process calls
-upstreams directly, without a sidecar beside them.
+Host and path prefix choose the route, the API key chooses the customer.  Method, path,
+query and body reach the upstream unchanged.  An ingress process calls upstreams
+directly, without a sidecar beside them.
 
-The modules that decide (`routing`, `directory`, `placement`, `waiting`,
-`prefixes`, `allowance`) read no clock and no socket and can be embedded alone.
+The modules that make decisions (`routing`, `directory`, `placement`, `waiting`,
+`prefixes` and `budget.allowance`) use no clock and no socket, so they can be embedded
+alone.
 """
--- a/src/ragwortkeel/ingress/catch_up.py
+++ b/src/ragwortkeel/ingress/catch_up.py
@@ -1,47 +1,51 @@
-"""When a process asks a peer for the configuration, and which peer.
+"""When a process requests the configuration from a peer, and from which one.
 
-Pattern of load: a change reaches every process from the platform within a fraction of
-a second.  Were each of them to hand it on to all, a fleet of n processes would carry
-n² copies of the whole configuration, and on the links of small instances the
-platform's answers, the balancer's looks and callers' bytes would wait behind them for
-seconds.  Yet a process that the platform turns away has nobody but its peers.
+Pattern of load: the platform sends a change to every process within a fraction of a
+second.  If each process forwarded it to all others, a fleet of n processes would carry
+n² copies of the full configuration.  On the links of small instances the platform's
+answers, the balancer's health checks and callers' data would queue behind them for
+seconds.  Yet a process that the platform refuses depends on its peers.
 
-So nobody sends a configuration unasked.  Every message tells its sender's revision;
-a process that stays behind what it hears asks one peer, and another one only where
-that gave no answer.
+So a configuration is sent only on request.  Every message carries the revision of its
+sender; a process that stays behind requests the configuration from one peer, and from
+another one only if the first gives no answer.
 """
 
 from dataclasses import dataclass
 from random import Random
 
 WATCHER_GRACE_SECONDS = 0.25
-"""How long a process behind its peers leaves it to its own watch: on a link of
-5 Mbit/s the platform's answer with 70 KB takes 0.1 s, behind others more.  A copy too
-many is 10 KB; changes may be due within two seconds."""
+"""How long a process that watches waits for the platform before it asks a peer.
+
+On a link of 5 Mbit/s the platform's answer of 70 KB takes 0.1 seconds, and longer with
+other traffic.  An unneeded copy costs 10 KB; a change may be due within 2 seconds.
+"""
 
 NON_WATCHER_GRACE_SECONDS = 0.05
-"""The same for a process that does not watch: changes in quick succession are asked
-for together."""
+"""How long a process that does not watch waits before it asks a peer, so that several
+changes in quick succession need one request."""
 
 ANSWER_TIMEOUT_SECONDS = 0.5
-"""After which another peer is asked; an answer over a busy link takes some 0.2 s."""
+"""Time after which another peer is asked; over a busy link an answer takes about
+0.2 seconds."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ConfigurationRequest:
-    """Ask this peer; `revision` is the one that it has in force."""
+    """A request to a peer for the revision that it has in force."""
 
     peer: str
     revision: int
 
 
 class CatchUp:
-    """What peers have in force, and whom to ask for it.
+    """The revisions that peers have in force, and the next request to one of them.
 
     Parameters
     ----------
     random : random.Random
-        Chooses among the peers that have the newest, so that not all ask the same.
+        Chooses among the peers with the newest revision, so that processes ask
+        different ones.
 
     Examples
     --------
@@ -61,11 +65,11 @@
         self._asked_at = float("-inf")
 
     def record_revision(self, peer: str, revision: int) -> None:
-        """Note which revision a peer has in force; 0 for none."""
+        """Record the revision that a peer has in force; 0 for none."""
         self._revision_by_peer[peer] = revision
 
     def remove(self, peer: str) -> None:
-        """Forget a peer that is no longer heard."""
+        """Remove a peer whose link is down."""
         self._revision_by_peer.pop(peer, None)
 
     def next_request(
@@ -75,10 +79,10 @@
         now: float,
         grace_seconds: float = WATCHER_GRACE_SECONDS,
     ) -> ConfigurationRequest | None:
-        """Return whom to ask at this monotonic second, None for nobody.
+        """Return the request to send at monotonic time `now`, or None.
 
-        A question that is returned counts as asked.  `grace` is how long to leave it
-        to the own watch, in seconds.
+        A returned request counts as sent.  `grace_seconds` is how long this process
+        may stay behind before it asks a peer.
         """
         newest = max(self._revision_by_peer.values(), default=0)
         if newest <= own_revision:
@@ -86,7 +90,7 @@
             self._own_revision = own_revision
             return None
         if self._behind_since is None or own_revision > self._own_revision:
-            # What has just brought a newer one may bring the newest too.
+            # The source of the revision just applied may deliver the newest one too.
             self._behind_since = now
             self._asked_peer = None
             self._asked_at = float("-inf")
@@ -102,7 +106,7 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether a peer had a newer one when `next_request` was called last."""
+        """Whether a peer had a newer revision at the last call of `next_request`."""
         return self._behind_since is not None
 
     def _choose(self, newest: int) -> str:
--- a/src/ragwortkeel/ingress/configuration.py
+++ b/src/ragwortkeel/ingress/configuration.py
@@ -1,7 +1,7 @@
-"""What operators configure for an ingress, and what upstreams say of themselves.
+"""The configuration of an ingress by operators, and the entries of upstreams.
 
-One object holds the whole configuration, so that a version is in force as a
-whole or not at all.  Each upstream instance keeps an entry of its own.
+One object holds the full configuration, so that a revision is in force completely or
+not at all.  Each upstream instance writes an entry of its own.
 """
 
 from enum import StrEnum
@@ -15,14 +15,14 @@
 CONFIGURATION_NAME = "main"
 UPSTREAMS_KIND = "ingress-upstreams"
 EVACUATIONS_KIND = "ingress-evacuations"
-"""One object for each evacuated availability zone, by the zone's name."""
+"""Kind with one object for each evacuated availability zone, named as the zone."""
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class Repeats(StrEnum):
-    """What may be done again with a request of a route."""
+    """Whether and how a request of a route may run a second time."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -30,31 +30,33 @@
 
 
 class Split(msgspec.Struct, frozen=True, kw_only=True):
-    """One service's share of a route's requests."""
+    """A service and its weight in the split of a route's requests."""
 
     service: str
     weight: Annotated[float, msgspec.Meta(ge=0)] = 1.0
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Which requests go to which service, and what their callers may expect.
+    """A host and path prefix whose requests go to services, and their promises.
 
     Attributes
     ----------
     prefix : str
-        Begins and ends with a slash; the longest one that fits wins.
+        Path prefix that begins and ends with a slash; the longest match wins.
     timeout_seconds : float
-        The final answer leaves by then, counted from the request's arrival.
+        Time from a request's arrival until its final answer has to be sent.
     objective_seconds : float
-        Time in which an answer (a stream's first event) is of full use.
+        Time in which an answer, or the first event of a stream, has its full value.
     priority : int
-        0 is served first.
+        Priority of the requests; 0 is the highest.
     max_attempts : int
-        Upstreams that may run one request.
+        Number of upstreams that may run one request.
+    public : bool
+        Whether requests need no API key.
     resumable : bool
-        Whether a broken stream may go on at another upstream.
+        Whether another upstream may continue a broken stream.
     gap_seconds : float
-        Longest pause between a stream's events that callers take as on time.
+        Longest gap between the events of a stream that callers accept as on time.
     homes : tuple of str
         Regions whose upstreams may serve the route; empty for all.
     """
@@ -75,19 +77,19 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a second run does no harm."""
+        """Whether a request may run a second time without harm."""
         return self.repeats is Repeats.IDEMPOTENT or self.resumable
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True):
-    """What a service's model engines are able to do.
+    """The capacity of the model engines of a service.
 
     Attributes
     ----------
     slots : int
         Requests in one batch.
     memory_tokens : int
-        Tokens of running requests and kept prompt parts together.
+        Tokens of running requests and of the prefix cache together.
     event_tokens : int
         Tokens in one event of a stream.
     """
@@ -98,14 +100,17 @@
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """A group of equal upstreams.
+    """A group of upstreams that can serve the same requests.
 
     Attributes
     ----------
+    max_connections : int
+        Connections that one upstream accepts.
     cold_seconds : float
-        How long an upstream stays cold after its start, at the most.
+        Longest time that an upstream stays cold after its start.
     cold_per_second : float
-        Requests a second that a cold one bears from the whole fleet; 0 for no bound.
+        Requests per second from the whole fleet that a cold upstream can serve; 0 for
+        no limit.
     """
 
     name: str
@@ -116,10 +121,14 @@
 
 
 class Customer(msgspec.Struct, frozen=True, kw_only=True):
-    """Who pays: API keys and one prepaid budget over all routes.
+    """A customer with its API keys and one prepaid budget for all routes.
 
-    `prepaid` counts prompt and answer tokens; None is no budget of tokens.  `homes`
-    are the regions whose upstreams may serve the customer; empty for all.
+    Attributes
+    ----------
+    prepaid : int or None
+        Prompt and answer tokens in the budget; None if there is no token budget.
+    homes : tuple of str
+        Regions whose upstreams may serve the customer; empty for all.
     """
 
     name: str
@@ -130,14 +139,14 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller may send, in bytes, and how long it may be idle."""
+    """Largest request body in bytes, and how long a connection may stay idle."""
 
     max_body_bytes: Count = 4 * 1024 * 1024
     idle_seconds: Positive = 60.0
 
 
 class IngressConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole configuration; a higher `revision` replaces a lower one."""
+    """The full configuration; a higher `revision` replaces a lower one."""
 
     revision: int
     routes: tuple[Route, ...] = ()
@@ -147,26 +156,26 @@
 
 
 class UpstreamState(StrEnum):
-    """Whether an upstream takes new work."""
+    """Whether an upstream accepts new requests."""
 
     READY = "ready"
     LEAVING = "leaving"
 
 
 class Upstream(msgspec.Struct, frozen=True, kw_only=True):
-    """One upstream instance, as it says of itself.
+    """The entry of one upstream instance, as the instance writes it.
 
     Attributes
     ----------
     name : str
-        Of the instance; an address may be used again by another one.
+        Name of the instance; another instance may later use the same address.
     slots : int
-        Requests that it runs at once.
+        Requests that it runs at the same time.
     started_ms : int
-        Milliseconds of the wall clock at its start; tells a restart under the
-        same name, after which it remembers nothing.
+        Wall clock time of its start in milliseconds, stored as ``born``.  After a
+        restart under the same name its prefix cache is empty.
     cold_seconds : float
-        How much longer it was to stay cold when it wrote this.
+        Time that it would still stay cold when it wrote the entry.
     """
 
     name: str
@@ -184,12 +193,12 @@
 
 
 def decode_value(value: bytes, cls: type[Decoded]) -> Decoded:
-    """Return the value as `cls`.
+    """Return the decoded value.
 
     Raises
     ------
     ConfigurationUnreadable
-        It is none; the text says what is wrong.
+        The value does not decode as `cls`; the message names the error.
     """
     try:
         return msgspec.json.decode(value, type=cls)
--- a/src/ragwortkeel/ingress/directory.py
+++ b/src/ragwortkeel/ingress/directory.py
@@ -1,16 +1,17 @@
-"""Which upstreams may get work, from entries that come late, lapse and come back.
+"""The upstreams that may get requests, as their entries in the platform state.
 
 Failures it guards against:
 
-- An upstream leaves and a late or stale entry shows it ready again: requests are
-  cut when it exits.  So entries only go up in version, and one that was seen
-  leaving or gone stays so until an instance born later takes the name.
-- Upstreams crash and come back under new names at the same addresses, as after a loss
-  of power, and the old entries lapse seconds later: most requests meet another
-  instance.  So an address belongs to the upstream of a service that was born last.
-- The platform was away and let entries lapse: on its return nearly all upstreams
-  look gone at once.  So entries that vanish around an outage are kept for
-  `OUTAGE_GRACE_SECONDS` after its end, in which live upstreams write them anew.
+- A late or stale entry shows a leaving upstream as ready: requests sent there are cut
+  when it exits.  So the version of an entry never decreases, and an upstream that is
+  leaving stays so until an instance with a later start takes its name.
+- Upstreams crash and restart under new names at the same addresses, as after a power
+  failure, and the old entries expire only seconds later: most requests reach another
+  instance than intended.  So an address belongs to that upstream of a service which
+  started last.
+- The platform was unreachable and let entries expire: on its return nearly all
+  upstreams look deleted at once.  So entries that disappear around an outage count for
+  another `OUTAGE_GRACE_SECONDS`, in which live upstreams write them again.
 """
 
 from collections.abc import Mapping
@@ -21,15 +22,25 @@
 from ragwortkeel.ingress.configuration import Upstream, UpstreamState
 
 OUTAGE_GRACE_SECONDS = 2.3
-"""Live upstreams are back about 2 s after the platform is; some slack on top."""
+"""How long after an outage of the platform a deleted entry may still be written again.
+
+Live upstreams write their entries within about 2 seconds of the platform's return.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Entry:
     """An upstream's entry and the platform's version of it.
 
-    `upstream` is None once it is gone, `expires_at` the monotonic second at which
-    an entry that vanished around an outage counts as gone.
+    Attributes
+    ----------
+    version : int
+        The platform's version of the entry, or the revision of its deletion.
+    upstream : Upstream or None
+        None once the entry is deleted.
+    expires_at : float or None
+        Not None while the platform no longer has the entry but the outage may be the
+        reason; see `Directory.expire`.
     """
 
     version: int
@@ -38,13 +49,13 @@
 
     @property
     def usable(self) -> bool:
-        """Whether new work may go there."""
+        """Whether the upstream may get requests, its availability zone aside."""
         return self.upstream is not None and self.upstream.state is UpstreamState.READY
 
 
 @dataclass(frozen=True, kw_only=True)
 class DirectoryChange:
-    """One upstream's change, for logs and for those who keep state about it."""
+    """A change of one upstream, for logs and for modules that keep state about it."""
 
     name: str
     was_usable: bool
@@ -53,17 +64,17 @@
 
 
 class Directory:
-    """All upstreams this process has heard of, by name.
+    """The upstreams that this process knows, by name.
 
     Parameters
     ----------
     region_by_zone : mapping of str to str
-        Where each availability zone lies; empty where nothing has homes.
+        The region of each availability zone; empty if no request has homes.
 
     Attributes
     ----------
     evacuated_zones : frozenset of str
-        Availability zones whose upstreams get nothing new.
+        Availability zones whose upstreams get no new requests.
 
     Examples
     --------
@@ -80,7 +91,7 @@
 
     @property
     def upstream_by_name(self) -> dict[str, Upstream]:
-        """All upstreams that are not gone, leaving ones too."""
+        """The upstreams whose entries are not deleted, including leaving ones."""
         return {
             name: entry.upstream
             for name, entry in self._entry_by_name.items()
@@ -88,12 +99,12 @@
         }
 
     def get(self, name: str) -> Upstream | None:
-        """Return the upstream, unless it is gone or unknown."""
+        """Return the upstream, or None if it is deleted or unknown."""
         entry = self._entry_by_name.get(name)
         return entry.upstream if entry else None
 
     def is_usable(self, name: str) -> bool:
-        """Whether the upstream is ready and its availability zone not evacuated."""
+        """Return whether the upstream is ready and its zone is not evacuated."""
         entry = self._entry_by_name.get(name)
         if entry is None or not entry.usable:
             return False
@@ -102,9 +113,9 @@
     def usable(
         self, *, service: str, regions: frozenset[str] | None = None
     ) -> dict[str, Upstream]:
-        """Return the service's upstreams that may get new work.
+        """Return the service's upstreams that may get requests, by name.
 
-        With `regions` only those in one of them.
+        With `regions`, only upstreams in one of these regions.
         """
         return {
             name: upstream
@@ -114,7 +125,10 @@
         }
 
     def withholds_all(self, *, service: str, regions: frozenset[str] | None) -> bool:
-        """Whether all of the service's ready upstreams are evacuated or elsewhere."""
+        """Return whether the service has ready upstreams but none is usable.
+
+        All of them are in evacuated availability zones or outside of `regions`.
+        """
         if not self.evacuated_zones and regions is None:
             return False
         ready = self._ready(service)
@@ -135,11 +149,11 @@
     def record_outage(
         self, now: float, *, seconds: float = OUTAGE_GRACE_SECONDS
     ) -> None:
-        """Note that entries may be missing for so long, as the platform is away."""
+        """Record that entries may be missing for `seconds` because of an outage."""
         self._outage_until = max(self._outage_until, now + seconds)
 
     def outage_seconds_left(self, now: float) -> float:
-        """Return for how long entries may be missing because of an outage."""
+        """Return for how many seconds entries may still be missing after an outage."""
         return max(0.0, self._outage_until - now)
 
     def merge_listing(
@@ -149,9 +163,9 @@
         revision: int,
         now: float,
     ) -> list[DirectoryChange]:
-        """Take over a whole list; what it lacks has vanished.
+        """Merge a full listing; entries that it lacks are deleted.
 
-        An entry seen at a version above `revision` is newer than the list.
+        An entry whose version is above `revision` is newer than the listing and stays.
         """
         changes = []
         for name, (version, upstream) in upstream_by_name.items():
@@ -165,7 +179,7 @@
     def merge_entry(
         self, name: str, upstream: Upstream, *, version: int, now: float
     ) -> list[DirectoryChange]:
-        """Take over one entry; older ones than the known are left out."""
+        """Merge one entry, unless a newer version of it is known."""
         known = self._entry_by_name.get(name)
         if known is not None and known.version > version:
             return []
@@ -175,7 +189,7 @@
         return changes + self._delete_older_at_address(upstream)
 
     def record_replacement(self, name: str) -> list[DirectoryChange]:
-        """Note that another instance answers at the upstream's address."""
+        """Record that another instance answers at the upstream's address."""
         known = self._entry_by_name.get(name)
         if known is None or known.upstream is None:
             return []
@@ -184,7 +198,7 @@
     def record_deletion(
         self, name: str, *, version: int, now: float
     ) -> list[DirectoryChange]:
-        """Note that the platform has no such entry any more."""
+        """Record that the platform no longer has the entry."""
         known = self._entry_by_name.get(name)
         if known is None or known.upstream is None or known.version > version:
             return []
@@ -197,7 +211,7 @@
         return self._set(name, _deleted(version, known))
 
     def expire(self, now: float) -> list[DirectoryChange]:
-        """Give up entries that did not come back after an outage."""
+        """Delete the entries that were not written again after an outage."""
         changes = []
         for name, entry in list(self._entry_by_name.items()):
             if entry.expires_at is None:
@@ -208,10 +222,10 @@
         return changes
 
     def _delete_older_at_address(self, upstream: Upstream) -> list[DirectoryChange]:
-        """Give up all upstreams at one address but the one that was born last.
+        """Delete all upstreams at one address but the one that started last.
 
-        Of one service only: an entry of a service that is not configured may be
-        anybody's, and must not take a good upstream away.
+        Only upstreams of the same service count: an entry of a service that is not
+        configured may be anyone's and must not displace a working upstream.
         """
         address = upstream.service, upstream.host, upstream.port
         at_address = [
--- a/src/ragwortkeel/ingress/evacuations.py
+++ b/src/ragwortkeel/ingress/evacuations.py
@@ -1,9 +1,9 @@
-"""Which availability zones are evacuated: their upstreams get nothing new.
+"""The availability zones under evacuation, whose upstreams get no new requests.
 
-Failures it guards against: a process that misses a watch, one that the platform turns
-away, and a history that the platform has dropped.  So what travels is never a single
-change but the whole set of zones as of a revision of the platform.  It is a few bytes,
-any process may pass it on, and of two sets the one of the higher revision holds.
+Failures it guards against: a process misses a watch, the platform refuses a process,
+or the platform has dropped its history.  So processes never send single changes but
+the full set of zones at a revision of the platform, which takes a few bytes.  Any
+process may forward it, and the set with the higher revision replaces the other.
 """
 
 from collections.abc import Iterable
@@ -14,21 +14,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ZonesChanged:
-    """Zones that are evacuated now, and zones that are taken back."""
+    """Zones whose evacuation has started, and zones whose evacuation has ended."""
 
     evacuated: frozenset[str]
     returned: frozenset[str]
 
 
 class Evacuations:
-    """The evacuated availability zones as this process knows them.
+    """The evacuated availability zones that this process knows.
 
     Attributes
     ----------
     current : EvacuatedZones
-        The newest set that was reported.
+        The newest set received.
     since_by_zone : dict of str to float
-        Second at which this process learned of each evacuation, on the caller's clock.
+        When this process received each evacuation, in seconds of the caller's clock.
 
     Examples
     --------
@@ -44,11 +44,11 @@
 
     @property
     def zones(self) -> frozenset[str]:
-        """The zones whose upstreams get nothing new."""
+        """The zones whose upstreams get no new requests."""
         return frozenset(self.since_by_zone)
 
     def merge(self, received: EvacuatedZones, *, now: float) -> ZonesChanged | None:
-        """Take over a newer set; return what it changes, None for nothing."""
+        """Replace the set by a newer one; return the difference, or None."""
         if received.revision <= self.current.revision:
             return None
         self.current = received
@@ -63,5 +63,5 @@
 
 
 def evacuated_zones(names: Iterable[str], revision: int) -> EvacuatedZones:
-    """Return the set of these zones as of a revision."""
+    """Return the message with these zones at a revision."""
     return EvacuatedZones(revision=revision, zones=tuple(sorted(names)))
--- a/src/ragwortkeel/ingress/following.py
+++ b/src/ragwortkeel/ingress/following.py
@@ -1,11 +1,15 @@
-"""Follows the configuration, the upstreams' entries and evacuations in the platform.
+"""Followers of the configuration, the upstreams' entries and the evacuations.
 
-Only some processes of a fleet watch, see `ingress.watching`; the others are sent the
-entries' changes and evacuations by them and ask a peer for a newer configuration.
+Only some processes of a fleet watch the platform, see `ingress.watching`.  They forward
+changes of entries and evacuations to the others, which request a newer configuration
+from a peer.
 
-Failures it guards against: a watch goes silent with its connection open (a short
-wait and a time-out of its own show it), history is gone (it lists again), and an
-answer from a lagging copy shows the past (versions only go up).
+Failures it guards against:
+
+- A watch gets no answer while its connection stays open: watches are short, and the
+  client times out soon after.
+- The platform has dropped its history: the follower lists again.
+- A lagging replica answers with an old state: versions never decrease.
 """
 
 from collections.abc import Awaitable, Callable
@@ -32,22 +36,31 @@
 from ragwortkeel.platform import Change, Platform, Stored
 
 WATCH_TIMEOUT_SECONDS = 3.0
-"""A watch waits this long.  A silent one shows after that and the client's own
-time-out; each wait is a call that is paid for."""
+"""How long a watch waits for changes.
+
+A watch without an answer is detected after this and the client's own timeout.  Shorter
+waits cost more calls, which are paid for.
+"""
 
 RETRY_DELAY_SECONDS = 0.4
-"""Pause after a failed call."""
+"""Delay after a failed call."""
 
 BATCH_DELAY_SECONDS = 0.3
-"""Pause after a watch that brought changes: a release or a crash of several upstreams
-is dozens of them, and each would answer the watches of all that watch at once."""
+"""Delay after a watch that returned changes.
+
+A release or a crash of several upstreams is dozens of changes, and each of them would
+answer the watches of all watchers at once.
+"""
 
 CALL_ACCEPT_SECONDS = 0.9
-"""A call that is answered was taken up within so long, straight or through a peer: a
-watch may then wait for seconds more."""
+"""Time in which the platform accepts a call that it answers, relayed or not.
+
+A watch may wait for seconds after it was accepted, so the time of its answer says
+nothing about the end of an outage.
+"""
 
 WATCHER_CHECK_SECONDS = 0.1
-"""How often a process that does not watch looks whether it has to."""
+"""Interval at which a process that does not watch checks whether it has to."""
 
 ConfigurationCallback = Callable[[IngressConfiguration, bytes], Awaitable[None]]
 DirectoryChangesCallback = Callable[[list[DirectoryChange]], Awaitable[None]]
@@ -56,16 +69,21 @@
 
 
 class _Follower:
-    """Lists a kind, then watches it, for ever.
+    """Lists a kind, then watches it, until cancelled.
 
     Parameters
     ----------
-    watches : callable
-        Returns whether this process is to watch, or its peers keep it up to date.
+    is_watcher : callable
+        Returns whether this process has to watch; if not, peers forward changes.
+
+    Attributes
+    ----------
+    has_listed : bool
+        Whether the first listing is complete.
     """
 
     _batches_changes = False
-    """Whether changes come so often that several are worth waiting for."""
+    """Whether changes are so frequent that `BATCH_DELAY_SECONDS` saves calls."""
 
     def __init__(
         self, *, platform: Platform, kind: str, is_watcher: Callable[[], bool]
@@ -115,12 +133,12 @@
         return revision
 
     async def _wait_as_non_watcher(self, revision: int) -> int | None:
-        """Wait a moment; return the revision to watch from."""
+        """Wait for forwarded changes; return the revision to watch from."""
         await curio.sleep(WATCHER_CHECK_SECONDS)
         return revision
 
     async def _handle_watched(self, changes: tuple[Change, ...], revision: int) -> None:
-        """Pass on what a watch brought."""
+        """Forward the changes that a watch returned."""
 
     def _record_reachable(self, reachable: bool, error: str) -> None:
         if reachable == self._reachable:
@@ -141,7 +159,13 @@
 
 
 class ConfigurationFollower(_Follower):
-    """Follows the one object of the configuration."""
+    """Follows the configuration object.
+
+    Parameters
+    ----------
+    apply : callable
+        Applies a configuration, given with its encoded form.
+    """
 
     def __init__(
         self,
@@ -178,8 +202,12 @@
 
     Parameters
     ----------
-    share : callable
-        Sends changes to the processes that don't watch.
+    directory : Directory
+        Merges the entries.
+    apply : callable
+        Applies the resulting changes of the directory.
+    forward : callable
+        Sends changes of entries to the processes that don't watch.
     """
 
     _batches_changes = True
@@ -201,15 +229,15 @@
 
     @property
     def newest_revision(self) -> int:
-        """Revision of the newest change that this process knows of."""
+        """Revision of the newest change that is known here."""
         return self._feed.newest_revision
 
     def receive_newest_revision(self, revision: int) -> None:
-        """Note the newest change that a peer knows of."""
+        """Record the revision of the newest change that a peer knows."""
         self._feed.record_peer_revision(revision)
 
     async def receive_changes(self, message: UpstreamChanges) -> None:
-        """Take in changes from a process that watches."""
+        """Merge changes from a process that watches."""
         now = monotonic()
         self._directory.record_outage(now, seconds=message.lapse_seconds)
         for change in map(change_of, message.objects):
@@ -226,7 +254,7 @@
             )
 
     async def expire(self) -> None:
-        """Give up entries that did not come back after an outage."""
+        """Delete the entries that were not written again after an outage."""
         await self._apply(self._directory.expire(monotonic()))
 
     def _record_reachable(self, reachable: bool, error: str) -> None:
@@ -252,7 +280,7 @@
         revision = await super()._wait_as_non_watcher(revision)
         if not self._feed.is_lagging(monotonic()):
             return max(revision, self._feed.complete_revision)
-        # Entries may be missing after an outage that this process did not notice.
+        # After an outage that this process did not notice, entries may be missing.
         self._directory.record_outage(monotonic())
         log_info("upstreams_behind", complete=self._feed.complete_revision)
         return await self._watch(revision, 0.0)
@@ -301,14 +329,15 @@
 class EvacuationFollower(_Follower):
     """Follows which availability zones are evacuated.
 
-    An entry counts by its name alone, whether it can be read or not: sending on to a
-    zone that somebody empties does more harm than sparing one.
+    An entry counts by its name, even if its value is unreadable: requests sent to a
+    zone under evacuation do more harm than a zone without requests.
 
     Parameters
     ----------
-    take, share : callable
-        Take the whole set of zones here, and send it to the processes that don't
-        watch.
+    apply : callable
+        Applies the full set of evacuated zones.
+    forward : callable
+        Sends the set to the processes that don't watch.
     """
 
     def __init__(
@@ -350,6 +379,6 @@
     try:
         return decode_value(stored.value, Upstream)
     except ConfigurationUnreadable as exc:
-        # Another writer's entry names no upstream; the others hold.
+        # Skipped: an unreadable entry must not affect the other upstreams.
         log_warning("entry_unreadable", name=stored.name, error=str(exc))
         return None
--- a/src/ragwortkeel/ingress/front.py
+++ b/src/ragwortkeel/ingress/front.py
@@ -1,4 +1,4 @@
-"""Serves callers: decides where a request belongs and hands it on."""
+"""Accepts callers' requests: chooses the route, the customer and the service."""
 
 from hashlib import blake2b
 
@@ -38,12 +38,14 @@
     Parameters
     ----------
     components : FrontComponents
-        What requests share.
+        The components that all requests share.
 
     Attributes
     ----------
+    table : RoutingTable or None
+        The routes of the configuration in force, None before the first one.
     stopping : bool
-        Whether a planned stop is so far that a new request could be cut.
+        Whether a planned stop has gone so far that a new request might be cut off.
     """
 
     def __init__(self, *, components: FrontComponents) -> None:
@@ -53,7 +55,7 @@
         self._names = components.names
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Serve one request."""
+        """Serve or refuse one request."""
         match self._accept(request):
             case Accepted() as accepted:
                 exchange = Exchange(
@@ -136,7 +138,10 @@
 
 
 def _regions(route: Route, customer: Customer | None) -> frozenset[str] | None:
-    """Return where a request may run: where both have homes, in those of both."""
+    """Return the regions that may serve the request, None for all.
+
+    If both the route and the customer have homes, these are the common ones.
+    """
     home_sets = [
         regions
         for regions in (route.homes, customer.homes if customer else ())
--- a/src/ragwortkeel/ingress/front_components.py
+++ b/src/ragwortkeel/ingress/front_components.py
@@ -1,4 +1,4 @@
-"""What all requests of an ingress process share."""
+"""The components that all requests of an ingress process share."""
 
 from dataclasses import dataclass
 from time import monotonic
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FrontComponents:
-    """The parts that bring requests to their answers."""
+    """The components that take a request from its arrival to its answer."""
 
     names: HeaderNames
     dispatcher: Dispatcher
@@ -43,7 +43,7 @@
         waited: float,
         revision: int | None,
     ) -> None:
-        """Log and count an answer of the ingress's own."""
+        """Log and count a request that the ingress answers itself with an error."""
         log_info(
             "refused",
             request=request_id,
@@ -59,7 +59,7 @@
         )
 
     async def check_for_crash(self, upstream: Upstream, fingerprint: str) -> None:
-        """Look, beside the request, whether an upstream that broke off is down."""
+        """Check in a separate task whether an upstream that broke off has crashed."""
         self.crashes.broken(upstream, fingerprint)
         await curio.spawn(self._check_connection, upstream, daemon=True)
 
--- a/src/ragwortkeel/ingress/introductions.py
+++ b/src/ragwortkeel/ingress/introductions.py
@@ -1,23 +1,25 @@
-"""Which processes a process knows of, and what its peers have still to hear of them.
-
-Pattern of load: who there is changes a few times an hour, and with dozens of processes
-the list of all is the largest of the small messages.  Told to every peer every two
-seconds it was two thirds of what an idle process sent.  So peers are told what is new.
-The whole list goes over each fresh link, and to one peer at a time in case a connection
-broke and came back unnoticed, with what was on its way lost: with n peers that do the
-same, each hears it about as often as it is told to one.
+"""The processes that one process knows, and which of them its peers lack.
+
+Pattern of load: the list of processes changes a few times an hour, but with dozens of
+processes it is the largest of the frequent messages; sent to every peer every 2 seconds
+it would be two thirds of what an idle process sends.  So peers are sent only what is
+new.  The full list goes over each link that comes up.  It also goes to one random peer
+at a time, since a connection may break and return unnoticed while messages are lost.
 """
 
 from dataclasses import dataclass
 
 ANNOUNCE_INTERVAL_SECONDS = 2.0
-"""How often peers are told of new processes, so that many that start at once are one
-message; and how often one peer is told the whole list."""
+"""Interval at which peers are sent new processes, and at which one peer is sent the
+full list.
+
+Processes that start at the same time are announced in one message.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Introduction:
-    """Processes that a peer may not know: addresses, and which of them only relay."""
+    """Addresses of processes that a peer may not know, and which of them are relays."""
 
     addresses: tuple[str, ...] = ()
     relays: tuple[str, ...] = ()
@@ -27,23 +29,23 @@
 
 
 class Introductions:
-    """The processes that one process has heard of.
+    """The processes that one process knows.
 
     Parameters
     ----------
     address : str
         ``ip:port`` of this process.
     seeds : iterable of str
-        Addresses to begin with.
+        Addresses to start with.
     is_relay : bool
-        Whether this process only relays.
+        Whether this process only relays platform calls.
 
     Attributes
     ----------
     known : set of str
-        Addresses of the others.
+        Addresses of the other processes.
     relays : set of str
-        Addresses of those that only relay, its own among them.
+        Addresses of the relays, including this process if it is one.
     """
 
     def __init__(self, *, address: str, seeds: tuple[str, ...], is_relay: bool) -> None:
@@ -55,18 +57,18 @@
         self._announced_at = float("-inf")
 
     def add(self, introduction: Introduction) -> None:
-        """Take in what a peer told, or the settings."""
+        """Add the processes that a peer or the settings name."""
         self.known |= set(introduction.addresses) - {self._address}
         self.relays |= set(introduction.relays)
 
     def snapshot(self) -> Introduction:
-        """Return all, for one peer."""
+        """Return all known processes, for one peer."""
         return _introduction(self.known, self.relays)
 
     def drain_update(self, now: float) -> Introduction | None:
-        """Return what to tell all peers at this monotonic second; None if nothing.
+        """Return what to announce to all peers at monotonic time `now`, or None.
 
-        What is returned counts as told.
+        What is returned counts as announced.
         """
         update = self.known - self._announced, self.relays - self._announced_relays
         if not any(update) or now - self._announced_at < ANNOUNCE_INTERVAL_SECONDS:
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -1,8 +1,9 @@
-"""What ingress processes tell each other: loads, configuration, crashes, loans.
+"""The links between ingress processes and relays, and the messages on them.
 
-Every process links to the peers that its settings name and to those it hears of
-from them.  Nothing here is needed to be safe: a lost message costs balance, a
-loan or some time, never a promise.
+Ingress processes exchange loads, configuration, crashes, loans and renewals.  Every
+process links to the peers in its settings and to the processes that these peers know.
+No guarantee depends on a message's arrival: a lost message costs balance, a loan or
+some time.
 """
 
 from random import Random
@@ -67,42 +68,52 @@
 from ragwortkeel.traffic import Traffic, largest
 
 CLOCK_QUERY_SECONDS = 2.0
-"""How often some peers are asked for their time of day; an old answer stays good."""
+"""Time between clock queries; an older answer stays usable."""
 
 CLOCK_QUERY_PEER_COUNT = 4
-"""Peers asked at a time, beside each one that is heard anew."""
+"""Peers in one clock query; a peer whose link has just come up is queried as well."""
 
 REVISION_PEER_COUNT = 8
-"""Peers that are sent word of a new revision at once; the others have it from the
-platform, or from the next message of any of those."""
+"""Peers that a new revision is sent to at once.
+
+The others get it from the platform or with the next message of any of these peers.
+"""
 
 TRAFFIC_LOG_SECONDS = 2.0
-"""How often it is logged what the links carry: a line a process, however busy."""
+"""Interval of the log line on the links' traffic."""
 
 CATCH_UP_POLL_SECONDS = 0.05
-"""How often it is looked at whether to ask a peer, while one has a newer
-configuration than this process."""
+"""Interval at which a process whose peers have a newer configuration checks whether
+to request it."""
 
 
 class Peers:
-    """The links of one ingress process.
+    """The links of one process to its peers, and the tasks that serve them.
 
     Parameters
     ----------
     node : str
         Name of this process.
+    incarnation : str
+        Incarnation of this process, the sender of its messages.
     address : str
         ``ip:port`` that peers connect to.
     seeds : tuple of str
-        Addresses to begin with.
+        Addresses of the first peers to link to.
     platform : Platform
-        Where calls of peers are made.
+        Executes the platform calls that peers relay through this process.
     handler
-        Takes what peers say; see `PeerHandler`.
+        Provides what is sent to peers and receives their messages; see `PeerHandler`.
     metrics : Metrics
-        Where the links' bytes are counted.
+        Counts the bytes on the links.
     is_relay : bool
-        Whether this process only relays; relays don't link to each other.
+        Whether this process only relays platform calls; relays don't link to each
+        other.
+
+    Attributes
+    ----------
+    writers : Writers
+        The processes that renew slices in the same ledgers.
     """
 
     def __init__(
@@ -164,31 +175,31 @@
 
     @property
     def known_count(self) -> int:
-        """Other processes that this one has heard of."""
+        """Number of other processes that this one knows."""
         return len(self._introductions.known)
 
     @property
     def ingress_addresses(self) -> frozenset[str]:
-        """Addresses of the other processes that place requests, heard now or not."""
+        """Addresses of the other ingress processes, reachable or not."""
         return frozenset(self._introductions.known - self._introductions.relays)
 
     @property
     def ingress_count(self) -> int:
-        """Processes that place requests, this one among them, heard now or not."""
+        """Number of ingress processes, reachable or not, including this one."""
         return len(self.ingress_addresses) + (not self._is_relay)
 
     @property
     def clock_source_count(self) -> int:
-        """Other processes whose time of day this one asks for."""
+        """Number of other processes whose clocks this one queries."""
         return self.ingress_count - 1 + len(self._queried_relays)
 
     @property
     def live_count(self) -> int:
-        """Peers that were heard lately."""
+        """Number of peers whose links are up."""
         return len(self._mesh.live_links())
 
     async def run(self) -> None:
-        """Talk to peers until cancelled."""
+        """Exchange messages with peers until cancelled."""
         async with self._tasks:
             await self._tasks.spawn(self._receive, daemon=True)
             await self._tasks.spawn(self._send_reports, daemon=True)
@@ -199,23 +210,23 @@
                 await self._handle_link_event(await self._inbox.get())
 
     def add_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Link to these peers too."""
+        """Link to the peers at these addresses as well."""
         self._introductions.add(Introduction(addresses=addresses))
 
     def platform_relays(self) -> list[Link]:
-        """Return the links to peers that may relay, pure relays first."""
+        """Return the links to peers that may relay platform calls, relays first."""
         return self._mesh.platform_relays()
 
     async def announce_revision(self) -> None:
-        """Let some peers hear of a new revision now: any message tells it."""
+        """Send a message to some peers: every message carries the revision."""
         await self._send(Heartbeat(), self._sample_ingress_links(REVISION_PEER_COUNT))
 
     def is_watcher(self) -> bool:
-        """Whether this process is to watch the platform, for those that don't."""
+        """Return whether this process watches the platform on behalf of others."""
         return self._address in self._current_watchers()
 
     async def forward_changes(self, changes: UpstreamChanges | EvacuatedZones) -> None:
-        """Send what a watch brought to the processes that don't watch."""
+        """Send what a watch returned to the processes that don't watch."""
         watching = self._current_watchers()
         if self._address not in watching[:FORWARDER_COUNT]:
             return
@@ -227,11 +238,11 @@
         return select_watchers([self._address, *self._mesh.ingress_links()])
 
     async def send_crash(self, crash: CrashSeen) -> None:
-        """Tell all peers that place requests of a crash and what ran there."""
+        """Send a crash and what ran there to all ingress processes."""
         await self._send(crash, list(self._mesh.ingress_links().values()))
 
     async def request_loan(self, customer: str, account: Account) -> None:
-        """Ask the peers that hold most for tokens of a customer."""
+        """Request a loan for a customer from the peers with the largest slices."""
         need = account.need(monotonic())
         request = LoanRequest(
             customer=customer,
@@ -256,7 +267,7 @@
         return links or self._sample_ingress_links(ASKED_AT_ONCE)
 
     async def _query_clocks(self, links: list[Link]) -> None:
-        # A relay has no use for the time.
+        # A relay needs no fleet time.
         if self._is_relay:
             return
         names = {link.name for link in links}
@@ -269,10 +280,11 @@
                 await link.try_send(message)
 
     async def _send_reports(self) -> None:
-        """Report loads and new addresses, and link to peers that are new.
+        """Report loads and new addresses, and open links to new peers.
 
-        A few peers at a time: copies for dozens of them in one go are a tenth of a
-        second of a small instance's link, in which callers' events wait.
+        Reports go to a few peers at a time.  Sending dozens of copies at once would
+        fill the link of a small instance for 0.1 seconds, which delays the events of
+        its callers' streams.
         """
         clocks_queried_at = snapshot_sent_at = float("-inf")
         while True:
@@ -312,7 +324,7 @@
             await self._random.choice(links).try_send(snapshot)
 
     async def _report_to_ingress(self, introduction: Introduction) -> None:
-        """Report to all processes that place requests; take the time for a round."""
+        """Report to all ingress processes, group by group, over one report round."""
         ingress_links = (
             [] if self._is_relay else list(self._mesh.ingress_links().values())
         )
@@ -325,7 +337,7 @@
             await curio.sleep(REPORT_SECONDS)
 
     def _links_without_loads(self) -> list[Link]:
-        """Return the links to peers that have no use for loads."""
+        """Return the links to peers that don't use load reports."""
         links = (
             self._mesh.ingress_links() if self._is_relay else self._mesh.relay_links()
         )
@@ -364,7 +376,10 @@
         )
 
     async def _log_traffic(self) -> None:
-        """Say what the links carry: a link that is full only makes things late."""
+        """Log and count the bytes on the links.
+
+        A full link causes no error, only delays; this shows it.
+        """
         while True:
             await curio.sleep(TRAFFIC_LOG_SECONDS)
             report = self._traffic.take()
@@ -380,7 +395,7 @@
 
     async def _handle_link_event(self, event) -> None:
         if event.peer not in self._mesh.link_by_address:
-            # The link was closed with this event on its way.
+            # The event was queued before its link was closed.
             return
         if isinstance(event, Received):
             await self._record_revision(event.peer, event.envelope.revision)
@@ -404,7 +419,10 @@
                 await self._handle_message(envelope.message)
 
     async def _greet(self, link: Link) -> None:
-        """Tell a peer that is heard again little: all are, at the end of a cut."""
+        """Send a peer the known processes; request prompt blocks once after a start.
+
+        Kept small: after a partition many links come up at once.
+        """
         await self._send(self._state(self._introductions.snapshot()), [link])
         await self._query_clocks([link])
         to_relay = link.name in self._introductions.relays
@@ -418,13 +436,13 @@
             await self._behind_event.set()
 
     async def _record_sender_revision(self, envelope: Envelope) -> None:
-        """Note the revision of a peer that sends over a link of its own."""
+        """Record the revision of a peer that sends over a link of its own."""
         link = self.writers.link_of(envelope.sender.partition("/")[0])
         if link is not None:
             await self._record_revision(link.name, envelope.revision)
 
     async def _request_configurations(self) -> None:
-        """Ask a peer for the configuration where this process stays behind."""
+        """Request the configuration from a peer while this process is behind."""
         while True:
             await self._behind_event.wait()
             own_revision = self._handler.revision()
@@ -457,7 +475,7 @@
         await self._mesh.link_by_address[request.peer].try_send(pull)
 
     def _configuration_push(self, pull: ConfigurationPull) -> ConfigurationPush | None:
-        """Return the configuration for a peer that is behind."""
+        """Return the configuration for a peer that is behind, None if it is not."""
         configuration = self._handler.configuration_object()
         if configuration is None:
             return None
@@ -467,7 +485,7 @@
         return ConfigurationPush(objects=(configuration,))
 
     async def _receive(self) -> None:
-        """Take what peers send over their own links; echo what keeps them up."""
+        """Handle messages that peers send over their own links, and reply to them."""
         while True:
             received = await self._endpoint.receive()
             await self._record_sender_revision(received.envelope)
@@ -475,7 +493,7 @@
             if isinstance(message, HandedRenewals):
                 self.writers.note_identity(message.holder, received.peer)
             if isinstance(message, PlatformCall | LoanRequest):
-                # These wait for the platform, and what comes next does not.
+                # A task of their own: they wait for the platform, later messages don't.
                 call = self._handle_slow_message, received.peer, message
                 await self._tasks.spawn(*call, daemon=True)
                 continue
@@ -501,7 +519,7 @@
             log_debug("peer_answer_lost", peer=peer, error=str(exc))
 
     async def _handle_message(self, message):
-        """Take one message in; return what to answer."""
+        """Handle a message; return the reply or None."""
         match message:
             case IngressState() as state:
                 await self._merge_state(state)
--- a/src/ragwortkeel/ingress/watching.py
+++ b/src/ragwortkeel/ingress/watching.py
@@ -1,10 +1,10 @@
-"""Which processes watch the platform, and whether another one has fallen behind.
+"""Which processes watch the platform, and how a process detects missing changes.
 
-Pattern of load: each watch that waits is a call that is paid for, and each change
-answers the watches of all processes at once, with a copy for each of them.  So a few
-processes watch, the first of those that hear each other in one order of names, and
-pass changes on.  Nobody is elected: who hears none of them watches by itself, and one
-that is told of a change it has not got reads it from the platform.
+Pattern of load: each pending watch is a call that is paid for, and each change answers
+all watches at once, with a copy for each.  So only a few processes watch and forward
+changes to the others: the first of the mutually reachable ones in an order of names
+that all share.  There is no election.  A process that reaches no peer watches itself,
+and one that lacks a change which a peer knows reads it from the platform.
 """
 
 from collections.abc import Iterable
@@ -12,31 +12,32 @@
 from ragwortkeel.ingress.mesh import rendezvous_order
 
 WATCHER_COUNT = 6
-"""Of those that hear each other; so many hardly ever die in the same second."""
+"""Processes that watch, among those that reach each other; a failure of all of them
+within the same second is unlikely."""
 
 FORWARDER_COUNT = 2
-"""Of those that watch, the first ones; only they pass changes on unasked."""
+"""Watchers, the first in the order, that forward changes to the other processes."""
 
 LAG_GRACE_SECONDS = 0.5
-"""For so long a change may be on its way from the processes that watch."""
+"""How long a change may take from a watcher before it counts as missing."""
 
 _ORDER = "watchers"
 
 
 def select_watchers(names: Iterable[str]) -> list[str]:
-    """Return which of the processes watch."""
+    """Return the names of the processes that watch."""
     return rendezvous_order(_ORDER, names)[:WATCHER_COUNT]
 
 
 class Feed:
-    """How complete the changes are that one process has taken in.
+    """Tracks up to which revision one process has all changes.
 
     Attributes
     ----------
-    complete : int
-        Revision up to which every change has been taken in.
-    newest : int
-        Revision of the newest change seen here, for the peers.
+    complete_revision : int
+        Revision up to which every change is known here.
+    newest_revision : int
+        Revision of the newest change that is known here, which peers are sent.
 
     Examples
     --------
@@ -56,13 +57,13 @@
         self._behind_since: float | None = None
 
     def record_listing(self, *, revision: int, newest: int) -> None:
-        """Note a list of a revision, and the newest change that it shows."""
+        """Record a listing at a revision and the newest change in it."""
         self.complete_revision = max(self.complete_revision, revision)
         self._last_change_revision = max(self._last_change_revision, revision)
         self.newest_revision = max(self.newest_revision, newest)
 
     def record_watch(self, *, revision: int, newest: int) -> int:
-        """Note what a watch brought; return since when these changes follow on."""
+        """Record what a watch returned; return the revision that it continues from."""
         since = self._last_change_revision
         self.complete_revision = max(self.complete_revision, revision)
         if newest:
@@ -71,7 +72,7 @@
         return since
 
     def record_forwarded(self, *, since: int, revision: int) -> bool:
-        """Note changes that a peer passed on; return whether none is missing."""
+        """Record changes that a peer forwarded; return whether none is missing."""
         self.newest_revision = max(self.newest_revision, revision)
         if since > self.complete_revision:
             self.record_peer_revision(revision)
@@ -81,11 +82,11 @@
         return True
 
     def record_peer_revision(self, newest: int) -> None:
-        """Note the newest change that a peer knows of."""
+        """Record the revision of the newest change that a peer knows."""
         self._peer_revision = max(self._peer_revision, newest)
 
     def is_lagging(self, now: float) -> bool:
-        """Whether a change that a peer knows of has been missing for too long."""
+        """Return whether a change that a peer knows has been missing for too long."""
         if self._peer_revision <= self.complete_revision:
             self._behind_since = None
             return False
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -1,4 +1,4 @@
-"""The ingress daemon's work: ties its parts together."""
+"""The worker of an ingress process: creates, connects and runs its components."""
 
 import secrets
 from random import Random
@@ -63,44 +63,52 @@
 from ragwortkeel.traces import Tracing
 
 RETRY_FRACTION = 0.12
-"""Of first attempts at a service.  The fleet as a whole may add a fifth; each process
-keeps below, as its own count of first attempts may run behind."""
+"""Retries at a service per first attempt.
+
+The fleet may add one fifth to its requests by retries.  Each process stays below that
+because its count of first attempts may lag.
+"""
 
 RETRY_RESERVE = 6.0
-"""Retries at a service saved up by a quiet process of a small fleet, less in a larger
-one; see `policy.retries.reserve_of_one`."""
+"""Retries at a service that an idle process of a small fleet may save up; processes of
+a larger fleet save fewer, see `policy.retries.reserve_of_one`."""
 
 UPKEEP_SECONDS = 0.2
-"""How often lapsed entries and idle connections are looked at."""
+"""Interval at which expired entries, idle connections and new crashes are handled."""
 
 LATE_TIMER_SECONDS = 0.25
-"""A timer that fires so late shows a process without processor time, or frozen; the
-links' heartbeats are late then too."""
+"""Delay of a timer above which a warning is logged: the process is frozen or lacks
+processor time, and its heartbeats are late as well."""
 
 BALANCER_SECONDS = 2.6
-"""A balancer that looks once a second and wants two misses has stopped sending
-by then; new connections are taken so long after a planned stop has begun."""
+"""Time after the start of a planned stop in which new connections are accepted.
+
+By then a balancer that probes once per second and needs two failed probes no longer
+sends requests here.
+"""
 
 STOP_POLL_SECONDS = 0.05
 
 ENTRY_LAG_SECONDS = 2.0
-"""Upstreams of an availability zone that is taken back may have become cold without
-their entries saying so yet."""
+"""How long upstreams of an availability zone count as cold when its evacuation ends,
+since their entries may not show yet that they became cold."""
 
 IDLE_TIMEOUT_FACTOR = 1.2
-"""A caller's idle connection is kept this much longer than callers may use it, so
-that no request crosses the close."""
+"""A caller's idle connection stays open for the idle limit times this factor, so that
+no request arrives while it is being closed."""
 
 
 class IngressWorker:
-    """Everything an ingress process runs.
+    """Runs an ingress process and handles what its peers send.
 
     Parameters
     ----------
+    settings : IngressSettings
+        Settings of this process.
     platform : Platform
-        Configuration, upstreams' entries and ledgers.
+        Stores the configuration, the upstreams' entries and the ledgers.
     names : HeaderNames
-        What callers and upstreams call their headers.
+        Header names that callers and upstreams use.
 
     .. versionadded:: 0.2
     """
@@ -201,18 +209,18 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the balancer should send requests here."""
         return self._front.table is not None and not self._stopping
 
     def open(self) -> None:
-        """Bind the sockets."""
+        """Bind the sockets of the HTTP server and of the links."""
         self._server.open()
         self._peers.open()
 
     def reload(self, settings: IngressSettings) -> None:
-        """Take over what may change while it runs: the peers.
+        """Apply the settings that may change at run time, which are the peers.
 
-        Addresses hold until the next start; a change of one is logged.
+        Other changes need a restart, and a warning names them.
         """
         self._peers.add_addresses(settings.peers)
         changed = changed_fields(self._settings, settings)
@@ -222,7 +230,7 @@
             log_warning("settings_need_a_restart", fields=restart_fields)
 
     async def run(self) -> None:
-        """Work until cancelled or until a task fails."""
+        """Run all tasks until cancelled or until one fails."""
         await run_together(
             self._server.serve,
             self._configurations.run,
@@ -237,9 +245,9 @@
         )
 
     async def stop(self) -> Leftover:
-        """Finish open requests and give slices back.
+        """Complete open requests and return the slices.
 
-        New connections are taken and served until the balancer has noticed.
+        New connections are accepted until the balancer has noticed the stop.
         """
         self._stopping = True
         self._server.begin_closing()
@@ -256,10 +264,10 @@
         return Leftover(counts={"requests": cut_count, "slices": int(not returned)})
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return what is in force here of an object."""
+        """Return the revision and version in force of an object."""
         return InForce(revision=self.revision(), version=self.revision() or None)
 
-    # What peers say, and what they are told.
+    # The methods of `PeerHandler`.
 
     def revision(self) -> int:
         """Return the revision of the configuration in force; 0 for none."""
@@ -267,27 +275,27 @@
         return table.configuration.revision if table else 0
 
     def heartbeat(self) -> Heartbeat:
-        """Return what keeps a peer's link up."""
+        """Return the message that keeps a link to a peer up."""
         return Heartbeat(leaving=self._stopping)
 
     def own_loads(self) -> dict[str, Load]:
-        """Return what this process has at each upstream."""
+        """Return this process's load at each upstream."""
         return self._placement.own_loads()
 
     def parts_news(self) -> dict[str, dict[int, int]]:
-        """Return what upstreams began to read for this process since the last call."""
+        """Return prompt blocks that upstreams began to read since the last call."""
         return self._placement.news()
 
     def all_parts(self) -> dict[str, dict[int, int]]:
-        """Return what upstreams are taken to hold of shared prompt parts."""
+        """Return the prompt blocks that the upstreams' prefix caches should hold."""
         return self._placement.all_parts()
 
     def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
-        """Take in what a peer let an upstream read."""
+        """Merge prompt blocks that an upstream began to read for a peer."""
         self._placement.heard_parts(upstream, tokens_by_chain)
 
     def configuration_object(self) -> VersionedObject | None:
-        """Return the configuration in force, for a peer."""
+        """Return the configuration in force as peers are sent it, None if none is."""
         if not self._encoded_configuration:
             return None
         return VersionedObject(
@@ -298,18 +306,18 @@
         )
 
     def heard_clock(self, peer: str, answer: ClockAnswer) -> None:
-        """Take in a peer's time of day."""
+        """Merge the time of day of a peer."""
         self._fleet_time.answered(peer, answer, read_clocks().boot)
 
     async def heard_loads(
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
     ) -> None:
-        """Take in what a peer has at each upstream, and for how long it holds."""
+        """Replace the loads of a peer; they count for `hold_seconds`."""
         holds_until = monotonic() + hold_seconds
         self._placement.heard(node, load_by_upstream, holds_until)
 
     def heard_revision(self, peer: str, revision: int) -> None:
-        """Take in which configuration a peer has in force; 0 for none."""
+        """Record which configuration a peer has in force; 0 for none."""
         if revision <= max(self._peer_revision, self.revision()):
             return
         self._peer_revision = revision
@@ -317,7 +325,7 @@
         log_info("configuration_behind", peer=peer, heard=revision, own=self.revision())
 
     async def heard_configuration(self, pushed: VersionedObject) -> None:
-        """Take over a peer's configuration where it is newer."""
+        """Apply the configuration of a peer if it is newer."""
         if pushed.version <= self.revision():
             return
         try:
@@ -328,17 +336,17 @@
         await self._apply_configuration(configuration, pushed.value, source="peer")
 
     def heard_crash(self, crash: CrashSeen) -> None:
-        """Take in a crash that a peer found."""
+        """Record a crash that a peer found."""
         self._crashes.heard(
             Crash(crash_id=crash.crash_id, fingerprints=frozenset(crash.fingerprints))
         )
 
     def limits(self) -> dict[str, AnnouncedLimit]:
-        """Return what answers said lately of their upstreams' rate limits."""
+        """Return the rate limits that upstreams' answers announced recently."""
         return self._stated_limits.recent()
 
     def merge_limits(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
-        """Take in what answers to a peer said."""
+        """Merge rate limits that answers to a peer announced."""
         self._stated_limits.merge(limit_by_upstream)
 
     def upstreams_revision(self) -> int:
@@ -346,40 +354,40 @@
         return self._upstreams.newest_revision
 
     def heard_upstreams_revision(self, revision: int) -> None:
-        """Take in the newest such change that a peer knows of."""
+        """Record the revision of the newest such change that a peer knows."""
         self._upstreams.receive_newest_revision(revision)
 
     async def heard_upstreams(self, changes: UpstreamChanges) -> None:
-        """Take in changes from a peer that watches the platform."""
+        """Merge changes of upstreams' entries from a peer that watches."""
         await self._upstreams.receive_changes(changes)
 
     def evacuated_zones(self) -> EvacuatedZones:
-        """Return the evacuated availability zones as known here."""
+        """Return the evacuated availability zones as this process knows them."""
         return self._evacuations.current
 
-    async def report_evacuated(self, received: EvacuatedZones) -> None:
-        """Take over which availability zones are evacuated, where that is newer."""
+    async def report_evacuated(self, found: EvacuatedZones) -> None:
+        """Apply a set of evacuated availability zones if it is newer."""
         since = time()
-        changed = self._evacuations.merge(received, now=since)
+        changed = self._evacuations.merge(found, now=since)
         if changed is None:
             return
         self._directory.evacuated_zones = self._evacuations.zones
         for zone in changed.evacuated:
-            log_info("zone_evacuated", zone=zone, revision=received.revision)
+            log_info("zone_evacuated", zone=zone, revision=found.revision)
             self.metrics.zone_evacuated(zone=zone, since=since)
         for zone in changed.returned:
-            log_info("zone_taken_back", zone=zone, revision=received.revision)
+            log_info("zone_taken_back", zone=zone, revision=found.revision)
             self.metrics.zone_evacuated(zone=zone, since=0.0)
         for name in self._directory.names_in_zones(changed.returned):
             self._placement.note_cold(name, ENTRY_LAG_SECONDS, monotonic())
         await self._dispatcher.place_waiting()
 
     async def lend(self, request: LoanRequest) -> TokenLoan:
-        """Answer a peer that lacks tokens."""
+        """Lend tokens to a peer that lacks them; return the loan."""
         return await self._budget_keeper.lend(request)
 
     async def borrowed(self, loan: TokenLoan) -> None:
-        """Take in what a peer did for requests that wait for tokens here."""
+        """Receive a peer's answer to a loan request."""
         log_info(
             "loan_received",
             customer=loan.customer,
@@ -389,23 +397,23 @@
         await self._budget_keeper.borrowed(loan)
 
     def writing_step(self) -> int:
-        """Return how slowly this process writes ledgers."""
+        """Return how slowly this process writes ledgers; see `budget.turns`."""
         return self._budget_keeper.renewals.writing_step
 
     def renewals_called(self) -> HandedRenewals | None:
-        """Return what a peer that writes the ledgers should take along."""
+        """Return renewals for a peer that is about to write, None if there are none."""
         return self._budget_keeper.renewals.called()
 
     async def heard_renewals(self, handed: HandedRenewals) -> None:
-        """Take in renewals to write along."""
+        """Receive renewals that a peer delegates to this process."""
         await self._budget_keeper.renewals.heard(handed)
 
     async def renewals_written(self, answer: RenewalsWritten) -> None:
-        """Take in what became of renewals that a peer was handed."""
+        """Receive the results of renewals that were delegated to a peer."""
         await self._budget_keeper.renewals.written(answer)
 
     async def relayed(self, answer: PlatformAnswer) -> None:
-        """Take in the answer to a call that a peer made."""
+        """Receive the answer to a platform call that a peer relayed."""
         await self._platform.answered(answer)
 
     async def _apply_configuration(
@@ -414,7 +422,7 @@
         value: bytes,
         source: str = "platform",
     ) -> None:
-        # It never reverts: a lagging list or peer may show an older one.
+        # The revision never decreases: a lagging replica or peer may send an older one.
         if configuration.revision <= self.revision():
             return
         log_info(
