--- a/src/ragwortkeel/ingress/directory.py
+++ b/src/ragwortkeel/ingress/directory.py
@@ -1,16 +1,17 @@
-"""Which upstreams may get work, from entries that come late, lapse and come back.
+"""The upstreams that may get requests, as their entries in the platform state.
 
 Failures it guards against:
 
-- An upstream leaves and a late or stale entry shows it ready again: requests are
-  cut when it exits.  So entries only go up in version, and one that was seen
-  leaving or gone stays so until an instance born later takes the name.
-- Upstreams crash and come back under new names at the same addresses, as after a loss
-  of power, and the old entries lapse seconds later: most requests meet another
-  instance.  So an address belongs to the upstream of a service that was born last.
-- The platform was away and let entries lapse: on its return nearly all upstreams
-  look gone at once.  So entries that vanish around an outage are kept for
-  `LAPSE_SECONDS` after its end, in which live upstreams write them anew.
+- A late or stale entry shows a leaving upstream as ready: requests sent there are cut
+  when it exits.  So the version of an entry never decreases, and an upstream that is
+  leaving stays so until an instance with a later start takes its name.
+- Upstreams crash and restart under new names at the same addresses, as after a power
+  failure, and the old entries expire only seconds later: most requests reach another
+  instance than intended.  So an address belongs to that upstream of a service which
+  started last.
+- The platform was unreachable and let entries expire: on its return nearly all
+  upstreams look deleted at once.  So entries that disappear around an outage count for
+  another `OUTAGE_GRACE_SECONDS`, in which live upstreams write them again.
 """
 
 from collections.abc import Mapping
@@ -20,31 +21,41 @@
 
 from ragwortkeel.ingress.configuration import Upstream, UpstreamState
 
-LAPSE_SECONDS = 2.3
-"""Live upstreams are back about 2 s after the platform is; some slack on top."""
+OUTAGE_GRACE_SECONDS = 2.3
+"""How long after an outage of the platform a deleted entry may still be written again.
+
+Live upstreams write their entries within about 2 seconds of the platform's return.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Entry:
     """An upstream's entry and the platform's version of it.
 
-    `upstream` is None once it is gone, `lapses_at` the monotonic second at which
-    an entry that vanished around an outage counts as gone.
+    Attributes
+    ----------
+    version : int
+        The platform's version of the entry, or the revision of its deletion.
+    upstream : Upstream or None
+        None once the entry is deleted.
+    expires_at : float or None
+        Not None while the platform no longer has the entry but the outage may be the
+        reason; see `Directory.expire`.
     """
 
     version: int
     upstream: Upstream | None
-    lapses_at: float | None = None
+    expires_at: float | None = None
 
     @property
     def usable(self) -> bool:
-        """Whether new work may go there."""
+        """Whether the upstream may get requests, its availability zone aside."""
         return self.upstream is not None and self.upstream.state is UpstreamState.READY
 
 
 @dataclass(frozen=True, kw_only=True)
-class Moved:
-    """One upstream's change, for logs and for those who keep state about it."""
+class DirectoryChange:
+    """A change of one upstream, for logs and for modules that keep state about it."""
 
     name: str
     was_usable: bool
@@ -53,17 +64,17 @@
 
 
 class Directory:
-    """All upstreams this process has heard of, by name.
+    """The upstreams that this process knows, by name.
 
     Parameters
     ----------
     region_by_zone : mapping of str to str
-        Where each availability zone lies; empty where nothing has homes.
+        The region of each availability zone; empty if no request has homes.
 
     Attributes
     ----------
     evacuated_zones : frozenset of str
-        Availability zones whose upstreams get nothing new.
+        Availability zones whose upstreams get no new requests.
 
     Examples
     --------
@@ -80,7 +91,7 @@
 
     @property
     def upstream_by_name(self) -> dict[str, Upstream]:
-        """All upstreams that are not gone, leaving ones too."""
+        """The upstreams whose entries are not deleted, including leaving ones."""
         return {
             name: entry.upstream
             for name, entry in self._entry_by_name.items()
@@ -88,12 +99,12 @@
         }
 
     def get(self, name: str) -> Upstream | None:
-        """Return the upstream, unless it is gone or unknown."""
+        """Return the upstream, or None if it is deleted or unknown."""
         entry = self._entry_by_name.get(name)
         return entry.upstream if entry else None
 
     def is_usable(self, name: str) -> bool:
-        """Whether the upstream is ready and its availability zone not evacuated."""
+        """Return whether the upstream is ready and its zone is not evacuated."""
         entry = self._entry_by_name.get(name)
         if entry is None or not entry.usable:
             return False
@@ -102,9 +113,9 @@
     def usable(
         self, *, service: str, regions: frozenset[str] | None = None
     ) -> dict[str, Upstream]:
-        """Return the service's upstreams that may get new work.
+        """Return the service's upstreams that may get requests, by name.
 
-        With `regions` only those in one of them.
+        With `regions`, only upstreams in one of these regions.
         """
         return {
             name: upstream
@@ -113,14 +124,17 @@
             and (regions is None or self._region_by_zone.get(upstream.zone) in regions)
         }
 
-    def withholds(self, *, service: str, regions: frozenset[str] | None) -> bool:
-        """Whether all of the service's ready upstreams are evacuated or elsewhere."""
+    def withholds_all(self, *, service: str, regions: frozenset[str] | None) -> bool:
+        """Return whether the service has ready upstreams but none is usable.
+
+        All of them are in evacuated availability zones or outside of `regions`.
+        """
         if not self.evacuated_zones and regions is None:
             return False
         ready = self._ready(service)
         return bool(ready) and not self.usable(service=service, regions=regions)
 
-    def in_zones(self, zones: frozenset[str]) -> list[str]:
+    def names_in_zones(self, zones: frozenset[str]) -> list[str]:
         """Return the names of the upstreams in these availability zones."""
         by_name = self.upstream_by_name
         return [name for name, upstream in by_name.items() if upstream.zone in zones]
@@ -132,104 +146,110 @@
             if entry.usable and entry.upstream.service == service
         }
 
-    def lost_platform(self, now: float, *, seconds: float = LAPSE_SECONDS) -> None:
-        """Note that entries may be missing for so long, as the platform is away."""
+    def record_outage(
+        self, now: float, *, seconds: float = OUTAGE_GRACE_SECONDS
+    ) -> None:
+        """Record that entries may be missing for `seconds` because of an outage."""
         self._outage_until = max(self._outage_until, now + seconds)
 
-    def lapse_seconds(self, now: float) -> float:
-        """Return for how long entries may be missing because of an outage."""
+    def outage_seconds_left(self, now: float) -> float:
+        """Return for how many seconds entries may still be missing after an outage."""
         return max(0.0, self._outage_until - now)
 
-    def listed(
+    def merge_listing(
         self,
         upstream_by_name: dict[str, tuple[int, Upstream]],
         *,
         revision: int,
         now: float,
-    ) -> list[Moved]:
-        """Take over a whole list; what it lacks has vanished.
+    ) -> list[DirectoryChange]:
+        """Merge a full listing; entries that it lacks are deleted.
 
-        An entry seen at a version above `revision` is newer than the list.
+        An entry whose version is above `revision` is newer than the listing and stays.
         """
-        moves = []
+        changes = []
         for name, (version, upstream) in upstream_by_name.items():
-            moves += self.written(name, upstream, version=version, now=now)
+            changes += self.merge_entry(name, upstream, version=version, now=now)
         for name, entry in list(self._entry_by_name.items()):
             missing = entry.upstream is not None and name not in upstream_by_name
             if missing and entry.version <= revision:
-                moves += self.vanished(name, version=revision, now=now)
-        return moves
+                changes += self.record_deletion(name, version=revision, now=now)
+        return changes
 
-    def written(
+    def merge_entry(
         self, name: str, upstream: Upstream, *, version: int, now: float
-    ) -> list[Moved]:
-        """Take over one entry; older ones than the known are left out."""
+    ) -> list[DirectoryChange]:
+        """Merge one entry, unless a newer version of it is known."""
         known = self._entry_by_name.get(name)
         if known is not None and known.version > version:
             return []
-        if known is not None and _left(known) and not _reborn(known, upstream):
-            upstream = _leaving(upstream)
-        moves = self._set(name, Entry(version=version, upstream=upstream))
-        return moves + self._settle_address(upstream)
+        if known is not None and _is_leaving(known) and not _restarted(known, upstream):
+            upstream = _as_leaving(upstream)
+        changes = self._set(name, Entry(version=version, upstream=upstream))
+        return changes + self._delete_older_at_address(upstream)
 
-    def replaced(self, name: str) -> list[Moved]:
-        """Note that another instance answers at the upstream's address."""
+    def record_replacement(self, name: str) -> list[DirectoryChange]:
+        """Record that another instance answers at the upstream's address."""
         known = self._entry_by_name.get(name)
         if known is None or known.upstream is None:
             return []
-        return self._set(name, _gone(known.version, known))
+        return self._set(name, _deleted(known.version, known))
 
-    def vanished(self, name: str, *, version: int, now: float) -> list[Moved]:
-        """Note that the platform has no such entry any more."""
+    def record_deletion(
+        self, name: str, *, version: int, now: float
+    ) -> list[DirectoryChange]:
+        """Record that the platform no longer has the entry."""
         known = self._entry_by_name.get(name)
         if known is None or known.upstream is None or known.version > version:
             return []
         if now < self._outage_until and known.usable:
-            lapses_at = known.lapses_at or self._outage_until
-            entry = Entry(version=version, upstream=known.upstream, lapses_at=lapses_at)
+            expires_at = known.expires_at or self._outage_until
+            entry = Entry(
+                version=version, upstream=known.upstream, expires_at=expires_at
+            )
             return self._set(name, entry)
-        return self._set(name, _gone(version, known))
+        return self._set(name, _deleted(version, known))
 
-    def expire(self, now: float) -> list[Moved]:
-        """Give up entries that did not come back after an outage."""
-        moves = []
+    def expire(self, now: float) -> list[DirectoryChange]:
+        """Delete the entries that were not written again after an outage."""
+        changes = []
         for name, entry in list(self._entry_by_name.items()):
-            if entry.lapses_at is None:
+            if entry.expires_at is None:
                 continue
             if now < self._outage_until:
                 continue
-            moves += self._set(name, _gone(entry.version, entry))
-        return moves
+            changes += self._set(name, _deleted(entry.version, entry))
+        return changes
 
-    def _settle_address(self, upstream: Upstream) -> list[Moved]:
-        """Give up all upstreams at one address but the one that was born last.
+    def _delete_older_at_address(self, upstream: Upstream) -> list[DirectoryChange]:
+        """Delete all upstreams at one address but the one that started last.
 
-        Of one service only: an entry of a service that is not configured may be
-        anybody's, and must not take a good upstream away.
+        Only upstreams of the same service count: an entry of a service that is not
+        configured may be anyone's and must not displace a working upstream.
         """
-        where = upstream.service, upstream.host, upstream.port
-        same = [
+        address = upstream.service, upstream.host, upstream.port
+        at_address = [
             (name, entry)
             for name, entry in self._entry_by_name.items()
             if entry.upstream is not None
             and (entry.upstream.service, entry.upstream.host, entry.upstream.port)
-            == where
+            == address
         ]
-        last = max(entry.upstream.born for _, entry in same)
-        moves = []
-        for name, entry in same:
-            if entry.upstream.born < last:
-                moves += self._set(name, _gone(entry.version, entry))
-        return moves
-
-    def _set(self, name: str, entry: Entry) -> list[Moved]:
+        latest_start = max(entry.upstream.started_ms for _, entry in at_address)
+        changes = []
+        for name, entry in at_address:
+            if entry.upstream.started_ms < latest_start:
+                changes += self._set(name, _deleted(entry.version, entry))
+        return changes
+
+    def _set(self, name: str, entry: Entry) -> list[DirectoryChange]:
         known = self._entry_by_name.get(name)
         self._entry_by_name[name] = entry
         was_usable = known is not None and known.usable
         if known is not None and known.upstream == entry.upstream:
             return []
         return [
-            Moved(
+            DirectoryChange(
                 name=name,
                 was_usable=was_usable,
                 usable=entry.usable,
@@ -238,17 +258,17 @@
         ]
 
 
-def _left(entry: Entry) -> bool:
+def _is_leaving(entry: Entry) -> bool:
     return entry.upstream is not None and entry.upstream.state is UpstreamState.LEAVING
 
 
-def _reborn(known: Entry, upstream: Upstream) -> bool:
-    return upstream.born > known.upstream.born
+def _restarted(known: Entry, upstream: Upstream) -> bool:
+    return upstream.started_ms > known.upstream.started_ms
 
 
-def _leaving(upstream: Upstream) -> Upstream:
+def _as_leaving(upstream: Upstream) -> Upstream:
     return msgspec.structs.replace(upstream, state=UpstreamState.LEAVING)
 
 
-def _gone(version: int, entry: Entry) -> Entry:
+def _deleted(version: int, entry: Entry) -> Entry:
     return Entry(version=version, upstream=None)
--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -109,7 +109,7 @@
             Upstreams to exclude because the request was sent to them before.
         """
         self._service_by_name[service.name] = service
-        if self._directory.withholds(service=service.name, regions=job.regions):
+        if self._directory.withholds_all(service=service.name, regions=job.regions):
             return self._not_assigned(job)
         ahead = self.queue.queued_ahead(job)
         if not ahead:
@@ -135,7 +135,7 @@
 
     def record_replaced(self, upstream: str) -> None:
         """Stop using an upstream whose address now belongs to another instance."""
-        if self._directory.replaced(upstream):
+        if self._directory.record_replacement(upstream):
             log_info("upstream_replaced", upstream=upstream)
 
     async def assign_queued(self) -> None:
@@ -214,7 +214,7 @@
 
     def _not_assigned(self, job: Job) -> NotAssigned:
         usable = self._directory.usable(service=job.service, regions=job.regions)
-        withheld = self._directory.withholds(service=job.service, regions=job.regions)
+        withheld = self._directory.withholds_all(service=job.service, regions=job.regions)
         queued = self.queue.queued_ahead(job)
         send_rate = self._own_send_rate(job, frozenset())
         seconds = self._estimated_wait_seconds(job)
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -27,7 +27,7 @@
     send_error,
     with_retry_after,
 )
-from ragwortkeel.ingress.front_parts import FrontParts
+from ragwortkeel.ingress.front_components import FrontComponents
 from ragwortkeel.ingress.outcomes import (
     Broken,
     BrokenReason,
@@ -107,7 +107,7 @@
     """
 
     def __init__(
-        self, *, parts: FrontParts, accepted: AcceptedRequest, to: Responder
+        self, *, parts: FrontComponents, accepted: AcceptedRequest, to: Responder
     ) -> None:
         self._parts = parts
         self._accepted = accepted
@@ -325,7 +325,7 @@
             case Broken(reason=reason, detail=detail):
                 self._log_failure(assignment, reason, detail)
                 if reason is BrokenReason.CLOSED:
-                    await parts.suspect(assignment.upstream, self._accepted.fingerprint)
+                    await parts.check_for_crash(assignment.upstream, self._accepted.fingerprint)
                 return self._after_broken(name, reason)
 
     def _after_not_run(
@@ -400,7 +400,7 @@
         """
         if not self._caller_response.started:
             return error
-        self._parts.refused(
+        self._parts.record_refusal(
             self._accepted.call.request_id,
             error,
             route=self._accepted.route.name,
@@ -411,7 +411,7 @@
         return None
 
     async def _send_error(self, error: ErrorResponse) -> None:
-        self._parts.refused(
+        self._parts.record_refusal(
             self._accepted.call.request_id,
             error,
             route=self._accepted.route.name,
--- a/src/ragwortkeel/ingress/front_parts.py
+++ b/src/ragwortkeel/ingress/front_components.py
@@ -1,19 +1,19 @@
-"""What all requests of an ingress process share."""
+"""The components that all requests of an ingress process share."""
 
 from dataclasses import dataclass
 from time import monotonic
 
 import curio
 
-from ragwortkeel.ingress.budget_keeper import BudgetKeeper
-from ragwortkeel.ingress.configuration import Upstream
 from ragwortkeel.ingress.crashes import CrashDetector
-from ragwortkeel.ingress.dispatch import Dispatcher
 from ragwortkeel.ingress.error_responses import ErrorResponse
 from ragwortkeel.ingress.limit_reader import LimitReader
+from ragwortkeel.ingress.upstream_connection import ConnectionPool
+from ragwortkeel.ingress.budget_keeper import BudgetKeeper
+from ragwortkeel.ingress.configuration import Upstream
+from ragwortkeel.ingress.dispatch import Dispatcher
 from ragwortkeel.ingress.names import HeaderNames
 from ragwortkeel.ingress.placement import Placement
-from ragwortkeel.ingress.upstream_connection import ConnectionPool
 from ragwortkeel.logs import log_info
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.policy.facts import Failure
@@ -21,8 +21,8 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FrontParts:
-    """The parts that bring requests to their answers."""
+class FrontComponents:
+    """The components that take a request from its arrival to its answer."""
 
     names: HeaderNames
     dispatcher: Dispatcher
@@ -34,7 +34,7 @@
     limit_reader: LimitReader
     metrics: Metrics
 
-    def refused(
+    def record_refusal(
         self,
         request_id: str,
         answer: ErrorResponse,
@@ -43,7 +43,7 @@
         waited: float,
         revision: int | None,
     ) -> None:
-        """Log and count an answer of the ingress's own."""
+        """Log and count a request that the ingress answers itself with an error."""
         log_info(
             "refused",
             request=request_id,
@@ -58,12 +58,12 @@
             service="", outcome=answer.result, reason=answer.reason
         )
 
-    async def suspect(self, upstream: Upstream, fingerprint: str) -> None:
-        """Look, beside the request, whether an upstream that broke off is down."""
+    async def check_for_crash(self, upstream: Upstream, fingerprint: str) -> None:
+        """Check in a separate task whether an upstream that broke off has crashed."""
         self.crashes.record_broken_run(upstream, fingerprint)
-        await curio.spawn(self._look_at, upstream, daemon=True)
+        await curio.spawn(self._check_connection, upstream, daemon=True)
 
-    async def _look_at(self, upstream: Upstream) -> None:
+    async def _check_connection(self, upstream: Upstream) -> None:
         if await self.connections.refuses_connection(upstream):
             self.crashes.record_refused_connection(upstream)
             self.placement.record_failure(upstream.name, Failure.CRASHED, monotonic())
--- a/src/ragwortkeel/ingress/limit_reader.py
+++ b/src/ragwortkeel/ingress/limit_reader.py
@@ -103,8 +103,8 @@
     def record_start(self, upstream: Upstream) -> None:
         """Remove the limit that an upstream announced before its last restart."""
         known = self._started_ms_by_upstream.get(upstream.name)
-        self._started_ms_by_upstream[upstream.name] = upstream.born
-        if known is None or upstream.born <= known:
+        self._started_ms_by_upstream[upstream.name] = upstream.started_ms
+        if known is None or upstream.started_ms <= known:
             return
         previous = self.limits.limit_of(upstream.name)
         self.limits.remove(upstream.name)
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -424,11 +424,11 @@
 
     def _record(self, upstream: Upstream) -> _UpstreamRecord:
         record = self._record_by_upstream.setdefault(upstream.name, _UpstreamRecord())
-        if record.started_ms != upstream.born:
+        if record.started_ms != upstream.started_ms:
             # Blocks that peers reported before the upstream was known here stay valid.
             if record.started_ms is not None:
                 record.prefix_cache = None
-            record.started_ms = upstream.born
+            record.started_ms = upstream.started_ms
         return record
 
     def _has_headroom(
--- a/src/ragwortkeel/ingress/relay_worker.py
+++ b/src/ragwortkeel/ingress/relay_worker.py
@@ -61,7 +61,7 @@
 
     def reload(self, settings: RelaySettings) -> None:
         """Add the peers of the new settings; see `IngressWorker.reload`."""
-        self._peers.meet(settings.peers)
+        self._peers.add_addresses(settings.peers)
 
     async def run(self) -> None:
         """Work until cancelled or until a task fails."""
--- a/src/ragwortkeel/ingress/upstream_connection.py
+++ b/src/ragwortkeel/ingress/upstream_connection.py
@@ -251,7 +251,7 @@
         ConnectFailed
             There is no idle connection, and none could be opened.
         """
-        idle = self._idle_by_upstream.get((upstream.name, upstream.born), [])
+        idle = self._idle_by_upstream.get((upstream.name, upstream.started_ms), [])
         while idle:
             connection = idle.pop()
             stale = fresh and connection.idle_seconds > FRESH_IDLE_SECONDS
@@ -262,7 +262,7 @@
 
     async def release(self, upstream: Upstream, connection: UpstreamConnection):
         """Keep a connection that can be used again; close any other."""
-        idle = self._idle_by_upstream.setdefault((upstream.name, upstream.born), [])
+        idle = self._idle_by_upstream.setdefault((upstream.name, upstream.started_ms), [])
         if connection.reusable and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(connection)
             return
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -1,4 +1,4 @@
-"""The ingress daemon's work: ties its parts together."""
+"""The worker of an ingress process: creates, connects and runs its components."""
 
 import secrets
 from random import Random
@@ -18,7 +18,10 @@
     decode_value,
 )
 from ragwortkeel.ingress.crashes import CrashDetector
-from ragwortkeel.ingress.directory import Directory, Moved
+from ragwortkeel.ingress.limit_reader import LimitReader
+from ragwortkeel.ingress.upstream_connection import ConnectionPool
+from ragwortkeel.policy.retries import process_reserve
+from ragwortkeel.ingress.directory import Directory, DirectoryChange
 from ragwortkeel.ingress.dispatch import Dispatcher
 from ragwortkeel.ingress.evacuations import Evacuations
 from ragwortkeel.ingress.fleet_time import FleetTime
@@ -28,14 +31,12 @@
     UpstreamFollower,
 )
 from ragwortkeel.ingress.front import Front
-from ragwortkeel.ingress.front_parts import FrontParts
-from ragwortkeel.ingress.limit_reader import LimitReader
+from ragwortkeel.ingress.front_components import FrontComponents
 from ragwortkeel.ingress.names import HeaderNames
 from ragwortkeel.ingress.peers import Peers
 from ragwortkeel.ingress.placement import Load, Placement
 from ragwortkeel.ingress.relaying import RelayedPlatform
 from ragwortkeel.ingress.routing import RoutingTable
-from ragwortkeel.ingress.upstream_connection import ConnectionPool
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import (
     AnnouncedLimit,
@@ -56,51 +57,59 @@
 from ragwortkeel.platform_counts import CountedPlatform
 from ragwortkeel.policy.fleet_rates import FleetRates, sharing_among
 from ragwortkeel.policy.quarantine import Crash
-from ragwortkeel.policy.retries import RetryBudgets, process_reserve
+from ragwortkeel.policy.retries import RetryBudgets
 from ragwortkeel.process import Leftover
 from ragwortkeel.settings import Address, IngressSettings, changed_fields
 from ragwortkeel.tasks import run_together
 from ragwortkeel.traces import Tracing
 
-RETRY_SHARE = 0.12
-"""Of first attempts at a service.  The fleet as a whole may add a fifth; each process
-keeps below, as its own count of first attempts may run behind."""
+RETRY_FRACTION = 0.12
+"""Retries at a service per first attempt.
+
+The fleet may add one fifth to its requests by retries.  Each process stays below that
+because its count of first attempts may lag.
+"""
 
 RETRY_RESERVE = 6.0
-"""Retries at a service saved up by a quiet process of a small fleet, less in a larger
-one; see `policy.retries.process_reserve`."""
+"""Retries at a service that an idle process of a small fleet may save up; processes of
+a larger fleet save fewer, see `policy.retries.reserve_of_one`."""
 
 UPKEEP_SECONDS = 0.2
-"""How often lapsed entries and idle connections are looked at."""
+"""Interval at which expired entries, idle connections and new crashes are handled."""
 
-LATE_SECONDS = 0.25
-"""A timer that fires so late shows a process without processor time, or frozen; the
-links' heartbeats are late then too."""
+LATE_TIMER_SECONDS = 0.25
+"""Delay of a timer above which a warning is logged: the process is frozen or lacks
+processor time, and its heartbeats are late as well."""
 
 BALANCER_SECONDS = 2.6
-"""A balancer that looks once a second and wants two misses has stopped sending
-by then; new connections are taken so long after a planned stop has begun."""
+"""Time after the start of a planned stop in which new connections are accepted.
+
+By then a balancer that probes once per second and needs two failed probes no longer
+sends requests here.
+"""
 
-STOP_LOOK_SECONDS = 0.05
+STOP_POLL_SECONDS = 0.05
 
 ENTRY_LAG_SECONDS = 2.0
-"""Upstreams of an availability zone that is taken back may have become cold without
-their entries saying so yet."""
+"""How long upstreams of an availability zone count as cold when its evacuation ends,
+since their entries may not show yet that they became cold."""
 
-IDLE_SLACK = 1.2
-"""A caller's idle connection is kept this much longer than callers may use it, so
-that no request crosses the close."""
+IDLE_TIMEOUT_FACTOR = 1.2
+"""A caller's idle connection stays open for the idle limit times this factor, so that
+no request arrives while it is being closed."""
 
 
 class IngressWorker:
-    """Everything an ingress process runs.
+    """Runs an ingress process and handles what its peers send.
 
     Parameters
     ----------
+    settings : IngressSettings
+        Settings of this process.
     platform : Platform
-        Configuration, upstreams' entries and ledgers.
+        Stores the configuration, the upstreams' entries and the ledgers.
     names : HeaderNames
-        What callers and upstreams call their headers.
+        Header names that callers and upstreams use.
 
     .. versionadded:: 0.2
     """
@@ -112,20 +121,22 @@
         self.tracing = Tracing(node=settings.name)
         self._settings = settings
         self._stopping = False
-        self._raw_configuration: bytes = b""
-        self._revision_heard = 0
+        self._encoded_configuration: bytes = b""
+        self._peer_revision = 0
         incarnation = f"{settings.name}/{secrets.token_hex(4)}"
         self._directory = Directory(region_by_zone=settings.region_by_zone)
         self._evacuations = Evacuations()
-        self._limit_reader = LimitReader(header=names.rate_limit, metrics=self.metrics)
+        self._limit_reader = LimitReader(
+            header=names.rate_limit, metrics=self.metrics
+        )
         self._placement = Placement(
             zone=settings.zone,
             limits=self._limit_reader.limits,
             rates=FleetRates(
                 sharing=lambda: sharing_among(
                     own=settings.address,
-                    others=self._peers.routers,
-                    ledger_processes=self._keeper.allowances.holders,
+                    others=self._peers.ingress_addresses,
+                    ledger_processes=self._budget_keeper.allowances.holders,
                 ),
                 random=Random(incarnation),
                 started=monotonic(),
@@ -148,22 +159,22 @@
         self._platform = RelayedPlatform(
             direct=self._counted, relays=self._peers.platform_relays
         )
-        self._time = FleetTime(peer_count=lambda: self._peers.clocks)
-        self._keeper = BudgetKeeper(
+        self._fleet_time = FleetTime(peer_count=lambda: self._peers.clock_source_count)
+        self._budget_keeper = BudgetKeeper(
             platform=self._platform,
             holder=incarnation,
-            ask_peers=self._peers.ask_loan,
+            ask_peers=self._peers.request_loan,
             peers=self._peers.writers,
-            clocks=self._time.reading,
+            clocks=self._fleet_time.reading,
         )
-        self._retries = RetryBudgets(share=RETRY_SHARE, reserve=RETRY_RESERVE)
+        self._retries = RetryBudgets(share=RETRY_FRACTION, reserve=RETRY_RESERVE)
         self._connections = ConnectionPool(id_header=names.request_id)
         self._front = Front(
-            parts=FrontParts(
+            components=FrontComponents(
                 names=names,
                 dispatcher=self._dispatcher,
                 placement=self._placement,
-                keeper=self._keeper,
+                keeper=self._budget_keeper,
                 crashes=self._crashes,
                 connections=self._connections,
                 retries=self._retries,
@@ -171,62 +182,62 @@
                 metrics=self.metrics,
             )
         )
-        where = Address.parse(settings.http)
+        http_address = Address.parse(settings.http)
         self._server = HttpServer(
-            host=where.host,
-            port=where.port,
+            host=http_address.host,
+            port=http_address.port,
             handler=self._front.handle,
             cancels_abandoned=True,
         )
         self._configurations = ConfigurationFollower(
             platform=self._platform,
-            take=self._take_configuration,
-            watches=self._peers.watches,
+            apply=self._apply_configuration,
+            is_watcher=self._peers.is_watcher,
         )
         self._upstreams = UpstreamFollower(
             platform=self._platform,
             directory=self._directory,
-            take=self._take_moves,
-            watches=self._peers.watches,
-            share=self._peers.share,
+            apply=self._apply_directory_changes,
+            is_watcher=self._peers.is_watcher,
+            forward=self._peers.forward_changes,
         )
         self._evacuation_follower = EvacuationFollower(
             platform=self._platform,
-            take=self.merge_evacuated_zones,
-            watches=self._peers.watches,
-            share=self._peers.share,
+            apply=self.merge_evacuated_zones,
+            is_watcher=self._peers.is_watcher,
+            forward=self._peers.forward_changes,
         )
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the balancer should send requests here."""
         return self._front.table is not None and not self._stopping
 
     def open(self) -> None:
-        """Bind the sockets."""
+        """Bind the sockets of the HTTP server and of the links."""
         self._server.open()
         self._peers.open()
 
     def reload(self, settings: IngressSettings) -> None:
-        """Take over what may change while it runs: the peers.
+        """Apply the settings that may change at run time, which are the peers.
 
-        Addresses hold until the next start; a change of one is logged.
+        Other changes need a restart, and a warning names them.
         """
-        self._peers.meet(settings.peers)
+        self._peers.add_addresses(settings.peers)
         changed = changed_fields(self._settings, settings)
         log_info("settings_reloaded", changed=changed)
-        fixed = [name for name in changed if name != "peers"]
-        if fixed:
-            log_warning("settings_need_a_restart", fields=fixed)
+        restart_fields = [name for name in changed if name != "peers"]
+        if restart_fields:
+            log_warning("settings_need_a_restart", fields=restart_fields)
 
     async def run(self) -> None:
-        """Work until cancelled or until a task fails."""
+        """Run all tasks until cancelled or until one fails."""
         await run_together(
             self._server.serve,
             self._configurations.run,
             self._upstreams.run,
             self._evacuation_follower.run,
-            self._keeper.run,
+            self._budget_keeper.run,
             self._peers.run,
             self._platform.run,
             self._counted.run,
@@ -235,29 +246,29 @@
         )
 
     async def stop(self) -> Leftover:
-        """Finish open requests and give slices back.
+        """Complete open requests and return the slices.
 
-        New connections are taken and served until the balancer has noticed.
+        New connections are accepted until the balancer has noticed the stop.
         """
         self._stopping = True
         self._server.begin_closing()
-        begun = monotonic()
-        deadline = begun + self._settings.stop_deadline_seconds
+        stop_started_at = monotonic()
+        deadline = stop_started_at + self._settings.stop_deadline_seconds
         await curio.sleep(BALANCER_SECONDS)
         await self._server.stop_accepting()
         self._front.stopping = True
         await self._server.close_idle()
         while self._server.open_exchanges and monotonic() < deadline:
-            await curio.sleep(STOP_LOOK_SECONDS)
-        cut = self._server.open_exchanges
-        returned = await self._keeper.close()
-        return Leftover(counts={"requests": cut, "slices": int(not returned)})
+            await curio.sleep(STOP_POLL_SECONDS)
+        cut_count = self._server.open_exchanges
+        returned = await self._budget_keeper.close()
+        return Leftover(counts={"requests": cut_count, "slices": int(not returned)})
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return what is in force here of an object."""
+        """Return the revision and version in force of an object."""
         return InForce(revision=self.revision(), version=self.revision() or None)
 
-    # What peers say, and what they are told.
+    # The methods of `PeerHandler`.
 
     def revision(self) -> int:
         """Return the revision of the configuration in force; 0 for none."""
@@ -265,59 +276,57 @@
         return table.configuration.revision if table else 0
 
     def heartbeat(self) -> Heartbeat:
-        """Return what keeps a peer's link up."""
+        """Return the message that keeps a link to a peer up."""
         return Heartbeat(leaving=self._stopping)
 
     def own_loads(self) -> dict[str, Load]:
-        """Return what this process has at each upstream."""
+        """Return this process's load at each upstream."""
         return self._placement.own_loads()
 
     def drain_prompt_blocks(self) -> dict[str, dict[int, int]]:
-        """Return what upstreams began to read for this process since the last call."""
+        """Return prompt blocks that upstreams began to read since the last call."""
         return self._placement.drain_prompt_blocks()
 
     def all_prompt_blocks(self) -> dict[str, dict[int, int]]:
-        """Return what upstreams are taken to hold of shared prompt parts."""
+        """Return the prompt blocks that the upstreams' prefix caches should hold."""
         return self._placement.all_prompt_blocks()
 
-    def merge_prompt_blocks(
-        self, upstream: str, tokens_by_prefix_hash: dict[int, int]
-    ) -> None:
-        """Take in what a peer let an upstream read."""
+    def merge_prompt_blocks(self, upstream: str, tokens_by_prefix_hash: dict[int, int]) -> None:
+        """Merge prompt blocks that an upstream began to read for a peer."""
         self._placement.merge_prompt_blocks(upstream, tokens_by_prefix_hash)
 
     def configuration_object(self) -> VersionedObject | None:
-        """Return the configuration in force, for a peer."""
-        if not self._raw_configuration:
+        """Return the configuration in force as peers are sent it, None if none is."""
+        if not self._encoded_configuration:
             return None
         return VersionedObject(
             kind=CONFIGURATION_KIND,
             name=CONFIGURATION_NAME,
             version=self.revision(),
-            value=self._raw_configuration,
+            value=self._encoded_configuration,
         )
 
     def receive_clock(self, peer: str, answer: ClockAnswer) -> None:
-        """Take in a peer's time of day."""
-        self._time.receive_answer(peer, answer, read_clocks().boot)
+        """Merge the time of day of a peer."""
+        self._fleet_time.receive_answer(peer, answer, read_clocks().boot)
 
     async def merge_loads(
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
     ) -> None:
-        """Take in what a peer has at each upstream, and for how long it holds."""
+        """Replace the loads of a peer; they count for `hold_seconds`."""
         holds_until = monotonic() + hold_seconds
         self._placement.merge_loads(node, load_by_upstream, holds_until)
 
     def receive_revision(self, peer: str, revision: int) -> None:
-        """Take in which configuration a peer has in force; 0 for none."""
-        if revision <= max(self._revision_heard, self.revision()):
+        """Record which configuration a peer has in force; 0 for none."""
+        if revision <= max(self._peer_revision, self.revision()):
             return
-        self._revision_heard = revision
+        self._peer_revision = revision
         self.metrics.configuration_heard(revision=revision)
         log_info("configuration_behind", peer=peer, heard=revision, own=self.revision())
 
     async def receive_configuration(self, pushed: VersionedObject) -> None:
-        """Take over a peer's configuration where it is newer."""
+        """Apply the configuration of a peer if it is newer."""
         if pushed.version <= self.revision():
             return
         try:
@@ -325,42 +334,42 @@
         except ConfigurationUnreadable as exc:
             log_warning("configuration_unreadable", source="peer", error=str(exc))
             return
-        await self._take_configuration(configuration, pushed.value, source="peer")
+        await self._apply_configuration(configuration, pushed.value, source="peer")
 
     def receive_crash(self, crash: CrashSeen) -> None:
-        """Take in a crash that a peer found."""
+        """Record a crash that a peer found."""
         self._crashes.receive_crash(
             Crash(crash_id=crash.crash_id, fingerprints=frozenset(crash.fingerprints))
         )
 
     def announced_limits(self) -> dict[str, AnnouncedLimit]:
-        """Return what answers said lately of their upstreams' rate limits."""
+        """Return the rate limits that upstreams' answers announced recently."""
         return self._limit_reader.recent()
 
     def merge_limits(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
-        """Take in what answers to a peer said."""
+        """Merge rate limits that answers to a peer announced."""
         self._limit_reader.merge(limit_by_upstream)
 
     def upstreams_revision(self) -> int:
         """Return the revision of the newest change of an upstream's entry here."""
-        return self._upstreams.newest
+        return self._upstreams.newest_revision
 
     def receive_upstreams_revision(self, revision: int) -> None:
-        """Take in the newest such change that a peer knows of."""
-        self._upstreams.heard_newest(revision)
+        """Record the revision of the newest such change that a peer knows."""
+        self._upstreams.receive_newest_revision(revision)
 
     async def receive_upstream_changes(self, changes: UpstreamChanges) -> None:
-        """Take in changes from a peer that watches the platform."""
-        await self._upstreams.heard(changes)
+        """Merge changes of upstreams' entries from a peer that watches."""
+        await self._upstreams.receive_changes(changes)
 
     def evacuated_zones(self) -> EvacuatedZones:
-        """Return the evacuated availability zones as known here."""
+        """Return the evacuated availability zones as this process knows them."""
         return self._evacuations.current
 
     async def merge_evacuated_zones(self, found: EvacuatedZones) -> None:
-        """Take over which availability zones are evacuated, where that is newer."""
+        """Apply a set of evacuated availability zones if it is newer."""
         since = time()
-        changed = self._evacuations.report(found, now=since)
+        changed = self._evacuations.merge(found, now=since)
         if changed is None:
             return
         self._directory.evacuated_zones = self._evacuations.zones
@@ -370,51 +379,51 @@
         for zone in changed.returned:
             log_info("zone_taken_back", zone=zone, revision=found.revision)
             self.metrics.zone_evacuated(zone=zone, since=0.0)
-        for name in self._directory.in_zones(changed.returned):
+        for name in self._directory.names_in_zones(changed.returned):
             self._placement.set_cold(name, ENTRY_LAG_SECONDS, monotonic())
         await self._dispatcher.assign_queued()
 
     async def lend(self, request: LoanRequest) -> TokenLoan:
-        """Answer a peer that lacks tokens."""
-        return await self._keeper.lend(request)
+        """Lend tokens to a peer that lacks them; return the loan."""
+        return await self._budget_keeper.lend(request)
 
     async def receive_loan(self, loan: TokenLoan) -> None:
-        """Take in what a peer did for requests that wait for tokens here."""
+        """Receive a peer's answer to a loan request."""
         log_info(
             "loan_received",
             customer=loan.customer,
             tokens=loan.tokens,
             returned=loan.returned,
         )
-        await self._keeper.receive_loan(loan)
+        await self._budget_keeper.receive_loan(loan)
 
     def writing_step(self) -> int:
-        """Return how slowly this process writes ledgers."""
-        return self._keeper.renewals.writing_step
+        """Return how slowly this process writes ledgers; see `budget.turns`."""
+        return self._budget_keeper.renewals.writing_step
 
     def receive_renewal_call(self) -> HandedRenewals | None:
-        """Return what a peer that writes the ledgers should take along."""
-        return self._keeper.renewals.receive_renewal_call()
+        """Return renewals for a peer that is about to write, None if there are none."""
+        return self._budget_keeper.renewals.receive_renewal_call()
 
     async def receive_renewals(self, handed: HandedRenewals) -> None:
-        """Take in renewals to write along."""
-        await self._keeper.renewals.receive_renewals(handed)
+        """Receive renewals that a peer delegates to this process."""
+        await self._budget_keeper.renewals.receive_renewals(handed)
 
     async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
-        """Take in what became of renewals that a peer was handed."""
-        await self._keeper.renewals.receive_renewals_written(answer)
+        """Receive the results of renewals that were delegated to a peer."""
+        await self._budget_keeper.renewals.receive_renewals_written(answer)
 
     async def receive_platform_answer(self, answer: PlatformAnswer) -> None:
-        """Take in the answer to a call that a peer made."""
+        """Receive the answer to a platform call that a peer relayed."""
         await self._platform.receive_answer(answer)
 
-    async def _take_configuration(
+    async def _apply_configuration(
         self,
         configuration: IngressConfiguration,
         value: bytes,
         source: str = "platform",
     ) -> None:
-        # It never reverts: a lagging list or peer may show an older one.
+        # The revision never decreases: a lagging replica or peer may send an older one.
         if configuration.revision <= self.revision():
             return
         log_info(
@@ -425,38 +434,38 @@
             routes=len(configuration.routes),
             customers=len(configuration.customers),
         )
-        self._raw_configuration = value
+        self._encoded_configuration = value
         self._front.table = RoutingTable(configuration=configuration)
-        self._keeper.configure(self._front.table)
+        self._budget_keeper.configure(self._front.table)
         limits = configuration.limits
-        self._server.keep_alive_seconds = limits.idle_seconds * IDLE_SLACK
+        self._server.keep_alive_seconds = limits.idle_seconds * IDLE_TIMEOUT_FACTOR
         self._server.max_body_bytes = limits.max_body_bytes
         self.metrics.configuration_in_force(revision=configuration.revision)
-        await self._peers.announce()
+        await self._peers.announce_revision()
 
-    async def _take_moves(self, moves: list[Moved]) -> None:
-        for move in moves:
+    async def _apply_directory_changes(self, changes: list[DirectoryChange]) -> None:
+        for change in changes:
             log_info(
                 "upstream_changed",
-                upstream=move.name,
-                was_usable=move.was_usable,
-                usable=move.usable,
-                service=move.upstream.service if move.upstream else None,
-                cold_seconds=move.upstream.cold_seconds if move.upstream else None,
+                upstream=change.name,
+                was_usable=change.was_usable,
+                usable=change.usable,
+                service=change.upstream.service if change.upstream else None,
+                cold_seconds=change.upstream.cold_seconds if change.upstream else None,
             )
-            if move.upstream is None:
-                self._placement.discard_prefix_cache(move.name)
+            if change.upstream is None:
+                self._placement.discard_prefix_cache(change.name)
             else:
-                self._limit_reader.record_start(move.upstream)
-                cold_seconds = move.upstream.cold_seconds
-                self._placement.set_cold(move.name, cold_seconds, monotonic())
-        if moves:
+                self._limit_reader.record_start(change.upstream)
+                cold_seconds = change.upstream.cold_seconds
+                self._placement.set_cold(change.name, cold_seconds, monotonic())
+        if changes:
             upstreams = set(self._directory.upstream_by_name)
             self._placement.retain(upstreams)
             self._limit_reader.retain(upstreams)
             await self._dispatcher.assign_queued()
 
-    async def _tell_crashes(self) -> None:
+    async def _send_crashes(self) -> None:
         while self._crashes.unreported:
             crash = self._crashes.unreported.popleft()
             log_warning("upstream_crashed", crash=crash.crash_id)
@@ -469,16 +478,16 @@
         while True:
             await self._upstreams.expire()
             await self._connections.close_expired()
-            await self._tell_crashes()
-            holders = self._keeper.allowances.holders
-            processes = max(self._peers.known_routers, holders)
+            await self._send_crashes()
+            holders = self._budget_keeper.allowances.holders
+            processes = max(self._peers.ingress_count, holders)
             reserve = process_reserve(processes=processes, most=RETRY_RESERVE)
             self._retries.set_reserve(reserve)
             self.metrics.load(
                 running=self._server.open_exchanges, queued=len(self._dispatcher.queue)
             )
-            due = monotonic() + UPKEEP_SECONDS
+            due_at = monotonic() + UPKEEP_SECONDS
             await curio.sleep(UPKEEP_SECONDS)
-            late = monotonic() - due
-            if late > LATE_SECONDS:
-                log_warning("loop_late", seconds=round(late, 3))
+            late_seconds = monotonic() - due_at
+            if late_seconds > LATE_TIMER_SECONDS:
+                log_warning("loop_late", seconds=round(late_seconds, 3))
