--- a/src/ragwortkeel/ingress/crashes.py
+++ b/src/ragwortkeel/ingress/crashes.py
@@ -70,7 +70,9 @@
             return
         # Processes that detect the same crash have to derive the same id.  An upstream
         # can't crash twice within `SUSPICION_SECONDS`.
-        crash_id = f"{upstream.name}/{upstream.started_ms}/{int(now / SUSPICION_SECONDS)}"
+        crash_id = (
+            f"{upstream.name}/{upstream.started_ms}/{int(now / SUSPICION_SECONDS)}"
+        )
         crash = Crash(crash_id=crash_id, fingerprints=frozenset(suspects))
         if self._quarantine.record_crash(crash, now):
             self.unreported.append(crash)
--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -214,7 +214,9 @@
 
     def _not_assigned(self, job: Job) -> NotAssigned:
         usable = self._directory.usable(service=job.service, regions=job.regions)
-        withheld = self._directory.withholds_all(service=job.service, regions=job.regions)
+        withheld = self._directory.withholds_all(
+            service=job.service, regions=job.regions
+        )
         queued = self.queue.queued_ahead(job)
         send_rate = self._own_send_rate(job, frozenset())
         seconds = self._estimated_wait_seconds(job)
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -325,7 +325,9 @@
             case Broken(reason=reason, detail=detail):
                 self._log_failure(assignment, reason, detail)
                 if reason is BrokenReason.CLOSED:
-                    await parts.check_for_crash(assignment.upstream, self._accepted.fingerprint)
+                    await parts.check_for_crash(
+                        assignment.upstream, self._accepted.fingerprint
+                    )
                 return self._after_broken(name, reason)
 
     def _after_not_run(
--- a/src/ragwortkeel/ingress/following.py
+++ b/src/ragwortkeel/ingress/following.py
@@ -29,8 +29,7 @@
 )
 from ragwortkeel.ingress.directory import Directory, DirectoryChange
 from ragwortkeel.ingress.evacuations import evacuated_zones
-from ragwortkeel.ingress.relaying import decode_change
-from ragwortkeel.ingress.relaying import encode_change
+from ragwortkeel.ingress.relaying import decode_change, encode_change
 from ragwortkeel.ingress.watching import Feed
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import EvacuatedZones, UpstreamChanges
--- a/src/ragwortkeel/ingress/front.py
+++ b/src/ragwortkeel/ingress/front.py
@@ -4,18 +4,18 @@
 
 from ragwortkeel.http_responder import Request, Responder
 from ragwortkeel.ingress.attempt import CallerRequest
-from ragwortkeel.ingress.error_responses import BAD_REQUEST
-from ragwortkeel.ingress.error_responses import NO_CONFIGURATION
-from ragwortkeel.ingress.error_responses import NO_ROUTE
-from ragwortkeel.ingress.error_responses import NO_UPSTREAM
-from ragwortkeel.ingress.error_responses import STOPPING
-from ragwortkeel.ingress.error_responses import UNKNOWN_KEY
-from ragwortkeel.ingress.error_responses import ErrorResponse
-from ragwortkeel.ingress.error_responses import send_error
-from ragwortkeel.ingress.exchange import AcceptedRequest
-from ragwortkeel.ingress.usage import parse_prompt_blocks
 from ragwortkeel.ingress.configuration import Customer, Route
-from ragwortkeel.ingress.exchange import Exchange
+from ragwortkeel.ingress.error_responses import (
+    BAD_REQUEST,
+    NO_CONFIGURATION,
+    NO_ROUTE,
+    NO_UPSTREAM,
+    STOPPING,
+    UNKNOWN_KEY,
+    ErrorResponse,
+    send_error,
+)
+from ragwortkeel.ingress.exchange import AcceptedRequest, Exchange
 from ragwortkeel.ingress.front_components import FrontComponents
 from ragwortkeel.ingress.placement import Job
 from ragwortkeel.ingress.routing import (
@@ -25,7 +25,7 @@
     UnknownKey,
     split_service,
 )
-from ragwortkeel.ingress.usage import parse_usage
+from ragwortkeel.ingress.usage import parse_prompt_blocks, parse_usage
 
 BEARER = "bearer "
 LOWEST_URGENCY = 9
--- a/src/ragwortkeel/ingress/front_components.py
+++ b/src/ragwortkeel/ingress/front_components.py
@@ -5,15 +5,15 @@
 
 import curio
 
-from ragwortkeel.ingress.crashes import CrashDetector
-from ragwortkeel.ingress.error_responses import ErrorResponse
-from ragwortkeel.ingress.limit_reader import LimitReader
-from ragwortkeel.ingress.upstream_connection import ConnectionPool
 from ragwortkeel.ingress.budget_keeper import BudgetKeeper
 from ragwortkeel.ingress.configuration import Upstream
+from ragwortkeel.ingress.crashes import CrashDetector
 from ragwortkeel.ingress.dispatch import Dispatcher
+from ragwortkeel.ingress.error_responses import ErrorResponse
+from ragwortkeel.ingress.limit_reader import LimitReader
 from ragwortkeel.ingress.names import HeaderNames
 from ragwortkeel.ingress.placement import Placement
+from ragwortkeel.ingress.upstream_connection import ConnectionPool
 from ragwortkeel.logs import log_info
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.policy.facts import Failure
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -13,9 +13,7 @@
 
 from ragwortkeel.budget.account import Account
 from ragwortkeel.budget.clocks import read_clocks
-from ragwortkeel.budget.sizing import MAX_GIVERS_ASKED
-from ragwortkeel.ingress.relaying import execute_call
-from ragwortkeel.budget.sizing import best_givers
+from ragwortkeel.budget.sizing import MAX_GIVERS_ASKED, best_givers
 from ragwortkeel.exceptions import LinkLost
 from ragwortkeel.ingress.catch_up import (
     NON_WATCHER_GRACE_SECONDS,
@@ -39,6 +37,7 @@
 from ragwortkeel.ingress.mesh import FULL_PACE_WRITER_COUNT, Mesh
 from ragwortkeel.ingress.peer_handler import PeerHandler
 from ragwortkeel.ingress.placement import Load
+from ragwortkeel.ingress.relaying import execute_call
 from ragwortkeel.ingress.watching import FORWARDER_COUNT, select_watchers
 from ragwortkeel.ingress.writers import Writers
 from ragwortkeel.links import Endpoint, Link, LinkDown, LinkUp, Received
@@ -333,7 +332,9 @@
         for first in range(0, max(1, len(ingress_links)), PEERS_AT_FULL_RATE):
             state, now = self._state(introduction, parts), monotonic()
             group = ingress_links[first : first + PEERS_AT_FULL_RATE]
-            due = [link for link in group if self._reports.mark_due(link.name, state, now)]
+            due = [
+                link for link in group if self._reports.mark_due(link.name, state, now)
+            ]
             await self._send(state, due)
             await curio.sleep(REPORT_SECONDS)
 
--- a/src/ragwortkeel/ingress/upstream_connection.py
+++ b/src/ragwortkeel/ingress/upstream_connection.py
@@ -262,7 +262,9 @@
 
     async def release(self, upstream: Upstream, connection: UpstreamConnection):
         """Keep a connection that can be used again; close any other."""
-        idle = self._idle_by_upstream.setdefault((upstream.name, upstream.started_ms), [])
+        idle = self._idle_by_upstream.setdefault(
+            (upstream.name, upstream.started_ms), []
+        )
         if connection.reusable and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(connection)
             return
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -18,9 +18,6 @@
     decode_value,
 )
 from ragwortkeel.ingress.crashes import CrashDetector
-from ragwortkeel.ingress.limit_reader import LimitReader
-from ragwortkeel.ingress.upstream_connection import ConnectionPool
-from ragwortkeel.policy.retries import process_reserve
 from ragwortkeel.ingress.directory import Directory, DirectoryChange
 from ragwortkeel.ingress.dispatch import Dispatcher
 from ragwortkeel.ingress.evacuations import Evacuations
@@ -32,11 +29,13 @@
 )
 from ragwortkeel.ingress.front import Front
 from ragwortkeel.ingress.front_components import FrontComponents
+from ragwortkeel.ingress.limit_reader import LimitReader
 from ragwortkeel.ingress.names import HeaderNames
 from ragwortkeel.ingress.peers import Peers
 from ragwortkeel.ingress.placement import Load, Placement
 from ragwortkeel.ingress.relaying import RelayedPlatform
 from ragwortkeel.ingress.routing import RoutingTable
+from ragwortkeel.ingress.upstream_connection import ConnectionPool
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import (
     AnnouncedLimit,
@@ -57,7 +56,7 @@
 from ragwortkeel.platform_counts import CountedPlatform
 from ragwortkeel.policy.fleet_rates import FleetRates, sharing_among
 from ragwortkeel.policy.quarantine import Crash
-from ragwortkeel.policy.retries import RetryBudgets
+from ragwortkeel.policy.retries import RetryBudgets, process_reserve
 from ragwortkeel.process import Leftover
 from ragwortkeel.settings import Address, IngressSettings, changed_fields
 from ragwortkeel.tasks import run_together
@@ -126,9 +125,7 @@
         incarnation = f"{settings.name}/{secrets.token_hex(4)}"
         self._directory = Directory(region_by_zone=settings.region_by_zone)
         self._evacuations = Evacuations()
-        self._limit_reader = LimitReader(
-            header=names.rate_limit, metrics=self.metrics
-        )
+        self._limit_reader = LimitReader(header=names.rate_limit, metrics=self.metrics)
         self._placement = Placement(
             zone=settings.zone,
             limits=self._limit_reader.limits,
@@ -291,7 +288,9 @@
         """Return the prompt blocks that the upstreams' prefix caches should hold."""
         return self._placement.all_prompt_blocks()
 
-    def merge_prompt_blocks(self, upstream: str, tokens_by_prefix_hash: dict[int, int]) -> None:
+    def merge_prompt_blocks(
+        self, upstream: str, tokens_by_prefix_hash: dict[int, int]
+    ) -> None:
         """Merge prompt blocks that an upstream began to read for a peer."""
         self._placement.merge_prompt_blocks(upstream, tokens_by_prefix_hash)
 
--- a/tests/ingress/test_configuration_in_force.py
+++ b/tests/ingress/test_configuration_in_force.py
@@ -3,10 +3,13 @@
 import curio
 import pytest
 from deployments.ports import free_address
-from tests.ingress.in_process import configuration_object
-from tests.ingress.in_process import configuration_value
-from tests.ingress.in_process import wait_for_revision
-from tests.ingress.in_process import KEY, run_ingress
+from tests.ingress.in_process import (
+    KEY,
+    configuration_object,
+    configuration_value,
+    run_ingress,
+    wait_for_revision,
+)
 
 from ragwortkeel.ingress.configuration import (
     CONFIGURATION_KIND,
@@ -26,7 +29,9 @@
         async def scenario(fleet):
             await fleet.configure()
             await wait_for_revision(fleet.workers[0], 2)
-            await fleet.write(CONFIGURATION_KIND, CONFIGURATION_NAME, configuration_value(fleet, 1))
+            await fleet.write(
+                CONFIGURATION_KIND, CONFIGURATION_NAME, configuration_value(fleet, 1)
+            )
             await curio.sleep(0.2)
             return fleet.workers[0].revision()
 
--- a/tests/ingress/test_configuration_spread.py
+++ b/tests/ingress/test_configuration_spread.py
@@ -10,9 +10,13 @@
 
 import curio
 from deployments.ports import free_address
-from tests.ingress.in_process import configuration_object
-from tests.ingress.in_process import wait_for_revision
-from tests.ingress.in_process import ROUTES, SETTLED_SECONDS, run_ingress
+from tests.ingress.in_process import (
+    ROUTES,
+    SETTLED_SECONDS,
+    configuration_object,
+    run_ingress,
+    wait_for_revision,
+)
 
 from ragwortkeel.ingress import mesh, peers, renewals
 from ragwortkeel.ingress.relay_worker import RelayWorker
--- a/tests/ingress/test_retry_limits.py
+++ b/tests/ingress/test_retry_limits.py
@@ -4,8 +4,7 @@
 from deployments.ports import free_address
 from tests.ingress.in_process import plain, reset, run_ingress, stream_whole
 
-from ragwortkeel.ingress.worker import RETRY_FRACTION
-from ragwortkeel.ingress.worker import RETRY_RESERVE
+from ragwortkeel.ingress.worker import RETRY_FRACTION, RETRY_RESERVE
 from ragwortkeel.policy.retries import FLEET_RESERVE_RETRIES
 
 
