--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -77,7 +77,7 @@
         self._assignment_by_request_id: dict[str, Assignment] = {}
         self._assigned_by_request_id: dict[str, curio.Event] = {}
         self._service_by_name: dict[str, Service] = {}
-        self._turns_by_service: dict[str, Turns] = {}
+        self._dequeue_intervals_by_service: dict[str, Turns] = {}
 
     async def acquire(
         self,
@@ -155,7 +155,7 @@
                     assignment
                 )
                 self.queue.remove(queued_request.job)
-                self._turns(name).taken(0.0, monotonic())
+                self._dequeue_intervals(name).taken(0.0, monotonic())
                 await self._assigned_by_request_id[queued_request.job.request_id].set()
 
     async def run(self) -> None:
@@ -187,7 +187,7 @@
         now = monotonic()
         assigned = self._assigned_by_request_id[job.request_id] = curio.Event()
         if job.service not in self.queue.services():
-            self._turns(job.service).waiting_from(now)
+            self._dequeue_intervals(job.service).waiting_from(now)
         self.queue.add(
             QueuedRequest(
                 job=job,
@@ -248,10 +248,12 @@
             now=monotonic(),
         )
 
-    def _turns(self, service: str) -> Turns:
-        return self._turns_by_service.setdefault(service, Turns())
+    def _dequeue_intervals(self, service: str) -> Turns:
+        return self._dequeue_intervals_by_service.setdefault(service, Turns())
 
     def _estimated_wait_seconds(self, job: Job) -> float:
         idle = job.service not in self.queue.services()
-        each = self._turns(job.service).seconds_each(0.0, idle=idle, now=monotonic())
+        each = self._dequeue_intervals(job.service).seconds_each(
+            0.0, idle=idle, now=monotonic()
+        )
         return each * (self.queue.queued_ahead(job) + 1)
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -213,11 +213,11 @@
 
     async def _acquire(self) -> Assignment | ErrorResponse:
         accepted, now = self._accepted, monotonic()
-        left = accepted.call.deadline - now
+        seconds_left = accepted.call.deadline - now
         acquired = await self._parts.dispatcher.acquire(
             accepted.job,
             service=accepted.service,
-            latest_start=now + left * MAX_QUEUE_TIME_FRACTION,
+            latest_start=now + seconds_left * MAX_QUEUE_TIME_FRACTION,
             tried_upstreams=self._tried_upstreams,
         )
         if not isinstance(acquired, NotAssigned):
@@ -339,7 +339,7 @@
         if reason is not NotRunReason.UNREACHABLE:
             self._rejected_sends += 1
         self._tried_upstreams |= {name}
-        if self._rejected_sends > MAX_REJECTED_SENDS or self._time_left() <= 0:
+        if self._rejected_sends > MAX_REJECTED_SENDS or self._seconds_left() <= 0:
             return BROKEN if self._may_have_run else OVERLOADED
         if reason is NotRunReason.UNREACHABLE:
             # Nothing reached the upstream, so sending elsewhere is no repetition.
@@ -365,7 +365,7 @@
         route = self._accepted.route
         if not route.repeatable or self._runs >= route.max_attempts:
             return False
-        return self._time_left() > 0 and self._spend_retry(cause)
+        return self._seconds_left() > 0 and self._spend_retry(cause)
 
     def _spend_retry(self, cause: str) -> bool:
         """Spend one retry of the service; return whether there was one."""
@@ -386,7 +386,7 @@
         )
         self._parts.metrics.retry_decided(service=service, cause=cause, allowed=allowed)
 
-    def _time_left(self) -> float:
+    def _seconds_left(self) -> float:
         return self._accepted.call.deadline - monotonic()
 
     def _record_success(self, assignment: Assignment) -> None:
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -552,10 +552,10 @@
     )
 
 
-def _resized(memory: PrefixCache | None, engine: Engine) -> PrefixCache:
-    memory = memory or PrefixCache(capacity_tokens=None)
-    memory.capacity_tokens = int(engine.memory_tokens * PREFIX_CACHE_FRACTION)
-    return memory
+def _resized(cache: PrefixCache | None, engine: Engine) -> PrefixCache:
+    cache = cache or PrefixCache(capacity_tokens=None)
+    cache.capacity_tokens = int(engine.memory_tokens * PREFIX_CACHE_FRACTION)
+    return cache
 
 
 def _rendezvous(key: str, name: str) -> int:
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -96,7 +96,7 @@
     """A service refuses everybody for good after one slow minute."""
 
     async def scenario(places):
-        places._turns("app").taken(1000.0, 0.0)
+        places._dequeue_intervals("app").taken(1000.0, 0.0)
         placed = await acquire(places, "r0")
         first = await curio.spawn(acquire, places, "first", 5.0)
         while not len(places.queue):
