--- a/tests/ingress/builders.py
+++ b/tests/ingress/builders.py
@@ -1,4 +1,4 @@
-"""Small builders of ingress types, with what most tests don't care about."""
+"""Builders of ingress types, with defaults for what most tests don't depend on."""
 
 from ragwortkeel.ingress.configuration import (
     Customer,
@@ -63,7 +63,7 @@
     return Service(name=name, max_connections=360, engine=ENGINE)
 
 
-def job(request_id="r1", service="app", parts=(), prompt=0, answer=0, **fields):
+def job(request_id="r1", service="app", blocks=(), prompt=0, answer=0, **fields):
     return Job(
         **{
             "request_id": request_id,
@@ -71,7 +71,7 @@
             "priority": 1,
             "customer": "surco",
             "prompt_blocks": tuple(
-                PromptBlock(block_id=name, tokens=size) for name, size in parts
+                PromptBlock(block_id=name, tokens=size) for name, size in blocks
             ),
             "prompt_tokens": prompt,
             "memory_tokens": prompt + answer,
--- a/tests/ingress/test_callers_that_leave.py
+++ b/tests/ingress/test_callers_that_leave.py
@@ -1,4 +1,4 @@
-"""Pattern of load: an instance late with its sockets, whose callers have left."""
+"""Pattern of load: a process that reads its sockets late, after callers have left."""
 
 import socket
 
@@ -10,7 +10,7 @@
 
 
 def raw_request(path, request_id):
-    """Return the bytes of a whole request."""
+    """Return the bytes of a complete request."""
     lines = [
         f"POST {path} HTTP/1.1",
         "host: app.example",
@@ -23,15 +23,18 @@
 
 
 def send_and_leave(address, path, request_id):
-    """Send a request and close, before the process has run again."""
+    """Send a request and close the connection before the process runs again."""
     host, port = address.split(":")
     with socket.create_connection((host, int(port))) as sock:
         sock.sendall(raw_request(path, request_id))
 
 
 @pytest.mark.parametrize("path", ["/lookup/a", "/filing/a", "/review/a"])
-def test_a_request_whose_caller_has_left_before_it_was_read_reaches_no_upstream(path):
-    """Guards against work for nobody: a late process reads requests and their ends."""
+def test_a_request_read_after_its_caller_left_reaches_no_upstream(path):
+    """Guards against work for callers that have already left.
+
+    A late process reads a request and the close of its connection together.
+    """
 
     async def scenario(fleet):
         for number in range(3):
@@ -42,22 +45,25 @@
     assert run_ingress(scenario) == {"u1": [], "e1": []}
 
 
-def test_a_caller_that_leaves_while_the_connection_is_made_sends_nothing(monkeypatch):
-    """Guards against a send after the last look: opening a connection takes time."""
-    taken = ConnectionPool.acquire
-    left = []
+def test_a_request_is_not_sent_if_its_caller_left_during_the_connect(monkeypatch):
+    """Guards against a send to an upstream after the caller has left.
+
+    Opening the connection takes time, so the caller is checked again after it.
+    """
+    original_acquire = ConnectionPool.acquire
+    callers = []
 
-    async def leave_then_take(self, upstream, *, fresh):
-        connection = await taken(self, upstream, fresh=fresh)
-        left.pop().close()
+    async def close_caller(self, upstream, *, fresh):
+        connection = await original_acquire(self, upstream, fresh=fresh)
+        callers.pop().close()
         return connection
 
     async def scenario(fleet):
         await fleet.ask("/lookup/first")
-        monkeypatch.setattr(ConnectionPool, "acquire", leave_then_take)
+        monkeypatch.setattr(ConnectionPool, "acquire", close_caller)
         host, port = fleet.addresses[0].split(":")
         caller = socket.create_connection((host, int(port)))
-        left.append(caller)
+        callers.append(caller)
         caller.sendall(raw_request("/lookup/second", "left"))
         await curio.sleep(0.3)
         return [seen.target for seen in fleet.seen()["u1"]]
--- a/tests/ingress/test_crashes.py
+++ b/tests/ingress/test_crashes.py
@@ -15,50 +15,49 @@
 
 
 class TestCrashDetector:
-    def crash(self, watch, name, *fingerprints):
-        for one in fingerprints:
-            watch.record_broken_run(upstream(name), one)
-        watch.record_refused_connection(upstream(name))
+    def crash(self, detector, name, *fingerprints):
+        for fingerprint in fingerprints:
+            detector.record_broken_run(upstream(name), fingerprint)
+        detector.record_refused_connection(upstream(name))
 
-    def test_a_body_at_three_crashes_is_refused(self):
-        watch = CrashDetector(clock=Clock())
+    def test_a_request_at_three_crashes_is_quarantined(self):
+        detector = CrashDetector(clock=Clock())
         for name in ("u1", "u2"):
-            self.crash(watch, name, "poison")
-            assert not watch.is_quarantined("poison")
-        self.crash(watch, "u3", "poison")
-        assert watch.is_quarantined("poison")
-        assert len(watch.unreported) == 3
-
-    def test_an_innocent_is_cleared_by_a_whole_answer(self):
-        watch = CrashDetector(clock=Clock())
+            self.crash(detector, name, "poison")
+            assert not detector.is_quarantined("poison")
+        self.crash(detector, "u3", "poison")
+        assert detector.is_quarantined("poison")
+        assert len(detector.unreported) == 3
+
+    def test_a_complete_response_clears_a_request(self):
+        detector = CrashDetector(clock=Clock())
         for name in ("u1", "u2"):
-            self.crash(watch, name, "poison", "innocent")
-        watch.record_finished("innocent")
-        self.crash(watch, "u3", "poison", "innocent")
-        assert watch.is_quarantined("poison")
-        assert not watch.is_quarantined("innocent")
+            self.crash(detector, name, "poison", "innocent")
+        detector.record_finished("innocent")
+        self.crash(detector, "u3", "poison", "innocent")
+        assert detector.is_quarantined("poison")
+        assert not detector.is_quarantined("innocent")
 
     def test_lost_answers_of_a_working_upstream_are_no_crashes(self):
-        watch = CrashDetector(clock=Clock())
+        detector = CrashDetector(clock=Clock())
         for _ in range(5):
-            watch.record_broken_run(upstream("u1"), "body")
-        assert not watch.is_quarantined("body")
+            detector.record_broken_run(upstream("u1"), "body")
+        assert not detector.is_quarantined("body")
 
-    def test_a_break_long_before_the_upstream_went_down_counts_for_nothing(self):
+    def test_a_run_that_broke_long_before_the_crash_is_no_suspect(self):
         clock = Clock()
-        watch = CrashDetector(clock=clock)
-        watch.record_broken_run(upstream("u1"), "body")
+        detector = CrashDetector(clock=clock)
+        detector.record_broken_run(upstream("u1"), "body")
         clock.now += SUSPICION_SECONDS
-        watch.record_refused_connection(upstream("u1"))
-        assert not watch.unreported
+        detector.record_refused_connection(upstream("u1"))
+        assert not detector.unreported
 
 
 class TestRequests:
-    def test_a_poisonous_request_stops_going_round(self):
-        """One request takes down the fleet, one server after the other.
+    def test_a_crashing_request_is_refused_after_three_crashes(self):
+        """Guards against one request that crashes all upstreams one after the other.
 
-        Its caller sends it again and again, to any process; each server that
-        begins to run it crashes and is back a moment later.
+        Its caller repeats it, and each upstream that begins to run it crashes.
         """
 
         async def scenario(fleet):
@@ -69,12 +68,12 @@
                 await curio.sleep(0.3)
             return statuses, sum(map(len, fleet.seen().values()))
 
-        async def poisoned(seen, sock):
+        async def crash_on_poison(seen, sock):
             if seen.body != b"poison":
                 return await answer_whole(seen, sock)
-            one = fleet_of["fleet"].upstreams[seen.headers["x-for-instance"]]
-            await one.task.cancel()
-            await one.sock.close()
+            crashed = fleet_of["fleet"].upstreams[seen.headers["x-for-instance"]]
+            await crashed.task.cancel()
+            await crashed.sock.close()
             await reset(sock)
             return False
 
@@ -86,7 +85,7 @@
 
         names = ["u1", "u2", "u3", "u4", "u5"]
         statuses, arrivals = run_ingress(
-            with_fleet, scripts=dict.fromkeys(names, poisoned)
+            with_fleet, scripts=dict.fromkeys(names, crash_on_poison)
         )
         assert statuses == [502, 502, 502, 503, 503, 503]
         assert arrivals == 3
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Requests that wait for places: who waits, who is told at once."""
+"""Which requests are queued for an upstream, and which are refused at once."""
 
 from random import Random
 from time import monotonic
@@ -27,24 +27,25 @@
 LATER = 30.0
 
 
-def dispatcher(slots=1, limits=None, rates=None):
+def new_dispatcher(slots=1, limits=None, rates=None):
     directory = Directory()
     directory.written("u0", upstream("u0", slots=slots), version=1, now=0.0)
     placement = Placement(zone="a", limits=limits, rates=rates)
     return Dispatcher(directory=directory, placement=placement)
 
 
-async def acquire(places, name, seconds=LATER):
+async def acquire(dispatcher, name, seconds=LATER):
     now = await curio.clock()
-    return await places.acquire(job(name), service=APP, latest_start=now + seconds)
+    return await dispatcher.acquire(job(name), service=APP, latest_start=now + seconds)
 
 
-async def waiting(places, count):
-    """Let so many requests wait, and return their tasks."""
+async def spawn_queued(dispatcher, count):
+    """Queue `count` requests and return their tasks."""
     tasks = [
-        await curio.spawn(acquire, places, f"w{i}", daemon=True) for i in range(count)
+        await curio.spawn(acquire, dispatcher, f"w{i}", daemon=True)
+        for i in range(count)
     ]
-    while len(places.queue) < count:
+    while len(dispatcher.queue) < count:
         await curio.sleep(0.001)
     return tasks
 
@@ -52,26 +53,27 @@
 def run(scenario):
     async def main():
         async with curio.timeout_after(20):
-            return await scenario(dispatcher())
+            return await scenario(new_dispatcher())
 
     return curio.run(main)
 
 
-def test_a_request_whose_turn_comes_too_late_is_told_at_once():
-    """Callers are held for half of their deadline, then refused, and can't return.
+def test_a_request_that_would_start_too_late_is_refused_at_once():
+    """Guards against callers that are held for half of their deadline, then refused.
 
-    The service was full; turns came twenty times a second, and a hundred waited.
+    They have no time left to come back.  The service was full, 20 requests a second
+    left the queue, and 100 were queued.
     """
 
-    async def scenario(places):
-        placed = await acquire(places, "r0")
-        tasks = await waiting(places, 100)
+    async def scenario(dispatcher):
+        assigned = await acquire(dispatcher, "r0")
+        tasks = await spawn_queued(dispatcher, 100)
         for index in range(20):
             await curio.sleep(0.05)
-            await places.release(placed)
-            placed = await tasks[index].join()
-        refused = await acquire(places, "late", seconds=1.0)
-        return refused, len(places.queue)
+            await dispatcher.release(assigned)
+            assigned = await tasks[index].join()
+        refused = await acquire(dispatcher, "late", seconds=1.0)
+        return refused, len(dispatcher.queue)
 
     refused, left = run(scenario)
     assert isinstance(refused, NotAssigned)
@@ -79,36 +81,36 @@
     assert refused.wait_seconds > 1.0
 
 
-def test_while_turns_come_quickly_all_wait():
-    async def scenario(places):
-        placed = await acquire(places, "r0")
-        tasks = await waiting(places, 5)
-        last = await curio.spawn(acquire, places, "last")
+def test_all_requests_wait_while_the_queue_moves_fast():
+    async def scenario(dispatcher):
+        assigned = await acquire(dispatcher, "r0")
+        tasks = await spawn_queued(dispatcher, 5)
+        last = await curio.spawn(acquire, dispatcher, "last")
         for task in [*tasks, last]:
-            await places.release(placed)
-            placed = await task.join()
-        return placed
+            await dispatcher.release(assigned)
+            assigned = await task.join()
+        return assigned
 
     assert not isinstance(run(scenario), NotAssigned)
 
 
-def test_the_first_in_line_waits_however_slow_turns_were():
-    """A service refuses everybody for good after one slow minute."""
+def test_the_first_queued_request_waits_however_slow_the_queue_was():
+    """Guards against a service that refuses all requests after one slow minute."""
 
-    async def scenario(places):
-        places._dequeue_intervals("app").taken(1000.0, 0.0)
-        placed = await acquire(places, "r0")
-        first = await curio.spawn(acquire, places, "first", 5.0)
-        while not len(places.queue):
+    async def scenario(dispatcher):
+        dispatcher._dequeue_intervals("app").taken(1000.0, 0.0)
+        assigned = await acquire(dispatcher, "r0")
+        first = await curio.spawn(acquire, dispatcher, "first", 5.0)
+        while not len(dispatcher.queue):
             await curio.sleep(0.001)
-        await places.release(placed)
+        await dispatcher.release(assigned)
         return await first.join()
 
     assert not isinstance(run(scenario), NotAssigned)
 
 
 class TestAllUpstreamsLimited:
-    """Pattern of load: all upstreams of a service ask for less than callers send."""
+    """Pattern of load: the limits of all upstreams are below what callers send."""
 
     def run(self, scenario, *, limit, processes):
         limits = AnnouncedLimits()
@@ -121,15 +123,15 @@
 
         async def main():
             async with curio.timeout_after(20):
-                return await scenario(dispatcher(6, limits, rates))
+                return await scenario(new_dispatcher(6, limits, rates))
 
         return curio.run(main)
 
-    def test_a_request_that_would_wait_too_long_for_its_part_is_told_at_once(self):
-        """Guards against callers held until nothing can serve them in time."""
+    def test_a_request_that_would_wait_too_long_for_its_share_is_refused(self):
+        """Guards against callers held until no upstream can serve them in time."""
 
-        async def scenario(places):
-            return await acquire(places, "r0", seconds=1.0)
+        async def scenario(dispatcher):
+            return await acquire(dispatcher, "r0", seconds=1.0)
 
         begun = monotonic()
         refused = self.run(scenario, limit=1.0, processes=30)
@@ -138,25 +140,25 @@
         assert refused.wait_seconds > 1.0
         assert refused.own_per_second == pytest.approx(1 / 30)
 
-    def test_a_request_whose_part_comes_in_time_waits_for_it(self):
-        """Guards against a limit that is taken for a closed door."""
+    def test_a_request_waits_for_a_share_that_is_due_in_time(self):
+        """Guards against a limit that makes the process refuse all requests."""
 
-        async def scenario(places):
-            looking = await curio.spawn(places.run, daemon=True)
-            first = await acquire(places, "r0", seconds=3.0)
-            second = await acquire(places, "r1", seconds=3.0)
-            await looking.cancel()
+        async def scenario(dispatcher):
+            checking = await curio.spawn(dispatcher.run, daemon=True)
+            first = await acquire(dispatcher, "r0", seconds=3.0)
+            second = await acquire(dispatcher, "r1", seconds=3.0)
+            await checking.cancel()
             return first, second
 
         first, second = self.run(scenario, limit=2.0, processes=1)
         assert not isinstance(first, NotAssigned)
         assert not isinstance(second, NotAssigned)
 
-    def test_where_all_is_others_to_send_callers_are_told_to_try_another(self):
-        """Guards against a Retry-After without an end."""
+    def test_a_process_without_a_share_refuses_with_a_finite_wait(self):
+        """Guards against an infinite Retry-After."""
 
-        async def scenario(places):
-            return await acquire(places, "r0", seconds=1.0)
+        async def scenario(dispatcher):
+            return await acquire(dispatcher, "r0", seconds=1.0)
 
         limits = AnnouncedLimits()
         limits.answered("u0", 0.0, sent_at=0.0, now=monotonic())
@@ -174,7 +176,7 @@
         )
 
         async def main():
-            return await scenario(dispatcher(6, limits, rates))
+            return await scenario(new_dispatcher(6, limits, rates))
 
         refused = curio.run(main)
         assert refused.wait_seconds == RETRY_ELSEWHERE_SECONDS
--- a/tests/ingress/test_events.py
+++ b/tests/ingress/test_events.py
@@ -9,7 +9,7 @@
 
 
 class TestEventSplitter:
-    def test_only_whole_events_pass(self):
+    def test_only_complete_events_are_returned(self):
         splitter = EventSplitter()
         data = event(1) + event(2)
         assert splitter.feed(data[:5]) == b""
@@ -18,10 +18,11 @@
         assert splitter.events == 2
         assert not splitter.has_partial_event
 
-    def test_half_an_event_of_a_broken_run_is_dropped(self):
-        """A caller gets half an event, and the resumed run's first one glued to it.
+    def test_an_incomplete_event_of_a_broken_run_is_dropped(self):
+        """Guards against an incomplete event joined to the first one of the next run.
 
-        The upstream died in the middle of an event; the next one begins whole.
+        The upstream crashed in the middle of an event; the next run starts with a
+        complete one.
         """
         splitter = EventSplitter()
         splitter.feed(event(1) + b"id: 2\nda")
@@ -36,11 +37,11 @@
         with pytest.raises(ExchangeBroken):
             splitter.feed(event(number))
 
-    def test_a_caller_that_resumes_gets_what_follows(self):
+    def test_a_resuming_caller_gets_the_next_event(self):
         splitter = EventSplitter(last_id=7)
         assert splitter.feed(event(8)) == event(8)
 
-    def test_comments_and_lines_before_the_id_are_no_fault(self):
+    def test_comments_and_lines_before_the_id_are_accepted(self):
         splitter = EventSplitter()
         splitter.feed(b"weight-versions: 2\nid: 1\ndata: x\n\n: ping\n\n" + event(2))
         assert splitter.events == 2
--- a/tests/ingress/test_limited_upstreams.py
+++ b/tests/ingress/test_limited_upstreams.py
@@ -1,4 +1,4 @@
-"""An overloaded upstream announces a rate limit for the whole fleet."""
+"""Upstreams that announce a rate limit for the whole fleet."""
 
 from time import monotonic
 
@@ -10,47 +10,52 @@
     run_ingress,
 )
 
-LIMIT = 1.2
-"""Requests a second from all processes."""
+LIMIT_PER_SECOND = 1.2
+"""Requests a second that the upstream accepts from all processes together."""
 
 WINDOW_SECONDS = 4.0
-MOST_IN_WINDOW = 1.5 * LIMIT * WINDOW_SECONDS + 5
-"""The users' rule, from half a second after a process passed such an answer on."""
+MAX_IN_WINDOW = 1.5 * LIMIT_PER_SECOND * WINDOW_SECONDS + 5
+"""The users' bound on requests that arrive at a limited upstream within a window.
 
-TOLD_SECONDS = 0.5
+It holds from `PROPAGATION_SECONDS` after a process forwarded a response with the limit.
+"""
+
+PROPAGATION_SECONDS = 0.5
 PROCESSES = 3
-PAUSE_SECONDS = 0.1
-ASKED_SECONDS = 6.0
+REQUEST_INTERVAL_SECONDS = 0.1
+REQUESTS_SECONDS = 6.0
 
-PART_SECONDS = PROCESSES / LIMIT
-"""Between two requests of one process, with some time until one goes that way."""
-CHOSEN_SECONDS = 1.0
+SHARE_SECONDS = PROCESSES / LIMIT_PER_SECOND
+"""Time between two requests of one process to the limited upstream."""
+SELECTION_SECONDS = 1.0
+"""Time until one of its requests is assigned there, once it may be."""
 
 
-class Limited:
-    """A script that names a limit while `named`, and notes when requests arrive."""
+class LimitedUpstream:
+    """A script that may announce a limit and records when requests arrive."""
 
     def __init__(self):
-        self.named = True
-        self.arrived = []
+        self.announces_limit = True
+        self.arrived_at = []
 
     async def __call__(self, seen, sock):
-        self.arrived.append(monotonic())
-        extra = f"x-rate-limit: {LIMIT}" if self.named else ""
+        self.arrived_at.append(monotonic())
+        extra = f"x-rate-limit: {LIMIT_PER_SECOND}" if self.announces_limit else ""
         await sock.sendall(plain(seen, extra=extra))
         return True
 
-    def most_in_a_window(self, begun):
-        """Return the most arrivals in a window that begins then or later."""
-        late = [at for at in self.arrived if at >= begun]
+    def max_in_a_window(self, begun):
+        """Return the most arrivals in any window that begins at `begun` or later."""
+        arrivals = [at for at in self.arrived_at if at >= begun]
         windows = [
-            sum(first <= at < first + WINDOW_SECONDS for at in late) for first in late
+            sum(first <= at < first + WINDOW_SECONDS for at in arrivals)
+            for first in arrivals
         ]
         return max(windows, default=0)
 
 
 async def ask_all(fleet, seconds):
-    """Send lookups to all processes for so long; return status and time of each."""
+    """Send lookups to all processes; return the response and duration of each."""
     answers = []
     begun = monotonic()
 
@@ -63,38 +68,42 @@
         while monotonic() < begun + seconds:
             for process in range(PROCESSES):
                 await group.spawn(ask, process)
-            await curio.sleep(PAUSE_SECONDS)
+            await curio.sleep(REQUEST_INTERVAL_SECONDS)
     return answers
 
 
 def test_a_limited_upstream_gets_its_limit_from_all_processes_together():
-    """Guards against processes that don't read the limit, or each take it alone."""
-    limited = Limited()
+    """Guards against processes that ignore the limit, or each use the whole of it."""
+    limited_upstream = LimitedUpstream()
 
     async def scenario(fleet):
         await curio.sleep(SETTLED_SECONDS)
         begun = monotonic()
-        answers = await ask_all(fleet, ASKED_SECONDS)
+        answers = await ask_all(fleet, REQUESTS_SECONDS)
         return begun, answers
 
-    scripts = {"u1": limited, "u2": answer_whole, "u3": answer_whole}
+    scripts = {"u1": limited_upstream, "u2": answer_whole, "u3": answer_whole}
     begun, answers = run_ingress(scenario, scripts=scripts, processes=PROCESSES)
-    assert limited.most_in_a_window(begun + TOLD_SECONDS) <= MOST_IN_WINDOW
-    last_due = begun + ASKED_SECONDS - PART_SECONDS - CHOSEN_SECONDS
-    assert limited.arrived[-1] > last_due
+    assert (
+        limited_upstream.max_in_a_window(begun + PROPAGATION_SECONDS) <= MAX_IN_WINDOW
+    )
+    last_due = begun + REQUESTS_SECONDS - SHARE_SECONDS - SELECTION_SECONDS
+    assert limited_upstream.arrived_at[-1] > last_due
     assert {response.status for response, _ in answers} == {200}
 
 
-def test_where_all_upstreams_are_limited_callers_are_told_at_once():
-    """Guards against requests that are held until nothing can serve them in time."""
-    limited = Limited()
+def test_where_all_upstreams_are_limited_requests_are_refused_at_once():
+    """Guards against requests held until no upstream can serve them in time."""
+    limited_upstream = LimitedUpstream()
 
     async def scenario(fleet):
         await curio.sleep(SETTLED_SECONDS)
         await ask_all(fleet, 1.0)
         return await ask_all(fleet, 3.0)
 
-    answers = run_ingress(scenario, scripts={"u1": limited}, processes=PROCESSES)
+    answers = run_ingress(
+        scenario, scripts={"u1": limited_upstream}, processes=PROCESSES
+    )
     refused = [each for each in answers if each[0].status == 503]
     assert len(refused) > len(answers) / 2
     for response, seconds in refused:
@@ -102,27 +111,27 @@
         assert seconds < 0.5
 
 
-def test_all_processes_use_an_upstream_again_whose_answers_name_no_limit():
-    """Guards against a limit that outlasts the need of its upstream."""
-    limited = Limited()
+def test_all_processes_use_an_upstream_after_its_limit_ends():
+    """Guards against a limit that stays in force after its upstream dropped it."""
+    limited_upstream = LimitedUpstream()
 
     async def scenario(fleet):
         await curio.sleep(SETTLED_SECONDS)
         await ask_all(fleet, 2.0)
-        limited.named = False
+        limited_upstream.announces_limit = False
         await ask_all(fleet, 4.0)
-        before = len(limited.arrived)
+        before = len(limited_upstream.arrived_at)
         answers = await ask_all(fleet, 1.0)
-        return len(limited.arrived) - before, len(answers)
+        return len(limited_upstream.arrived_at) - before, len(answers)
 
-    scripts = {"u1": limited, "u2": answer_whole}
+    scripts = {"u1": limited_upstream, "u2": answer_whole}
     arrived, asked = run_ingress(scenario, scripts=scripts, processes=PROCESSES)
     assert arrived > asked / 4
 
 
-def test_a_process_that_got_no_answer_of_it_hears_of_a_limit_from_a_peer():
-    """Guards against processes that learn of a limit by sending once more each."""
-    limited = Limited()
+def test_a_process_learns_a_limit_from_a_peer():
+    """Guards against processes that only learn a limit from a request of their own."""
+    limited_upstream = LimitedUpstream()
 
     async def scenario(fleet):
         await curio.sleep(SETTLED_SECONDS)
@@ -132,7 +141,7 @@
                 worker._limit_reader.limits.of("u1") is None for worker in fleet.workers
             ):
                 await curio.sleep(0.01)
-        return len(limited.arrived)
+        return len(limited_upstream.arrived_at)
 
-    scripts = {"u1": limited}
+    scripts = {"u1": limited_upstream}
     assert run_ingress(scenario, scripts=scripts, processes=PROCESSES) == 1
--- a/tests/ingress/test_prefixes.py
+++ b/tests/ingress/test_prefixes.py
@@ -1,23 +1,23 @@
 from ragwortkeel.ingress.prefixes import PrefixCache, PromptBlock
 
 
-def parts(*sizes):
+def blocks(*sizes):
     return tuple(PromptBlock(block_id=name, tokens=size) for name, size in sizes)
 
 
 class TestPrefixCache:
-    def test_only_the_unbroken_beginning_is_held(self):
-        memory = PrefixCache(capacity_tokens=1000)
-        memory.record_read(parts(("a", 100), ("b", 200)))
-        assert memory.cached_tokens(parts(("a", 100), ("b", 200), ("c", 5))) == 300
-        assert memory.cached_tokens(parts(("a", 100), ("x", 200))) == 100
-        assert memory.cached_tokens(parts(("x", 100), ("b", 200))) == 0
+    def test_only_a_common_prefix_is_cached(self):
+        cache = PrefixCache(capacity_tokens=1000)
+        cache.record_read(blocks(("a", 100), ("b", 200)))
+        assert cache.cached_tokens(blocks(("a", 100), ("b", 200), ("c", 5))) == 300
+        assert cache.cached_tokens(blocks(("a", 100), ("x", 200))) == 100
+        assert cache.cached_tokens(blocks(("x", 100), ("b", 200))) == 0
 
-    def test_the_longest_unused_part_yields(self):
-        memory = PrefixCache(capacity_tokens=250)
-        memory.record_read(parts(("a", 100)))
-        memory.record_read(parts(("b", 100)))
-        memory.record_read(parts(("a", 100)))
-        memory.record_read(parts(("c", 100)))
-        assert memory.cached_tokens(parts(("a", 100))) == 100
-        assert memory.cached_tokens(parts(("b", 100))) == 0
+    def test_the_least_recently_used_block_is_evicted(self):
+        cache = PrefixCache(capacity_tokens=250)
+        cache.record_read(blocks(("a", 100)))
+        cache.record_read(blocks(("b", 100)))
+        cache.record_read(blocks(("a", 100)))
+        cache.record_read(blocks(("c", 100)))
+        assert cache.cached_tokens(blocks(("a", 100))) == 100
+        assert cache.cached_tokens(blocks(("b", 100))) == 0
--- a/tests/ingress/test_retry_limits.py
+++ b/tests/ingress/test_retry_limits.py
@@ -1,4 +1,4 @@
-"""How many arrivals beyond the first of their request a service gets."""
+"""The number of repeated requests that arrive at a service."""
 
 import curio
 from deployments.ports import free_address
@@ -8,7 +8,7 @@
 from ragwortkeel.policy.retries import FLEET_RESERVE
 
 
-async def sheds(seen, sock):
+async def rejects(seen, sock):
     answer = plain(seen, status="503 Full", proof=False, extra="x-not-run: 1")
     await sock.sendall(answer)
     return True
@@ -19,27 +19,27 @@
     return False
 
 
-async def is_another(seen, sock):
+async def is_other_instance(seen, sock):
     await sock.sendall(plain(seen, status="421 Misdirected", proof=False))
     return True
 
 
-async def is_another_and_slow(seen, sock):
+async def is_slow_other_instance(seen, sock):
     await curio.sleep(0.2)
-    return await is_another(seen, sock)
+    return await is_other_instance(seen, sock)
 
 
 def arrivals(fleet, service):
-    """Return how many requests all upstreams of a service got."""
+    """Return the number of requests that all upstreams of a service received."""
     upstreams = fleet.upstreams.values()
     return sum(len(one.seen) for one in upstreams if one.service == service)
 
 
-def test_requests_for_engines_pay_no_retries_of_the_plain_service():
-    """Guards against a retry budget over all services of a process.
+def test_requests_for_engines_earn_no_retries_for_a_plain_service():
+    """Guards against one retry budget for all services of a process.
 
-    Three quarters of the requests are for engines; the plain service alone turns all
-    away, and gets the repeats that the engines' requests have earned.
+    Three quarters of the requests are for engines.  The plain service rejects all of
+    its requests and must not get the retries that the engines' requests earned.
     """
     filings = 40
 
@@ -50,16 +50,16 @@
             await fleet.ask(f"/filing/{i}")
         return arrivals(fleet, "app")
 
-    scripts = {"e1": stream_whole} | dict.fromkeys(("u1", "u2", "u3"), sheds)
+    scripts = {"e1": stream_whole} | dict.fromkeys(("u1", "u2", "u3"), rejects)
     repeats = run_ingress(scenario, scripts=scripts) - filings
     assert repeats <= RETRY_RESERVE + filings * RETRY_SHARE
 
 
-def test_requests_at_addresses_of_other_instances_are_repeated_within_the_budget():
-    """Guards against repeats that nothing bounds after a loss of power.
+def test_sends_to_replaced_instances_are_repeated_within_the_budget():
+    """Guards against unbounded repeats after a power loss.
 
-    All entries are stale: each upstream that a request is sent to says that it is
-    another instance, and each of these is an arrival there.
+    All entries are stale: each upstream that a request is sent to responds that it is
+    another instance, and each of these sends loads it.
     """
     lookups = 36
 
@@ -69,17 +69,17 @@
                 await group.spawn(fleet.ask, f"/lookup/{i}")
         return arrivals(fleet, "app")
 
-    scripts = {f"u{i}": is_another for i in range(6)}
-    scripts |= {f"u{i}": is_another_and_slow for i in range(6, 12)}
+    scripts = {f"u{i}": is_other_instance for i in range(6)}
+    scripts |= {f"u{i}": is_slow_other_instance for i in range(6, 12)}
     repeats = run_ingress(scenario, scripts=scripts) - lookups
     assert repeats <= RETRY_RESERVE + lookups * RETRY_SHARE
 
 
-def test_a_series_of_starts_does_not_free_a_reserve_each():
-    """Guards against retries that each start of a process has saved up anew.
+def test_a_series_of_starts_does_not_add_up_their_reserves():
+    """Guards against a full retry reserve at each start of a process.
 
-    A process is killed again and again while its upstreams fail; the repeats of all
-    its starts meet within the seconds in which the rule counts them.
+    A process is killed repeatedly while its upstreams fail.  The repeats of all its
+    starts fall into the seconds in which they are counted together.
     """
     starts, lookups = 8, 6
 
--- a/tests/ingress/test_routing.py
+++ b/tests/ingress/test_routing.py
@@ -32,19 +32,19 @@
         assert table().route(host="b.example", path="/lookup/", key="") == NoRoute()
         assert table().route(host="app.example", path="/look", key="") == NoRoute()
 
-    def test_a_key_names_the_customer_and_an_unknown_one_is_refused(self):
+    def test_a_key_identifies_the_customer_and_an_unknown_one_is_refused(self):
         found = table().route(host="app.example", path="/lookup/", key="key-1")
         assert found.customer.name == "surco"
-        stranger = table().route(host="app.example", path="/lookup/", key="key-2")
-        assert stranger == UnknownKey()
+        refused = table().route(host="app.example", path="/lookup/", key="key-2")
+        assert refused == UnknownKey()
 
-    def test_a_public_route_takes_no_customer(self):
+    def test_a_public_route_has_no_customer(self):
         found = table(routes=(route(public=True),)).route(
             host="app.example", path="/lookup/", key="key-1"
         )
         assert found.customer is None
 
-    def test_without_customers_no_key_is_asked_for(self):
+    def test_without_customers_no_key_is_required(self):
         found = table(customers=()).route(host="app.example", path="/lookup/", key="")
         assert found.customer is None
 
@@ -55,13 +55,13 @@
 
 
 class TestSplits:
-    def test_requests_fall_on_services_by_weight(self):
+    def test_requests_are_split_by_weight(self):
         splits = (Split(service="new", weight=10), Split(service="old", weight=90))
         split = route(splits=splits)
         counts = Counter(split_service(split, f"r{i}") for i in range(4000))
         assert 300 < counts["new"] < 500
 
-    def test_the_same_request_falls_on_the_same_service(self):
+    def test_the_same_request_goes_to_the_same_service(self):
         splits = (Split(service="new"), Split(service="old"))
         split = route(splits=splits)
         assert len({split_service(split, "r1") for _ in range(20)}) == 1
--- a/tests/ingress/test_stated_limits.py
+++ b/tests/ingress/test_stated_limits.py
@@ -1,4 +1,4 @@
-"""What upstreams state of their rate limits, as answers and peers tell it."""
+"""Rate limits that upstreams announce, read from responses and reported by peers."""
 
 from time import monotonic
 
@@ -41,62 +41,62 @@
             ("9" * 40,),
         ],
     )
-    def test_anything_else_is_told_apart(self, values):
+    def test_anything_else_is_unreadable(self, values):
         with pytest.raises(LimitUnreadable):
             read_limit(head(*values), HEADER)
 
     @given(st.lists(st.text(max_size=30), max_size=3))
-    def test_no_value_ends_the_reader(self, values):
-        """Guards against an answer that is lost over a header it does not need."""
-        stated = LimitReader(header=HEADER, metrics=Metrics())
-        stated.receive_head("u1", head(*values), sent_at=0.0)
-
-
-class TestStatements:
-    def test_an_unreadable_limit_leaves_the_one_in_force(self):
-        stated = LimitReader(header=HEADER, metrics=Metrics())
-        stated.receive_head("u1", head("1.5"), sent_at=0.0)
-        stated.receive_head("u1", head("many"), sent_at=1e12)
-        assert stated.limits.of("u1") == 1.5
-
-    def test_a_later_instance_of_that_name_has_no_limit(self):
-        """Guards against an upstream that is spared after its restart."""
-        stated = LimitReader(header=HEADER, metrics=Metrics())
-        stated.record_start(upstream("u1", born=1))
-        stated.receive_head("u1", head("1.5"), sent_at=0.0)
-        stated.record_start(upstream("u1", born=1))
-        assert stated.limits.of("u1") == 1.5
-        stated.record_start(upstream("u1", born=2))
-        assert stated.limits.of("u1") is None
-
-    @pytest.mark.parametrize("gone", [False, True])
-    def test_the_metric_ends_with_the_limit(self, gone):
+    def test_no_value_raises_an_error(self, values):
+        """Guards against a response that is lost because of an invalid limit."""
+        reader = LimitReader(header=HEADER, metrics=Metrics())
+        reader.receive_head("u1", head(*values), sent_at=0.0)
+
+
+class TestAnnouncements:
+    def test_an_unreadable_limit_keeps_the_limit_in_force(self):
+        reader = LimitReader(header=HEADER, metrics=Metrics())
+        reader.receive_head("u1", head("1.5"), sent_at=0.0)
+        reader.receive_head("u1", head("many"), sent_at=1e12)
+        assert reader.limits.of("u1") == 1.5
+
+    def test_a_restart_ends_the_limit(self):
+        """Guards against a limit that stays in force after its upstream restarts."""
+        reader = LimitReader(header=HEADER, metrics=Metrics())
+        reader.record_start(upstream("u1", born=1))
+        reader.receive_head("u1", head("1.5"), sent_at=0.0)
+        reader.record_start(upstream("u1", born=1))
+        assert reader.limits.of("u1") == 1.5
+        reader.record_start(upstream("u1", born=2))
+        assert reader.limits.of("u1") is None
+
+    @pytest.mark.parametrize("removed", [False, True])
+    def test_the_metric_ends_with_the_limit(self, removed):
         metrics = Metrics()
-        stated = LimitReader(header=HEADER, metrics=metrics)
-        stated.receive_head("u1", head("1.5"), sent_at=0.0)
+        reader = LimitReader(header=HEADER, metrics=metrics)
+        reader.receive_head("u1", head("1.5"), sent_at=0.0)
         assert b'announced_limit{upstream="u1"} 1.5' in metrics.render()
-        if not gone:
-            stated.receive_head("u1", head(), sent_at=1e12)
-        stated.retain(set())
+        if not removed:
+            reader.receive_head("u1", head(), sent_at=1e12)
+        reader.retain(set())
         assert b'announced_limit{upstream="u1"}' not in metrics.render()
 
 
 class TestPeers:
-    def test_a_peer_hears_of_a_limit_and_of_its_end(self):
-        """Guards against processes that are not chosen to send, and never find out."""
-        teller = LimitReader(header=HEADER, metrics=Metrics())
+    def test_a_peer_receives_a_limit_and_its_end(self):
+        """Guards against a process that keeps an old limit as it sends no request."""
+        sender = LimitReader(header=HEADER, metrics=Metrics())
         peer = LimitReader(header=HEADER, metrics=Metrics())
-        teller.receive_head("u1", head("1.5"), sent_at=0.0)
-        peer.merge(teller.recent())
+        sender.receive_head("u1", head("1.5"), sent_at=0.0)
+        peer.merge(sender.recent())
         assert peer.limits.of("u1") == 1.5
-        teller.receive_head("u1", head(), sent_at=monotonic())
-        peer.merge(teller.recent())
+        sender.receive_head("u1", head(), sent_at=monotonic())
+        peer.merge(sender.recent())
         assert peer.limits.of("u1") is None
 
-    def test_what_a_peer_said_is_not_passed_on(self):
-        """Guards against two processes that keep an old limit alive for each other."""
-        teller = LimitReader(header=HEADER, metrics=Metrics())
+    def test_a_limit_received_from_a_peer_is_not_reported(self):
+        """Guards against two processes that renew an old limit for each other."""
+        sender = LimitReader(header=HEADER, metrics=Metrics())
         peer = LimitReader(header=HEADER, metrics=Metrics())
-        teller.receive_head("u1", head("1.5"), sent_at=0.0)
-        peer.merge(teller.recent())
+        sender.receive_head("u1", head("1.5"), sent_at=0.0)
+        peer.merge(sender.recent())
         assert not peer.recent()
--- a/tests/ingress/test_waiting.py
+++ b/tests/ingress/test_waiting.py
@@ -3,42 +3,42 @@
 from ragwortkeel.ingress.request_queue import QueuedRequest, RequestQueue
 
 
-def waiter(request_id, arrived_at=0.0, **fields):
+def queued_request(request_id, arrived_at=0.0, **fields):
     return QueuedRequest(
         job=job(request_id, **fields), arrived_at=arrived_at, latest_start=9.0
     )
 
 
-def order(room):
-    return [one.job.request_id for one in room.in_order("app")]
+def order(queue):
+    return [one.job.request_id for one in queue.in_order("app")]
 
 
 class TestRequestQueue:
-    def test_urgent_requests_go_first_then_the_first_to_come(self):
-        room = RequestQueue()
-        room.add(waiter("late", arrived_at=2.0))
-        room.add(waiter("early", arrived_at=1.0))
-        room.add(waiter("urgent", arrived_at=3.0, priority=0))
-        assert order(room) == ["urgent", "early", "late"]
-
-    def test_a_customer_with_little_running_goes_before_one_with_much(self):
-        """One customer sends many times its usual and all others wait behind it."""
-        room = RequestQueue()
+    def test_urgent_requests_go_first_then_the_first_to_arrive(self):
+        queue = RequestQueue()
+        queue.add(queued_request("late", arrived_at=2.0))
+        queue.add(queued_request("early", arrived_at=1.0))
+        queue.add(queued_request("urgent", arrived_at=3.0, priority=0))
+        assert order(queue) == ["urgent", "early", "late"]
+
+    def test_a_customer_with_fewer_running_requests_goes_first(self):
+        """Guards against a burst of one customer that delays all others."""
+        queue = RequestQueue()
         for i in range(3):
-            room.record_started(job(f"run{i}", customer="large"))
-        room.add(waiter("of-large", arrived_at=0.0, customer="large"))
-        room.add(waiter("of-small", arrived_at=1.0, customer="small"))
-        assert order(room) == ["of-small", "of-large"]
-
-    def test_only_requests_as_urgent_count_as_ahead(self):
-        room = RequestQueue()
-        room.add(waiter("r1", priority=2))
-        assert room.queued_ahead(job("r2", priority=1)) == 0
-        assert room.queued_ahead(job("r2", priority=2)) == 1
-
-    def test_a_request_that_left_is_forgotten(self):
-        room = RequestQueue()
-        room.add(waiter("r1"))
-        room.remove(job("r1"))
-        assert room.services() == []
-        assert len(room) == 0
+            queue.record_started(job(f"run{i}", customer="large"))
+        queue.add(queued_request("of-large", arrived_at=0.0, customer="large"))
+        queue.add(queued_request("of-small", arrived_at=1.0, customer="small"))
+        assert order(queue) == ["of-small", "of-large"]
+
+    def test_only_requests_of_at_least_equal_priority_are_ahead(self):
+        queue = RequestQueue()
+        queue.add(queued_request("r1", priority=2))
+        assert queue.queued_ahead(job("r2", priority=1)) == 0
+        assert queue.queued_ahead(job("r2", priority=2)) == 1
+
+    def test_a_removed_request_is_not_queued(self):
+        queue = RequestQueue()
+        queue.add(queued_request("r1"))
+        queue.remove(job("r1"))
+        assert queue.services() == []
+        assert len(queue) == 0
