--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -185,7 +185,7 @@
         )
 
     async def _run_until_answered(self) -> ErrorResponse | None:
-        """Run at upstreams until the response is final; return one left to send."""
+        """Run at upstreams until a response is final; return an error left to send."""
         while True:
             assignment = await self._acquire()
             if isinstance(assignment, ErrorResponse):
@@ -302,7 +302,7 @@
     async def _handle_outcome(
         self, assignment: Assignment, outcome: Outcome
     ) -> ErrorResponse | _TryAgain | None:
-        """Return an answer to send, None if one was sent, or `_AGAIN` to retry."""
+        """Return an error to send, None after a final response, or `_AGAIN`."""
         parts, name = self._parts, assignment.upstream.name
         match outcome:
             case FullResponse(head=head) as response:
@@ -396,7 +396,7 @@
     async def _abort_if_started(self, error: ErrorResponse) -> ErrorResponse | None:
         """Abort a response that has started, so that it does not look complete.
 
-        Return the answer if nothing was sent yet.
+        Return the error if nothing was sent yet.
         """
         if not self._caller_response.started:
             return error
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -411,7 +411,7 @@
             record.peer_load_by_process[process] = (valid_until, load)
 
     def retain(self, upstreams: set[str]) -> None:
-        """Drop all other upstreams, but those with requests of this process."""
+        """Drop the other upstreams, except those that run requests of this process."""
         self.ejections.keep(upstreams)
         self._rates.keep(upstreams)
         self._record_by_upstream = {
