--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -185,7 +185,7 @@
         )
 
     async def _run_until_answered(self) -> ErrorResponse | None:
-        """Run at upstreams until the response is final; return one left to send."""
+        """Run at upstreams until a response is final; return an error left to send."""
         while True:
             assignment = await self._acquire()
             if isinstance(assignment, ErrorResponse):
@@ -213,11 +213,11 @@
 
     async def _acquire(self) -> Assignment | ErrorResponse:
         accepted, now = self._accepted, monotonic()
-        left = accepted.call.deadline - now
+        seconds_left = accepted.call.deadline - now
         acquired = await self._parts.dispatcher.acquire(
             accepted.job,
             service=accepted.service,
-            latest_start=now + left * MAX_QUEUE_TIME_FRACTION,
+            latest_start=now + seconds_left * MAX_QUEUE_TIME_FRACTION,
             tried_upstreams=self._tried_upstreams,
         )
         if not isinstance(acquired, NotAssigned):
@@ -302,7 +302,7 @@
     async def _handle_outcome(
         self, assignment: Assignment, outcome: Outcome
     ) -> ErrorResponse | _TryAgain | None:
-        """Return an answer to send, None if one was sent, or `_AGAIN` to retry."""
+        """Return an error to send, None after a final response, or `_AGAIN`."""
         parts, name = self._parts, assignment.upstream.name
         match outcome:
             case FullResponse(head=head) as response:
@@ -341,7 +341,7 @@
         if reason is not NotRunReason.UNREACHABLE:
             self._rejected_sends += 1
         self._tried_upstreams |= {name}
-        if self._rejected_sends > MAX_REJECTED_SENDS or self._time_left() <= 0:
+        if self._rejected_sends > MAX_REJECTED_SENDS or self._seconds_left() <= 0:
             return BROKEN if self._may_have_run else OVERLOADED
         if reason is NotRunReason.UNREACHABLE:
             # Nothing reached the upstream, so sending elsewhere is no repetition.
@@ -367,7 +367,7 @@
         route = self._accepted.route
         if not route.repeatable or self._runs >= route.max_attempts:
             return False
-        return self._time_left() > 0 and self._spend_retry(cause)
+        return self._seconds_left() > 0 and self._spend_retry(cause)
 
     def _spend_retry(self, cause: str) -> bool:
         """Spend one retry of the service; return whether there was one."""
@@ -388,7 +388,7 @@
         )
         self._parts.metrics.retry_decided(service=service, cause=cause, allowed=allowed)
 
-    def _time_left(self) -> float:
+    def _seconds_left(self) -> float:
         return self._accepted.call.deadline - monotonic()
 
     def _record_success(self, assignment: Assignment) -> None:
@@ -398,7 +398,7 @@
     async def _abort_if_started(self, error: ErrorResponse) -> ErrorResponse | None:
         """Abort a response that has started, so that it does not look complete.
 
-        Return the answer if nothing was sent yet.
+        Return the error if nothing was sent yet.
         """
         if not self._caller_response.started:
             return error
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -312,9 +312,7 @@
         Only announced limits count, as cold periods end within seconds.
         """
         upstreams = list(upstreams)
-        if not upstreams or any(
-            self._limits.limit_of(u.name) is None for u in upstreams
-        ):
+        if not upstreams or any(self._limits.limit_of(u.name) is None for u in upstreams):
             return None
         pairs = [(u, self._rate_limit(u, service, now)) for u in upstreams]
         return OwnSendRate(
@@ -413,7 +411,7 @@
             record.peer_load_by_process[process] = (valid_until, load)
 
     def retain(self, upstreams: set[str]) -> None:
-        """Drop all other upstreams, but those with requests of this process."""
+        """Drop the other upstreams, except those that run requests of this process."""
         self.ejections.retain(upstreams)
         self._rates.retain(upstreams)
         self._record_by_upstream = {
@@ -554,10 +552,10 @@
     )
 
 
-def _resized(memory: PrefixCache | None, engine: Engine) -> PrefixCache:
-    memory = memory or PrefixCache(capacity_tokens=None)
-    memory.capacity_tokens = int(engine.memory_tokens * PREFIX_CACHE_FRACTION)
-    return memory
+def _resized(cache: PrefixCache | None, engine: Engine) -> PrefixCache:
+    cache = cache or PrefixCache(capacity_tokens=None)
+    cache.capacity_tokens = int(engine.memory_tokens * PREFIX_CACHE_FRACTION)
+    return cache
 
 
 def _rendezvous(key: str, name: str) -> int:
