--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -251,9 +251,13 @@
         )
 
     def _dequeue_intervals(self, service: str) -> DequeueIntervals:
-        return self._dequeue_intervals_by_service.setdefault(service, DequeueIntervals())
+        return self._dequeue_intervals_by_service.setdefault(
+            service, DequeueIntervals()
+        )
 
     def _estimated_wait_seconds(self, job: Job) -> float:
         idle = job.service not in self.queue.services()
-        each = self._dequeue_intervals(job.service).mean_seconds(0.0, idle=idle, now=monotonic())
+        each = self._dequeue_intervals(job.service).mean_seconds(
+            0.0, idle=idle, now=monotonic()
+        )
         return each * (self.queue.queued_ahead(job) + 1)
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -312,7 +312,9 @@
         Only announced limits count, as cold periods end within seconds.
         """
         upstreams = list(upstreams)
-        if not upstreams or any(self._limits.limit_of(u.name) is None for u in upstreams):
+        if not upstreams or any(
+            self._limits.limit_of(u.name) is None for u in upstreams
+        ):
             return None
         pairs = [(u, self._rate_limit(u, service, now)) for u in upstreams]
         return OwnSendRate(
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -16,8 +16,12 @@
 )
 from ragwortkeel.ingress.placement import Placement
 from ragwortkeel.policy.announced_limits import AnnouncedLimits
-from ragwortkeel.policy.fleet_rates import rate_fraction
-from ragwortkeel.policy.fleet_rates import ChosenSenders, EqualShare, FleetRates
+from ragwortkeel.policy.fleet_rates import (
+    ChosenSenders,
+    EqualShare,
+    FleetRates,
+    rate_fraction,
+)
 
 APP = Service(name="app", max_connections=96)
 LATER = 30.0
--- a/tests/ingress/test_placement.py
+++ b/tests/ingress/test_placement.py
@@ -124,7 +124,9 @@
     def test_a_restart_discards_reported_blocks(self):
         sender, peer = Placement(zone="a"), Placement(zone="a")
         assign_job(sender, chat(0), POOL, engines(1))
-        assign_job(peer, chat(1), POOL, {"e0": upstream("e0", service="pool", started_ms=1)})
+        assign_job(
+            peer, chat(1), POOL, {"e0": upstream("e0", service="pool", started_ms=1)}
+        )
         for name, blocks in sender.drain_prompt_blocks().items():
             peer.merge_prompt_blocks(name, blocks)
         restarted = {"e0": upstream("e0", service="pool", started_ms=2)}
--- a/tests/ingress/test_requests.py
+++ b/tests/ingress/test_requests.py
@@ -21,8 +21,7 @@
 from ragwortkeel.exceptions import ExchangeBroken
 from ragwortkeel.ingress.configuration import UpstreamState
 from ragwortkeel.ingress.upstream_connection import FRESH_IDLE_SECONDS
-from ragwortkeel.ingress.worker import RETRY_FRACTION
-from ragwortkeel.ingress.worker import RETRY_RESERVE
+from ragwortkeel.ingress.worker import RETRY_FRACTION, RETRY_RESERVE
 
 
 def problem(response):
