--- a/tests/ingress/in_process.py
+++ b/tests/ingress/in_process.py
@@ -1,4 +1,4 @@
-"""One or two ingress processes in a kernel, before upstreams that a test scripts."""
+"""Ingress processes in one kernel, with upstreams that follow a test's scripts."""
 
 import socket as _socket
 from dataclasses import dataclass, field
@@ -34,7 +34,7 @@
 KEY = "key-1"
 SCENARIO_TIMEOUT_SECONDS = 20.0
 SETTLED_SECONDS = 1.5
-"""Longer than links take to notice each other and to pass on what they have."""
+"""Longer than the links need to come up and to exchange what each process knows."""
 ROUTES = (
     route("lookup", "/lookup/", max_attempts=2),
     route("filing", "/filing/", repeats=Repeats.ONCE),
@@ -64,7 +64,7 @@
 
 
 def run_ingress(scenario, **options):
-    """Run ``await scenario(fleet)`` beside fresh processes; return its result."""
+    """Start a fleet, return the result of ``await scenario(fleet)``, stop the fleet."""
 
     async def main():
         fleet = IngressFleet(**options)
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class ReceivedRequest:
-    """One request as an upstream got it."""
+    """A request as an upstream received it."""
 
     method: str
     target: str
@@ -91,9 +91,9 @@
 
 @dataclass
 class ScriptedUpstream:
-    """A server that answers each request by `script(seen, sock)`.
+    """A server that passes each request to `script(seen, sock)`.
 
-    The script writes raw bytes, so that it can break any rule of the protocol.
+    The script writes raw bytes, so it can break any rule of the protocol.
     """
 
     name: str
@@ -151,7 +151,7 @@
 
 
 def plain(seen, body=b"ok", *, status="200 OK", echo=None, proof=True, extra=""):
-    """Return the bytes of a whole plain answer."""
+    """Return the bytes of a complete answer that is no stream."""
     lines = [f"HTTP/1.1 {status}", f"content-length: {len(body)}"]
     lines.append(f"x-request-id: {echo or seen.headers['x-request-id']}")
     if proof:
@@ -162,7 +162,7 @@
 
 
 def stream_head(seen):
-    """Return the head of a stream of events in chunks."""
+    """Return the head of a chunked event stream."""
     return (
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
         f"x-request-id: {seen.headers['x-request-id']}\r\nx-upstream-proof: p1\r\n"
@@ -171,13 +171,13 @@
 
 
 def events(first, last):
-    """Return events of these ids."""
+    """Return the events with the ids `first` to `last`."""
     numbers = range(first, last + 1)
     return b"".join(b"id: %d\ndata: t%d\n\n" % (i, i) for i in numbers)
 
 
 def chunk(data):
-    """Return data as one chunk."""
+    """Return the data as one chunk."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -196,7 +196,7 @@
 
 
 async def reset(sock):
-    """Close so that the peer sees a reset."""
+    """Close the connection with a TCP reset."""
     linger = b"\x01\0\0\0\0\0\0\0"
     sock.setsockopt(_socket.SOL_SOCKET, _socket.SO_LINGER, linger)
     await sock.close()
@@ -226,9 +226,9 @@
         self.request_count = 0
 
     async def start(self):
-        for one in self.upstreams.values():
-            await one.start()
-            await self.register(one)
+        for server in self.upstreams.values():
+            await server.start()
+            await self.register(server)
         await self.configure()
         links = [free_address() for _ in range(self.count)]
         for i in range(self.count):
@@ -237,7 +237,7 @@
             await curio.sleep(0.01)
 
     def is_ready(self, worker):
-        """Whether the process may serve and has all upstreams."""
+        """Return whether the process is ready and knows all upstreams."""
         known = worker._directory.upstream_by_name
         return worker.ready and len(known) == len(self.upstreams)
 
@@ -266,14 +266,14 @@
     async def stop(self):
         for task in self.tasks:
             await task.cancel()
-        for one in self.upstreams.values():
-            await one.stop()
+        for server in self.upstreams.values():
+            await server.stop()
 
-    async def register(self, one, **fields):
+    async def register(self, server, **fields):
         entry = upstream(
-            one.name, service=one.service, port=one.port, slots=6, **fields
+            server.name, service=server.service, port=server.port, slots=6, **fields
         )
-        await self.write(UPSTREAMS_KIND, one.name, msgspec.json.encode(entry))
+        await self.write(UPSTREAMS_KIND, server.name, msgspec.json.encode(entry))
 
     async def configure(self, **fields):
         self.revision += 1
@@ -317,20 +317,20 @@
             await client.close()
 
     def seen(self):
-        """Return all requests that upstreams got, by upstream."""
-        return {name: one.seen for name, one in self.upstreams.items()}
+        """Return the requests that the upstreams received, by upstream."""
+        return {name: server.seen for name, server in self.upstreams.items()}
 
 
 def configuration_value(fleet, revision):
-    """Return the fleet's configuration as the platform keeps it."""
-    one = configuration(
+    """Return the fleet's configuration as the platform stores it."""
+    value = configuration(
         revision, routes=ROUTES, services=SERVICES, customers=fleet.customers
     )
-    return msgspec.json.encode(one)
+    return msgspec.json.encode(value)
 
 
 def configuration_object(fleet, revision):
-    """Return the fleet's configuration as a peer sends it."""
+    """Return the fleet's configuration as peers send it."""
     return VersionedObject(
         kind=CONFIGURATION_KIND,
         name=CONFIGURATION_NAME,
@@ -340,7 +340,7 @@
 
 
 async def wait_for_revision(worker, revision):
-    """Wait until the process has this revision in force; return the one it has."""
+    """Wait until the process has the revision in force; return its revision."""
     async with curio.timeout_after(5):
         while worker.revision() < revision:
             await curio.sleep(0.01)
@@ -348,6 +348,6 @@
 
 
 async def ledger(fleet):
-    """Return the customer's ledger as the platform keeps it."""
+    """Return the customer's ledger as the platform stores it."""
     stored = await fleet.platform.get(SHARDS_KIND, SHARD_NAME)
     return decode_shard(stored.value).ledger_by_customer["surco"]
--- a/tests/ingress/test_configuration_in_force.py
+++ b/tests/ingress/test_configuration_in_force.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: in force everywhere, and never undone."""
+"""The configuration in force: changes reach every process and are never reverted."""
 
 import curio
 import pytest
@@ -20,10 +20,10 @@
 
 
 class TestChanges:
-    def test_an_older_one_is_never_taken_over(self):
-        """Callers on a new route get a 404 again after they were served.
+    def test_an_older_revision_is_never_applied(self):
+        """Guards against a 404 on a new route that was already served.
 
-        A lagging copy of the platform showed the configuration before.
+        A lagging replica of the platform answers with the previous configuration.
         """
 
         async def scenario(fleet):
@@ -37,8 +37,11 @@
 
         assert run_ingress(scenario) == 2
 
-    def test_one_process_tells_the_others(self):
-        """A change does not reach a process that is cut off from the platform."""
+    def test_a_process_gets_a_newer_revision_from_a_peer(self):
+        """Guards against a change that misses a process.
+
+        The process does not reach the platform.
+        """
 
         async def scenario(fleet):
             await fleet.workers[0].heard_configuration(configuration_object(fleet, 9))
@@ -46,22 +49,24 @@
 
         assert run_ingress(scenario, processes=2) == 9
 
-    def test_a_process_that_starts_in_an_outage_hears_of_it_from_a_peer(self):
-        """A restarted process answers 503 until the platform is back."""
+    def test_a_process_that_starts_in_an_outage_gets_the_configuration_from_a_peer(
+        self,
+    ):
+        """Guards against a restarted process that answers 503 for a whole outage."""
 
         async def scenario(fleet):
             await fleet.workers[0].heard_configuration(configuration_object(fleet, 9))
             fleet.platform.switches.down = True
-            link, known = free_address(), fleet.workers[0]._settings.address
-            late = await fleet.start_worker("ingress-late", link, (known, link))
+            link, peer = free_address(), fleet.workers[0]._settings.address
+            late = await fleet.start_worker("ingress-late", link, (peer, link))
             return await wait_for_revision(late, 9)
 
         assert run_ingress(scenario) == 9
 
-    def test_a_change_in_lost_history_is_found_by_a_new_list(self):
-        """A change never takes hold.
+    def test_a_change_in_dropped_history_is_found_by_a_new_listing(self):
+        """Guards against a change that is never applied.
 
-        The platform dropped its history before the watch had shown the change.
+        The platform drops its history before the watch has returned the change.
         """
 
         async def scenario(fleet):
@@ -76,13 +81,13 @@
 
 
 class TestCopies:
-    @pytest.mark.parametrize("garbage", [b"", b"{}", b"no configuration"])
-    def test_garbage_changes_nothing(self, garbage):
+    @pytest.mark.parametrize("content", [b"", b"{}", b"no configuration"])
+    def test_an_undecodable_value_changes_nothing(self, content):
         """A peer sends bytes that are no configuration."""
 
         async def scenario(fleet):
             fields = {"kind": CONFIGURATION_KIND, "name": CONFIGURATION_NAME}
-            copy = VersionedObject(version=9, value=garbage, **fields)
+            copy = VersionedObject(version=9, value=content, **fields)
             await fleet.workers[0].heard_configuration(copy)
             return fleet.workers[0].revision()
 
@@ -90,10 +95,10 @@
 
 
 class TestLimits:
-    def test_a_callers_idle_connection_is_not_closed_under_it(self):
-        """Requests on kept connections are lost, though nothing failed.
+    def test_an_idle_connection_stays_open_as_long_as_callers_may_use_it(self):
+        """Guards against requests that are lost on idle connections.
 
-        The process closed them while callers were still allowed to use them.
+        The process closes a connection that its caller may still use.
         """
 
         async def scenario(fleet):
--- a/tests/ingress/test_configuration_spread.py
+++ b/tests/ingress/test_configuration_spread.py
@@ -1,11 +1,9 @@
-"""Who is sent a change of the configuration by whom, and how often.
-
-Callers of a large fleet were refused with 404 four seconds after a route had been
-added, with processors idle.  A few changes had come in quick succession; each process
-that took one over had sent the whole configuration to all peers, 3.6 MB into a link of
-5 Mbit/s, and the platform's answer with the next change stood behind that.  What proved
-it: bytes out of each small instance in the second of a change, then none for five
-seconds, on all of them alike and at 5% of a processor.
+"""How a change of the configuration spreads, and how many copies of it are sent.
+
+Guards against callers that get a 404 for seconds after a route was added, while the
+processors are idle.  Each process sends the full configuration to all of its peers when
+it applies a change.  After a few changes in quick succession that is 3.6 MB on a link
+of 5 Mbit/s, and the platform's answer with the next change queues behind it.
 """
 
 import curio
@@ -22,18 +20,18 @@
 from ragwortkeel.ingress.relay_worker import RelayWorker
 from ragwortkeel.settings import RelaySettings
 
-PROCESSES = 4
-CHANGES = 3
+PROCESS_COUNT = 4
+CHANGE_COUNT = 3
 
 
 def count_copies(worker):
-    """Return a list that grows with each copy that the process hears."""
+    """Return a list that grows with each copy that the process receives."""
     copies = []
     taken = worker.heard_configuration
 
-    async def heard(one):
-        copies.append(one.version)
-        await taken(one)
+    async def heard(received):
+        copies.append(received.version)
+        await taken(received)
 
     worker.heard_configuration = heard
     return copies
@@ -55,35 +53,35 @@
     return relay
 
 
-async def linked(relay, count):
+async def wait_for_links(relay, count):
     async with curio.timeout_after(5):
         while relay._peers.live_count < count:
             await curio.sleep(0.01)
 
 
-class TestChangesThatAllReadFromThePlatform:
-    def test_a_process_is_sent_a_change_once_at_the_most(self):
-        """With 56 peers each change is 56 copies a process, seconds of its link."""
+class TestChangesReadFromThePlatform:
+    def test_each_process_is_sent_a_change_at_most_once(self):
+        """Guards against a copy from each peer: with 56 peers, seconds of a link."""
 
         async def scenario(fleet):
             copies = [count_copies(worker) for worker in fleet.workers]
-            for _ in range(CHANGES):
+            for _ in range(CHANGE_COUNT):
                 await fleet.configure(routes=ROUTES)
                 for worker in fleet.workers:
                     await wait_for_revision(worker, fleet.revision)
             await curio.sleep(SETTLED_SECONDS)
-            return [len(heard) for heard in copies]
+            return [len(versions) for versions in copies]
 
-        heard = run_ingress(scenario, processes=PROCESSES)
-        assert max(heard) <= CHANGES
+        copy_counts = run_ingress(scenario, processes=PROCESS_COUNT)
+        assert max(copy_counts) <= CHANGE_COUNT
 
-    def test_a_relay_keeps_none_and_is_sent_none(self):
-        """Half of the copies went to processes that throw them away."""
+    def test_a_relay_is_sent_no_copies(self):
+        """Guards against copies to relays, which don't use the configuration."""
 
         async def scenario(fleet):
             relay = await start_relay(fleet)
             copies = count_copies(relay)
-            await linked(relay, len(fleet.workers))
+            await wait_for_links(relay, len(fleet.workers))
             await fleet.configure()
             await wait_for_revision(fleet.workers[0], fleet.revision)
             await curio.sleep(SETTLED_SECONDS)
@@ -91,10 +89,11 @@
 
         assert run_ingress(scenario, processes=2) == []
 
-    def test_a_process_that_comes_back_is_sent_one_copy_at_the_most(self):
-        """All that come back after a cut at once are greeted by all the others.
+    def test_a_process_whose_links_come_up_is_sent_at_most_one_copy(self):
+        """Guards against links that are full for seconds after a partition.
 
-        Their links are full for seconds with what they have had all along.
+        Every process sends its configuration to every peer whose link comes up, though
+        all of them have it already.
         """
 
         async def scenario(fleet):
@@ -106,20 +105,21 @@
             await curio.sleep(SETTLED_SECONDS)
             return copies
 
-        assert len(run_ingress(scenario, processes=PROCESSES)) <= 1
+        assert len(run_ingress(scenario, processes=PROCESS_COUNT)) <= 1
 
 
-class TestStartsOfAllAtOnce:
-    def test_all_read_the_platform_and_are_sent_one_copy_at_the_most(self):
-        """After a loss of power of all a quarter of the callers is served at last.
+class TestSimultaneousStarts:
+    def test_processes_read_the_platform_and_are_sent_at_most_one_copy(self):
+        """Guards against a fleet that serves a quarter of its callers after a start.
 
-        Each process that started handed the configuration to all others, twice: when
-        it had read it and when a link came up.  The links of small instances were
-        full for seconds while all had to read the ledgers and the upstreams.
+        After a power failure all processes start at once.  Each sends the configuration
+        to all others when it has read it and again when a link comes up.  That fills
+        the links of small instances for seconds while they have to read the ledgers and
+        the upstreams.
         """
 
         async def scenario(fleet):
-            links = [free_address() for _ in range(PROCESSES)]
+            links = [free_address() for _ in range(PROCESS_COUNT)]
             copies = []
             for i, link in enumerate(links):
                 late = await fleet.start_worker(f"late-{i}", link, tuple(links))
@@ -127,14 +127,14 @@
             for late in fleet.workers[1:]:
                 await wait_for_revision(late, fleet.revision)
             await curio.sleep(SETTLED_SECONDS)
-            return [len(heard) for heard in copies]
+            return [len(versions) for versions in copies]
 
         assert max(run_ingress(scenario)) <= 1
 
 
-class TestChangesThatOneAloneHears:
-    def test_all_others_have_it_in_time_with_one_copy_each(self):
-        """The platform turns away all processes but one."""
+class TestChangesThatOneProcessReads:
+    def test_all_others_apply_the_change_with_one_copy_each(self):
+        """The platform refuses all processes but one."""
 
         async def scenario(fleet):
             fleet.platform.switches.down = True
@@ -142,21 +142,21 @@
             await fleet.workers[0].heard_configuration(configuration_object(fleet, 9))
             for worker in fleet.workers[1:]:
                 await wait_for_revision(worker, 9)
-            return [len(heard) for heard in copies]
+            return [len(versions) for versions in copies]
 
-        heard = run_ingress(scenario, processes=PROCESSES)
-        assert max(heard) == 1
+        copy_counts = run_ingress(scenario, processes=PROCESS_COUNT)
+        assert max(copy_counts) == 1
 
-    def test_they_need_not_wait_for_a_heartbeat_to_hear_of_it(self, monkeypatch):
-        """A caller gets a 404 two seconds after a route was confirmed.
+    def test_a_new_revision_is_announced_before_the_next_heartbeat(self, monkeypatch):
+        """Guards against a 404 2 seconds after a route was confirmed.
 
-        The platform had been away, one process's watch came back before the others',
-        and they heard of its change with the next heartbeat, asked late, and waited
-        for a peer that had just been killed.
+        After an outage of the platform the watch of one process returns first.  The
+        others get the new revision only with the next heartbeat, request the change
+        late, and the peer that they ask has just crashed.
         """
         monkeypatch.setattr(peers, "CLOCK_QUERY_SECONDS", 60.0)
-        for rare in ("HEARTBEAT_SECONDS", "SILENCE_SECONDS"):
-            monkeypatch.setattr(mesh, rare, 60.0)
+        for name in ("HEARTBEAT_SECONDS", "SILENCE_SECONDS"):
+            monkeypatch.setattr(mesh, name, 60.0)
         monkeypatch.setattr(renewals, "TICK_SECONDS", 60.0)
         monkeypatch.setattr(renewals, "patience", lambda place, **step: 60.0)
 
--- a/tests/ingress/test_evacuations.py
+++ b/tests/ingress/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuated availability zones: how processes learn of them, and what they do then."""
+"""Evacuations of availability zones: how processes get to know and apply them."""
 
 import curio
 import msgspec
@@ -34,8 +34,8 @@
 
 
 class TestEvacuations:
-    def test_of_two_sets_the_one_of_the_higher_revision_holds(self):
-        """Guards against a late message that brings an evacuation back."""
+    def test_the_set_with_the_higher_revision_replaces_the_other(self):
+        """Guards against a late message that restores an ended evacuation."""
         evacuations = Evacuations()
         assert evacuations.merge(zones(7, "a", "b"), now=1.0) == ZonesChanged(
             evacuated=frozenset("ab"), returned=frozenset()
@@ -47,7 +47,7 @@
         assert evacuations.zones == {"b"}
         assert evacuations.since_by_zone == {"b": 1.0}
 
-    def test_the_same_zone_again_changes_nothing(self):
+    def test_a_newer_set_with_the_same_zones_changes_nothing(self):
         evacuations = Evacuations()
         evacuations.merge(zones(7, "a"), now=1.0)
         assert evacuations.merge(zones(8, "a"), now=2.0) is None
@@ -56,11 +56,11 @@
 
 
 class _End(Exception):
-    """Ends a scripted run."""
+    """Raised at the end of a scripted run."""
 
 
 class ScriptedPlatform:
-    """Answers lists and watches in turn as a test says."""
+    """Answers lists and watches with a test's answers, in their order."""
 
     def __init__(self, *answers):
         self._answers = list(answers)
@@ -88,25 +88,25 @@
     return Listing(by_name=by_name, revision=revision)
 
 
-def change(revision, name, *, gone=False, value=b"{}"):
+def change(revision, name, *, deleted=False, value=b"{}"):
     stored = Stored(kind=EVACUATIONS_KIND, name=name, value=value, version=revision)
-    one = Change(name=name, version=revision, stored=None if gone else stored)
-    return Changes(changes=(one,), revision=revision, gap=False)
+    entry = Change(name=name, version=revision, stored=None if deleted else stored)
+    return Changes(changes=(entry,), revision=revision, gap=False)
 
 
 GAP = Changes(changes=(), revision=0, gap=True)
 
 
 def follow(monkeypatch, *answers):
-    """Return what a follower takes and what it shares, for these answers."""
+    """Return the sets that a follower applies and forwards for these answers."""
     monkeypatch.setattr(following, "RETRY_DELAY_SECONDS", 0.0)
     applied, forwarded = [], []
 
-    async def apply(found):
-        applied.append(found)
+    async def apply(evacuated):
+        applied.append(evacuated)
 
-    async def forward(found):
-        forwarded.append(found)
+    async def forward(evacuated):
+        forwarded.append(evacuated)
 
     follower = EvacuationFollower(
         platform=ScriptedPlatform(*answers),
@@ -120,41 +120,41 @@
 
 
 class TestFollower:
-    def test_the_whole_set_is_taken_and_shared_with_each_change(self, monkeypatch):
+    def test_each_change_applies_and_forwards_the_full_set(self, monkeypatch):
         applied, forwarded = follow(
             monkeypatch,
             listing(5),
             change(6, "a"),
             change(7, "b"),
-            change(9, "a", gone=True),
+            change(9, "a", deleted=True),
         )
         assert applied == [zones(5), zones(6, "a"), zones(7, "a", "b"), zones(9, "b")]
         assert forwarded == applied[1:]
 
     @pytest.mark.parametrize("value", [b"null", b"\xff\x00", b'"', b"[1,2"])
-    def test_an_entry_counts_by_its_name_whether_readable_or_not(
+    def test_an_entry_counts_by_its_name_even_if_it_is_unreadable(
         self, monkeypatch, value
     ):
-        """Guards against requests for a zone whose evacuation somebody wrote badly."""
+        """Guards against requests for a zone whose entry has an unreadable value."""
         applied, _ = follow(
             monkeypatch,
             listing(5),
             change(6, "a", value=value),
-            change(7, "a", gone=True, value=value),
+            change(7, "a", deleted=True, value=value),
         )
         assert applied[1:] == [zones(6, "a"), zones(7)]
 
-    def test_a_lost_history_is_read_anew(self, monkeypatch):
-        """Guards against an evacuation that came in a gap of the watch."""
+    def test_a_gap_in_the_history_leads_to_a_new_listing(self, monkeypatch):
+        """Guards against an evacuation that is missed because of a gap in the watch."""
         applied, _ = follow(monkeypatch, listing(5), GAP, listing(9, "b"))
         assert applied[-1] == zones(9, "b")
 
     def test_an_outage_changes_nothing(self, monkeypatch):
-        """Guards against zones that count as back while the platform is away."""
+        """Guards against evacuations that end because the platform is unreachable."""
         applied, _ = follow(
             monkeypatch,
             listing(5, "a"),
-            PlatformUnavailable("cut off"),
+            PlatformUnavailable("unreachable"),
             Changes(changes=(), revision=6, gap=False),
         )
         assert applied == [zones(5, "a")]
@@ -169,59 +169,59 @@
 
 def dispatching(scenario, directory):
     placement = Placement(zone="a")
-    places = Dispatcher(directory=directory, placement=placement)
+    dispatcher = Dispatcher(directory=directory, placement=placement)
 
     async def main():
         async with curio.timeout_after(5):
-            return await scenario(places)
+            return await scenario(dispatcher)
 
     return curio.run(main)
 
 
-async def acquire(places, name, **fields):
+async def acquire(dispatcher, name, **fields):
     now = await curio.clock()
-    return await places.acquire(
+    return await dispatcher.acquire(
         job(name, **fields), service=APP, latest_start=now + 3.0
     )
 
 
-class TestWaitingRequests:
-    def test_those_that_wait_go_to_the_zones_that_are_left(self):
-        """Guards against a waiting request that is placed in an evacuated zone."""
+class TestQueuedRequests:
+    def test_queued_requests_go_to_the_remaining_zones(self):
+        """Guards against a queued request that is assigned in an evacuated zone."""
         directory = two_zones()
 
-        async def scenario(places):
-            first = await acquire(places, "r1")
-            second = await acquire(places, "r2")
-            third = await curio.spawn(acquire, places, "r3", daemon=True)
+        async def scenario(dispatcher):
+            first = await acquire(dispatcher, "r1")
+            second = await acquire(dispatcher, "r2")
+            third = await curio.spawn(acquire, dispatcher, "r3", daemon=True)
             await curio.sleep(0.05)
             directory.evacuated_zones = frozenset({first.upstream.zone})
-            await places.release(first)
+            await dispatcher.release(first)
             await curio.sleep(0.1)
-            still_waiting = len(places.room)
-            await places.release(second)
-            return still_waiting, second.upstream.name, (await third.join())
+            queued_count = len(dispatcher.room)
+            await dispatcher.release(second)
+            return queued_count, second.upstream.name, (await third.join())
 
-        still_waiting, expected, third = dispatching(scenario, directory)
-        assert still_waiting == 1
+        queued_count, expected, third = dispatching(scenario, directory)
+        assert queued_count == 1
         assert third.upstream.name == expected
 
     def test_with_all_zones_evacuated_a_request_is_refused_at_once(self):
-        """Guards against callers held for half of their time for nothing."""
+        """Guards against callers that wait for half of their time and are refused."""
         directory = two_zones()
         directory.evacuated_zones = frozenset("ab")
 
-        async def scenario(places):
-            begun = await curio.clock()
-            refused = await acquire(places, "r1")
-            return refused, await curio.clock() - begun
+        async def scenario(dispatcher):
+            started_at = await curio.clock()
+            refused = await acquire(dispatcher, "r1")
+            return refused, await curio.clock() - started_at
 
-        refused, took = dispatching(scenario, directory)
+        refused, seconds = dispatching(scenario, directory)
         assert isinstance(refused, NoRoom)
         assert refused.withheld
-        assert took < 0.1
+        assert seconds < 0.1
 
-    def test_a_zone_without_upstreams_and_an_unknown_one_take_nothing_away(self):
+    def test_evacuating_a_zone_without_upstreams_changes_nothing(self):
         directory = two_zones()
         directory.evacuated_zones = frozenset({"nowhere"})
         assert set(directory.usable(service="app")) == {"ua", "ub"}
@@ -233,52 +233,52 @@
         south = frozenset({"south"})
         assert set(directory.usable(service="app", regions=south)) == {"ub"}
 
-    def test_a_zone_of_an_unknown_region_is_no_home(self):
-        """Guards against a request that leaves its region for want of a setting."""
+    def test_a_zone_whose_region_is_unknown_is_no_home(self):
+        """Guards against a request that leaves its home for lack of a setting."""
         directory = two_zones(b="south")
         north = frozenset({"north"})
         assert directory.usable(service="app", regions=north) == {}
 
-    def test_where_route_and_customer_share_no_home_the_request_is_refused_at_once(
+    def test_a_request_without_a_common_home_of_route_and_customer_is_refused_at_once(
         self,
     ):
         directory = two_zones(a="north", b="south")
 
-        async def scenario(places):
-            return await acquire(places, "r1", regions=frozenset())
+        async def scenario(dispatcher):
+            return await acquire(dispatcher, "r1", regions=frozenset())
 
         assert dispatching(scenario, directory).withheld
 
-    def test_a_request_that_is_full_at_home_keeps_nobody_else_waiting(self):
-        """Guards against a queue that stands behind one that waits for its home."""
+    def test_a_request_queued_for_its_home_does_not_block_the_queue(self):
+        """Guards against a queue that waits behind a request whose home is full."""
         directory = two_zones(a="north", b="south")
 
-        async def scenario(places):
-            at_home = await acquire(places, "r1", regions=frozenset({"north"}))
-            elsewhere = await acquire(places, "r2")
+        async def scenario(dispatcher):
+            at_home = await acquire(dispatcher, "r1", regions=frozenset({"north"}))
+            elsewhere = await acquire(dispatcher, "r2")
             first = await curio.spawn(
-                _acquire_at_home, places, "r3", "north", daemon=True
+                _acquire_at_home, dispatcher, "r3", "north", daemon=True
             )
             await curio.sleep(0.02)
-            second = await curio.spawn(acquire, places, "r4", daemon=True)
+            second = await curio.spawn(acquire, dispatcher, "r4", daemon=True)
             await curio.sleep(0.02)
-            await places.release(elsewhere)
-            placed = await second.join()
+            await dispatcher.release(elsewhere)
+            assigned = await second.join()
             await first.cancel()
-            return at_home.upstream.name, placed.upstream.name
+            return at_home.upstream.name, assigned.upstream.name
 
         assert dispatching(scenario, directory) == ("ua", "ub")
 
 
-async def _acquire_at_home(places, name, region):
-    return await acquire(places, name, regions=frozenset({region}))
+async def _acquire_at_home(dispatcher, name, region):
+    return await acquire(dispatcher, name, regions=frozenset({region}))
 
 
 async def evacuate(fleet, zone):
     await fleet.platform.create(EVACUATIONS_KIND, zone, b"{}")
 
 
-async def take_back(fleet, zone):
+async def end_evacuation(fleet, zone):
     stored = await fleet.platform.get(EVACUATIONS_KIND, zone)
     await fleet.platform.delete(EVACUATIONS_KIND, zone, stored.version)
 
@@ -292,19 +292,19 @@
         scripts = options.pop("scripts", {"ua": answer_whole, "ub": answer_whole})
 
         async def main(fleet):
-            for one in fleet.upstreams.values():
-                await fleet.register(one, zone=zone_of(one.name))
+            for server in fleet.upstreams.values():
+                await fleet.register(server, zone=zone_of(server.name))
             await curio.sleep(0.2)
             return await scenario(fleet)
 
         return run_ingress(main, scripts=scripts, **options)
 
-    def test_an_evacuated_zone_gets_nothing_until_it_is_taken_back(self):
+    def test_an_evacuated_zone_gets_no_requests_until_the_evacuation_ends(self):
         async def scenario(fleet):
             counts = []
-            for step in (None, evacuate, take_back):
-                if step is not None:
-                    await step(fleet, "a")
+            for action in (None, evacuate, end_evacuation):
+                if action is not None:
+                    await action(fleet, "a")
                     await curio.sleep(0.3)
                 before = len(fleet.seen()["ua"])
                 for number in range(4):
@@ -312,13 +312,13 @@
                 counts.append(len(fleet.seen()["ua"]) - before)
             return counts
 
-        first, evacuated, back = self.run(scenario)
-        assert first > 0
-        assert evacuated == 0
-        assert back > 0
+        before, during, after = self.run(scenario)
+        assert before > 0
+        assert during == 0
+        assert after > 0
 
-    def test_a_stream_that_runs_there_ends_whole(self):
-        """Guards against answers that an evacuation breaks off."""
+    def test_a_stream_that_runs_in_the_zone_completes(self):
+        """Guards against answers that an evacuation cuts off."""
 
         async def slow_stream(seen, sock):
             await sock.sendall(stream_head(seen) + chunk(events(1, 2)))
@@ -337,7 +337,7 @@
         )
         assert (response.status, response.body) == (200, events(1, 4))
 
-    def test_with_no_zone_left_a_caller_gets_a_truthful_refusal_at_once(self):
+    def test_with_all_zones_evacuated_a_caller_gets_a_truthful_refusal_at_once(self):
         async def scenario(fleet):
             await evacuate(fleet, "a")
             await evacuate(fleet, "b")
@@ -353,17 +353,17 @@
         assert float(response.headers["retry-after"]) > 0
         assert seen == {"ua": [], "ub": []}
 
-    def test_a_process_that_the_platform_turns_away_hears_of_it_from_a_peer(self):
-        """Guards against sends by a process whose own watch brings nothing."""
+    def test_a_process_that_the_platform_refuses_gets_evacuations_from_a_peer(self):
+        """Guards against requests to an evacuated zone by a process without a watch."""
 
         async def scenario(fleet):
             await curio.sleep(SETTLED_SECONDS)
-            cut_off = fleet.workers[1]._evacuation_follower
+            refused = fleet.workers[1]._evacuation_follower
 
             async def refuse(*args, **kwargs):
-                raise PlatformUnavailable("turned away")
+                raise PlatformUnavailable("refused")
 
-            cut_off._platform.watch = cut_off._platform.list = refuse
+            refused._platform.watch = refused._platform.list = refuse
             await evacuate(fleet, "a")
             await curio.sleep(SETTLED_SECONDS)
             return [worker.evacuated_zones().zones for worker in fleet.workers]
--- a/tests/ingress/test_following.py
+++ b/tests/ingress/test_following.py
@@ -1,4 +1,4 @@
-"""How outages of the platform show to a process that follows the upstreams' entries."""
+"""How a follower of the upstreams' entries handles frequent changes and outages."""
 
 from time import monotonic
 
@@ -21,11 +21,11 @@
 
 
 class _End(Exception):
-    """Ends a scripted run."""
+    """Raised at the end of a scripted run."""
 
 
 class ScriptedPlatform:
-    """Answers one watch after the other as a test says, on a clock of its own."""
+    """Answers watches with a test's answers, in their order, on its own clock."""
 
     def __init__(self, *watches):
         self.now = 100.0
@@ -43,54 +43,54 @@
 
 
 def unavailable(platform):
-    raise PlatformUnavailable("cut off")
+    raise PlatformUnavailable("unreachable")
 
 
-def quiet(platform):
-    """Wait for as long as a watch does, and bring nothing."""
+def empty_after_timeout(platform):
+    """Answer after the watch's timeout, without changes."""
     platform.now += WATCH_TIMEOUT_SECONDS
     return Changes(changes=(), revision=6, gap=False)
 
 
-def slow_and_quiet(platform):
-    """Bring nothing at once, as a platform that has just come back."""
+def empty_soon(platform):
+    """Answer soon and without changes, as a platform does right after an outage."""
     platform.now += 0.1
     return Changes(changes=(), revision=6, gap=False)
 
 
-def gone(platform):
+def deleted(platform):
     platform.now += 0.3
     change = Change(name=NAME, version=7, stored=None)
     return Changes(changes=(change,), revision=7, gap=False)
 
 
 class ChangingPlatform(ScriptedPlatform):
-    """Has a change each so often, and answers a watch as soon as there is one."""
+    """Changes every `CHANGE_SECONDS`; a watch is answered at the next change."""
 
     CHANGE_SECONDS = 0.01
 
     def __init__(self, *, seconds):
         super().__init__()
-        self.calls = 0
+        self.call_count = 0
         self._ends_at = monotonic() + seconds
-        self._begun_at = monotonic()
+        self._started_at = monotonic()
 
     async def watch(self, kind, revision, timeout):
-        self.calls += 1
+        self.call_count += 1
         await curio.sleep(self.CHANGE_SECONDS)
         if monotonic() > self._ends_at:
             raise _End
-        newest = 5 + int((monotonic() - self._begun_at) / self.CHANGE_SECONDS)
+        newest = 5 + int((monotonic() - self._started_at) / self.CHANGE_SECONDS)
         value = msgspec.json.encode(upstream(NAME, slots=newest))
         stored = Stored(kind=kind, name=NAME, value=value, version=newest)
         change = Change(name=NAME, version=newest, stored=stored)
         return Changes(changes=(change,), revision=newest, gap=False)
 
 
-def test_changes_in_quick_succession_are_gathered():
-    """Guards against a call of the platform by all that watch for each of them."""
+def test_changes_in_quick_succession_share_a_watch():
+    """Guards against a call of each watcher for each of many changes."""
 
-    async def ignore(found):
+    async def ignore(changes):
         pass
 
     platform = ChangingPlatform(seconds=1.0)
@@ -103,17 +103,17 @@
     )
     with pytest.raises(_End):
         curio.run(follower.run)
-    assert platform.calls <= 1.0 / BATCH_DELAY_SECONDS + 2
+    assert platform.call_count <= 1.0 / BATCH_DELAY_SECONDS + 2
 
 
 def follow(monkeypatch, *watches):
-    """Return the directory after these watches, and the time by their clock."""
+    """Return the directory after these watches, and the platform's time."""
     platform, directory = ScriptedPlatform(*watches), Directory()
     monkeypatch.setattr(following, "monotonic", lambda: platform.now)
     monkeypatch.setattr(following, "RETRY_DELAY_SECONDS", 0.0)
     monkeypatch.setattr(following, "BATCH_DELAY_SECONDS", 0.0)
 
-    async def ignore(found):
+    async def ignore(changes):
         pass
 
     follower = UpstreamFollower(
@@ -128,19 +128,19 @@
     return directory, platform.now
 
 
-def test_an_entry_that_vanishes_long_after_an_outage_is_gone_at_once(monkeypatch):
-    """Requests went to an upstream for two seconds after it had left.
+def test_a_deletion_long_after_an_outage_counts_at_once(monkeypatch):
+    """Guards against requests to an upstream for 2 seconds after its deletion.
 
-    The first answer after a cut was that of a watch that had waited three seconds for
-    a change; the outage counted as having lasted until then.
+    The first answer after an outage is that of a watch that waited 3 seconds for
+    changes, so the outage seems to last until that answer.
     """
-    directory, _ = follow(monkeypatch, unavailable, quiet, gone)
+    directory, _ = follow(monkeypatch, unavailable, empty_after_timeout, deleted)
     assert not directory.is_usable(NAME)
 
 
-def test_an_entry_that_vanishes_right_after_an_outage_may_come_back(monkeypatch):
-    """All upstreams look gone when the platform returns without their entries."""
-    directory, now = follow(monkeypatch, unavailable, slow_and_quiet, gone)
+def test_a_deletion_right_after_an_outage_counts_after_the_grace_period(monkeypatch):
+    """Guards against a platform that returns without its entries after an outage."""
+    directory, now = follow(monkeypatch, unavailable, empty_soon, deleted)
     assert directory.is_usable(NAME)
     assert directory.expire(now + OUTAGE_GRACE_SECONDS)
     assert not directory.is_usable(NAME)
--- a/tests/ingress/test_greetings.py
+++ b/tests/ingress/test_greetings.py
@@ -1,10 +1,9 @@
-"""What a process that starts, or comes back after a cut, is told by its peers.
+"""Which prompt blocks peers send to a process whose links have come up.
 
-After a cut between two availability zones callers wait for seconds more: each process
-greets each peer that it hears again with all that it knows of the engines' memory,
-50 KB from each, and the links of small instances are full.  It is what the
-configuration was told by as well (test_configuration_spread.py); this was not seen in
-an incident but found by looking for what else is told to all.
+Guards against callers that wait for seconds after a partition between two availability
+zones: each process sends each peer whose link comes up all prompt blocks that it knows,
+50 KB per peer, and fills the links of small instances.  The configuration has the same
+pattern, see test_configuration_spread.py.
 """
 
 import curio
@@ -13,51 +12,51 @@
 
 from ragwortkeel.links import LinkUp
 
-PARTS = dict.fromkeys(range(1, 50), 100)
+PROMPT_BLOCKS = dict.fromkeys(range(1, 50), 100)
 
 
-def count_tellings(worker):
-    """Return a list that grows with each telling of parts that the process hears."""
-    tellings = []
+def record_upstreams(worker):
+    """Return a list that grows by the upstream of each set of blocks it receives."""
+    upstreams = []
     taken = worker.heard_parts
 
     def heard(upstream, tokens_by_chain):
-        tellings.append(upstream)
+        upstreams.append(upstream)
         taken(upstream, tokens_by_chain)
 
     worker.heard_parts = heard
-    return tellings
+    return upstreams
 
 
 class TestAProcessThatStarts:
-    def test_one_peer_tells_it_what_engines_hold(self):
+    def test_one_peer_sends_it_the_prompt_blocks(self):
         async def scenario(fleet):
             await curio.sleep(SETTLED_SECONDS)
             for worker in fleet.workers:
-                worker.heard_parts("e1", PARTS)
+                worker.heard_parts("e1", PROMPT_BLOCKS)
             links = tuple(worker._settings.address for worker in fleet.workers)
             late = await fleet.start_worker("ingress-late", free_address(), links)
-            tellings = count_tellings(late)
+            upstreams = record_upstreams(late)
             await curio.sleep(SETTLED_SECONDS)
-            return tellings, late.all_parts()
+            return upstreams, late.all_parts()
 
-        tellings, known = run_ingress(scenario, processes=4)
-        assert known["e1"] == PARTS
-        assert tellings == ["e1"]
+        upstreams, blocks_by_upstream = run_ingress(scenario, processes=4)
+        assert blocks_by_upstream["e1"] == PROMPT_BLOCKS
+        assert upstreams == ["e1"]
 
 
-class TestAProcessThatComesBack:
-    def test_nobody_tells_it_what_it_has_known_all_along(self):
+class TestAProcessWhoseLinksComeUpAgain:
+    def test_no_peer_sends_it_the_prompt_blocks_that_it_has(self):
         async def scenario(fleet):
             await curio.sleep(SETTLED_SECONDS)
             for worker in fleet.workers:
-                worker.heard_parts("e1", PARTS)
-            tellings = [count_tellings(worker) for worker in fleet.workers]
+                worker.heard_parts("e1", PROMPT_BLOCKS)
+            received = [record_upstreams(worker) for worker in fleet.workers]
             for worker in fleet.workers:
                 for link in list(worker._peers._mesh.link_by_address.values()):
                     await worker._peers._handle_link_event(_up(link))
             await curio.sleep(SETTLED_SECONDS)
-            return [heard for heard in tellings if heard]
+            return [upstreams for upstreams in received if upstreams]
 
         assert run_ingress(scenario, processes=3) == []
 
--- a/tests/ingress/test_mesh.py
+++ b/tests/ingress/test_mesh.py
@@ -1,4 +1,4 @@
-"""Which processes a process links to, in fleets of a few and of a thousand."""
+"""Which peers a process links to, in fleets of 5 to 1000 processes."""
 
 from collections import Counter
 
@@ -33,21 +33,21 @@
         self.idle_seconds = 0.0
 
 
-def routers(count):
+def make_ingress_addresses(count):
     return tuple(f"10.1.{n // 250}.{n % 250}:1" for n in range(count))
 
 
-def relays(count):
+def make_relay_addresses(count):
     return tuple(f"10.2.{n // 250}.{n % 250}:1" for n in range(count))
 
 
-def mesh(*, own, router_addresses, relay_addresses, is_relay=False):
+def make_mesh(*, own, ingress_addresses, relay_addresses, is_relay=False):
     known_processes = Introductions(
-        address=own, seeds=router_addresses, is_relay=is_relay
+        address=own, seeds=ingress_addresses, is_relay=is_relay
     )
     known_processes.add(
         Introduction(
-            addresses=(*router_addresses, *relay_addresses), relays=relay_addresses
+            addresses=(*ingress_addresses, *relay_addresses), relays=relay_addresses
         )
     )
     rv = Mesh(
@@ -63,79 +63,89 @@
 
 class TestRelays:
     def test_no_relay_carries_the_calls_of_more_than_a_few_processes(self):
-        """In a cut of all entry instances one relay had the calls of every process.
+        """Guards against a relay whose link is full in a partition.
 
-        All sorted the relays by name; its link was full and all calls were late.
+        If all ingress processes sort the relays by name, the first relay gets the
+        platform calls of all of them, and all calls are late.
         """
-        router_addresses, relay_addresses = routers(68), relays(60)
+        ingress_addresses, relay_addresses = (
+            make_ingress_addresses(68),
+            make_relay_addresses(60),
+        )
         process_count_by_relay = Counter(
-            mesh(
+            make_mesh(
                 own=own,
-                router_addresses=router_addresses,
+                ingress_addresses=ingress_addresses,
                 relay_addresses=relay_addresses,
             )
             .platform_relays()[0]
             .name
-            for own in router_addresses
+            for own in ingress_addresses
         )
         assert max(process_count_by_relay.values()) <= 6
         assert len(process_count_by_relay) >= 30
 
     def test_a_process_links_to_a_few_relays_however_many_there_are(self):
         for size in SIZES:
-            own = routers(5)[0]
-            links = mesh(
-                own=own, router_addresses=routers(5), relay_addresses=relays(size)
+            own = make_ingress_addresses(5)[0]
+            links = make_mesh(
+                own=own,
+                ingress_addresses=make_ingress_addresses(5),
+                relay_addresses=make_relay_addresses(size),
             )
             assert len(links.relay_links()) == min(size, RELAY_LINKS_PER_INGRESS)
 
     def test_a_relay_links_to_a_few_processes_however_many_there_are(self):
         for size in SIZES:
-            relay_addresses = relays(3)
-            links = mesh(
+            relay_addresses = make_relay_addresses(3)
+            links = make_mesh(
                 own=relay_addresses[0],
-                router_addresses=routers(size),
+                ingress_addresses=make_ingress_addresses(size),
                 relay_addresses=relay_addresses,
                 is_relay=True,
             )
-            assert links.link_by_address.keys() <= set(routers(size))
+            assert links.link_by_address.keys() <= set(make_ingress_addresses(size))
             assert len(links.link_by_address) == INGRESS_LINKS_PER_RELAY
 
-    def test_a_dead_relay_is_replaced_by_the_next(self):
-        """After some deaths a process has no way round a cut left."""
-        links = mesh(
-            own=routers(5)[0], router_addresses=routers(5), relay_addresses=relays(60)
+    def test_a_relay_that_is_down_is_replaced_by_the_next(self):
+        """Guards against a process that cannot relay calls after some relays failed."""
+        links = make_mesh(
+            own=make_ingress_addresses(5)[0],
+            ingress_addresses=make_ingress_addresses(5),
+            relay_addresses=make_relay_addresses(60),
         )
-        stopped = links.platform_relays()[0]
-        stopped.up = False
+        down = links.platform_relays()[0]
+        down.up = False
         while links.add_missing():
             pass
         assert len(links.relay_links()) == RELAY_LINKS_PER_INGRESS
-        assert stopped.name in links.link_by_address
+        assert down.name in links.link_by_address
 
-    def test_a_link_is_closed_only_when_nothing_waits_on_it_any_more(self):
-        links = mesh(
-            own=routers(5)[0], router_addresses=routers(5), relay_addresses=relays(60)
+    def test_an_unneeded_link_is_closed_only_after_its_calls_can_have_ended(self):
+        links = make_mesh(
+            own=make_ingress_addresses(5)[0],
+            ingress_addresses=make_ingress_addresses(5),
+            relay_addresses=make_relay_addresses(60),
         )
-        stopped = links.platform_relays()[0]
-        stopped.up = False
+        down = links.platform_relays()[0]
+        down.up = False
         (unneeded,) = links.add_missing()
-        stopped.up = True
+        down.up = True
         assert links.remove_unneeded(100.0) == []
         assert links.remove_unneeded(100.0 + UNNEEDED_LINK_SECONDS / 2) == []
         assert links.remove_unneeded(100.0 + UNNEEDED_LINK_SECONDS) == [unneeded.name]
         assert unneeded.name not in links.link_by_address
 
-    def test_with_all_down_all_are_tried(self):
-        order = rendezvous_order("own", relays(9))
+    def test_with_all_relays_down_a_process_links_to_all(self):
+        order = rendezvous_order("own", make_relay_addresses(9))
         assert (
             first_live(order, is_down=lambda name: True, count=RELAY_LINKS_PER_INGRESS)
             == order
         )
 
-    def test_at_the_start_only_a_few_are_tried(self):
-        """A process that had just started linked to all relays at once."""
-        order = rendezvous_order("own", relays(60))
+    def test_at_the_start_a_process_links_to_a_few_relays(self):
+        """Guards against a new process that links to all relays at once."""
+        order = rendezvous_order("own", make_relay_addresses(60))
         assert (
             len(
                 first_live(
@@ -147,10 +157,10 @@
 
 
 class TestHeartbeats:
-    def test_a_process_sends_as_many_in_a_large_fleet_as_in_a_small_one(self):
-        """Most of an idle fleet's processor time went into heartbeats.
+    def test_the_heartbeats_of_a_process_do_not_grow_with_the_fleet(self):
+        """Guards against an idle fleet whose processors are busy with heartbeats.
 
-        At one pace on each link they grow with the square of the processes.
+        At one pace on each link, heartbeats grow with the square of the processes.
         """
         for size in SIZES:
             links = size - 1
@@ -159,17 +169,17 @@
             )
             assert heartbeats_per_second <= HEARTBEATS_PER_SECOND + 1e-9
 
-    def test_the_writers_links_keep_the_full_pace(self):
-        router_addresses = routers(68)
-        links = mesh(
-            own=router_addresses[0],
-            router_addresses=router_addresses,
-            relay_addresses=relays(60),
+    def test_links_to_writers_and_relays_keep_the_full_pace(self):
+        ingress_addresses = make_ingress_addresses(68)
+        links = make_mesh(
+            own=ingress_addresses[0],
+            ingress_addresses=ingress_addresses,
+            relay_addresses=make_relay_addresses(60),
         )
-        links.set_heartbeat_pace(router_addresses[1:4])
+        links.set_heartbeat_pace(ingress_addresses[1:4])
         at_full_pace = {
             name
             for name, link in links.link_by_address.items()
             if not link.idle_seconds
         }
-        assert at_full_pace == {*router_addresses[1:4], *links.relay_links()}
+        assert at_full_pace == {*ingress_addresses[1:4], *links.relay_links()}
--- a/tests/ingress/test_stops.py
+++ b/tests/ingress/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops: nothing is cut, and what comes too late is told so."""
+"""Planned stops: no answer is cut off, and a late request is refused as not run."""
 
 import curio
 import msgspec
@@ -26,18 +26,18 @@
     return True
 
 
-async def ask_patiently(fleet):
+async def ask_with_long_deadline(fleet):
     return await fleet.ask("/review/1", x_deadline_ms="9000")
 
 
-async def ask_patiently_with(fleet, headers):
+async def ask_with_long_deadline_and(fleet, headers):
     return await fleet.ask("/review/1", x_deadline_ms="9000", **headers)
 
 
 class TestStops:
-    def test_an_open_stream_ends_whole(self):
+    def test_an_open_stream_completes(self):
         async def scenario(fleet):
-            asking = await curio.spawn(ask_patiently, fleet)
+            asking = await curio.spawn(ask_with_long_deadline, fleet)
             while not fleet.seen()["e1"]:
                 await curio.sleep(0.01)
             leftover = await fleet.workers[0].stop()
@@ -61,11 +61,11 @@
         assert answer.status == 200
         assert answer.headers["connection"] == "close"
 
-    def test_a_request_on_a_kept_connection_near_the_end_is_not_begun_and_cut(self):
-        """A caller's stream is cut by a planned stop.
+    def test_a_late_request_on_an_open_connection_is_not_started(self):
+        """Guards against a stream that a planned stop cuts off.
 
-        It kept its connection and sent the request seconds after the stop began;
-        the process passed it on and exited in the middle of the answer.
+        A caller keeps its connection open and sends a request seconds after the stop
+        began.  The process forwards the request and exits during the answer.
         """
 
         async def scenario(fleet):
@@ -77,7 +77,7 @@
                 "authorization": f"Bearer {KEY}",
             }
             await client.request("GET", "/lookup/1", headers=fields, timeout=2)
-            # Accepted before the stop, but its request comes after.
+            # Accepted before the stop begins; its request would follow later.
             late = await curio.open_connection(host, int(port))
             stopping = await curio.spawn(fleet.workers[0].stop)
             await curio.sleep(2.9)
@@ -90,7 +90,7 @@
         assert data == b""
         assert len(seen) == 1
 
-    def test_what_comes_too_late_is_told_that_it_did_not_run(self):
+    def test_a_late_request_is_refused_as_not_run(self):
         async def scenario(fleet):
             fleet.workers[0]._front.stopping = True
             return await fleet.ask("/filing/1"), fleet.seen()["u1"]
@@ -100,20 +100,20 @@
         assert msgspec.json.decode(answer.body)["outcome"] == "not_run"
         assert not seen
 
-    def test_a_stop_that_cuts_one_request_gives_back_what_others_may_spend(
+    def test_a_stop_that_cuts_off_a_request_returns_the_remaining_tokens(
         self, monkeypatch
     ):
-        """Callers are refused for want of tokens that nobody has spent.
+        """Guards against requests that lack tokens which nobody has spent.
 
-        A planned stop reached its deadline with one stream open and gave back none of
-        its slices.  The machine was away for a while; its next start found a grant
-        untouched for so long that it had to be charged whole.
+        A planned stop reaches its deadline with an open stream and returns none of its
+        slices.  When the instance starts much later, the untouched grant has to be
+        charged in full.
         """
         monkeypatch.setattr(worker, "BALANCER_SECONDS", 0.1)
 
         async def scenario(fleet):
             headers = {"x_token_bound": "40,60", "x_prompt_parts": "p:40"}
-            asking = await curio.spawn(ask_patiently_with, fleet, headers)
+            asking = await curio.spawn(ask_with_long_deadline_and, fleet, headers)
             while not fleet.seen()["e1"]:
                 await curio.sleep(0.01)
             stopping = fleet.workers[0]
@@ -128,5 +128,5 @@
             scenario, scripts={"e1": slow_stream}, prepaid=1_000
         )
         assert leftover.counts["requests"] == 1
-        # What the cut request reserved is all that may be held or charged.
+        # At most the reservation of the request that was cut off is held or charged.
         assert found.prepaid - found.rest <= 100
--- a/tests/ingress/test_watching.py
+++ b/tests/ingress/test_watching.py
@@ -1,4 +1,4 @@
-"""Few processes watch the platform; the others keep up by what those pass on."""
+"""Few processes watch the platform and forward changes to the others."""
 
 import curio
 from tests.ingress.in_process import (
@@ -21,22 +21,22 @@
 
 
 class TestWatchers:
-    def test_their_number_does_not_grow_with_the_fleet(self):
+    def test_the_number_of_watchers_does_not_grow_with_the_fleet(self):
         assert len(select_watchers(NAMES[:3])) == 3
         assert len(select_watchers(NAMES)) == WATCHER_COUNT
 
-    def test_the_death_of_one_changes_only_one(self):
+    def test_the_failure_of_a_watcher_replaces_only_this_one(self):
         before = set(select_watchers(NAMES))
         stopped = next(iter(before))
         after = set(select_watchers([name for name in NAMES if name != stopped]))
         assert len(after - before) == 1
 
-    def test_who_hears_nobody_watches_by_itself(self):
+    def test_a_process_that_reaches_no_peer_watches(self):
         assert select_watchers([NAMES[5]]) == [NAMES[5]]
 
 
 class TestFeed:
-    def test_changes_that_follow_on_are_complete(self):
+    def test_consecutive_changes_are_complete(self):
         feed = Feed()
         feed.record_listing(revision=10, newest=9)
         assert feed.record_forwarded(since=9, revision=12)
@@ -44,8 +44,8 @@
         assert feed.complete_revision == 15
         assert not feed.is_lagging(100.0)
 
-    def test_a_lost_message_shows_by_the_next_one(self):
-        """Requests went on to an upstream that had left: its change was lost."""
+    def test_the_next_message_shows_that_one_was_lost(self):
+        """Guards against requests to a leaving upstream whose change was lost."""
         feed = Feed()
         feed.record_listing(revision=10, newest=9)
         assert not feed.record_forwarded(since=12, revision=15)
@@ -53,7 +53,7 @@
         assert feed.is_lagging(1.0 + LAG_GRACE_SECONDS)
         assert feed.complete_revision == 10
 
-    def test_a_lost_message_shows_by_what_peers_know(self):
+    def test_a_peer_s_revision_shows_that_a_message_was_lost(self):
         feed = Feed()
         feed.record_listing(revision=10, newest=9)
         feed.record_peer_revision(12)
@@ -62,14 +62,14 @@
         feed.record_watch(revision=14, newest=12)
         assert not feed.is_lagging(3.0)
 
-    def test_what_was_watched_is_told_with_what_it_follows_on(self):
+    def test_a_watch_returns_the_revision_that_its_changes_continue_from(self):
         feed = Feed()
         feed.record_listing(revision=10, newest=9)
         assert feed.record_watch(revision=20, newest=0) == 10
         assert feed.record_watch(revision=24, newest=23) == 10
         assert feed.record_watch(revision=30, newest=29) == 23
 
-    def test_older_changes_from_a_second_watcher_change_nothing(self):
+    def test_older_changes_of_a_second_watcher_change_nothing(self):
         feed = Feed()
         feed.record_listing(revision=10, newest=9)
         feed.record_forwarded(since=10, revision=20)
@@ -90,14 +90,14 @@
     return watches
 
 
-async def until(condition):
+async def wait_until(condition):
     async with curio.timeout_after(5):
         while not condition():
             await curio.sleep(0.01)
 
 
 class TestProcessesThatDoNotWatch:
-    def test_they_have_changes_of_upstreams_and_routes(self, monkeypatch):
+    def test_they_get_changes_of_upstreams_and_routes(self, monkeypatch):
         monkeypatch.setattr(watching, "WATCHER_COUNT", 1)
 
         async def scenario(fleet):
@@ -106,7 +106,7 @@
             stored = await fleet.platform.get(UPSTREAMS_KIND, "u1")
             await fleet.platform.delete(UPSTREAMS_KIND, "u1", stored.version)
             for worker in fleet.workers:
-                await until(lambda w=worker: not w._directory.is_usable("u1"))
+                await wait_until(lambda w=worker: not w._directory.is_usable("u1"))
             await fleet.configure(routes=ROUTES)
             for worker in fleet.workers:
                 await wait_for_revision(worker, fleet.revision)
