--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -84,7 +84,7 @@
         "LOST",
         "new connections are taken until the balancer has noticed",
         "ingress/worker.py",
-        "await curio.sleep(BALANCER_SECONDS)",
+        "await curio.sleep(BALANCER_NOTICE_SECONDS)",
         "await curio.sleep(0)",
     ),
     _guard(
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -80,7 +80,7 @@
 """Delay of a timer above which a warning is logged: the process is frozen or lacks
 processor time, and its heartbeats are late as well."""
 
-BALANCER_SECONDS = 2.6
+BALANCER_NOTICE_SECONDS = 2.6
 """Time after the start of a planned stop in which new connections are accepted.
 
 By then a balancer that probes once per second and needs two failed probes no longer
@@ -253,7 +253,7 @@
         self._server.begin_closing()
         stop_started_at = monotonic()
         deadline = stop_started_at + self._settings.stop_deadline_seconds
-        await curio.sleep(BALANCER_SECONDS)
+        await curio.sleep(BALANCER_NOTICE_SECONDS)
         await self._server.stop_accepting()
         self._front.stopping = True
         await self._server.close_idle()
--- a/tests/ingress/test_stops.py
+++ b/tests/ingress/test_stops.py
@@ -109,7 +109,7 @@
         slices.  When the instance starts much later, the untouched grant has to be
         charged in full.
         """
-        monkeypatch.setattr(worker, "BALANCER_SECONDS", 0.1)
+        monkeypatch.setattr(worker, "BALANCER_NOTICE_SECONDS", 0.1)
 
         async def scenario(fleet):
             headers = {"x_token_bound": "40,60", "x_prompt_parts": "p:40"}
