--- a/tests/ingress/test_evacuations.py
+++ b/tests/ingress/test_evacuations.py
@@ -19,8 +19,7 @@
 from ragwortkeel.ingress import following
 from ragwortkeel.ingress.configuration import EVACUATIONS_KIND, Service
 from ragwortkeel.ingress.directory import Directory
-from ragwortkeel.ingress.dispatch import NotAssigned
-from ragwortkeel.ingress.dispatch import Dispatcher
+from ragwortkeel.ingress.dispatch import Dispatcher, NotAssigned
 from ragwortkeel.ingress.evacuations import Evacuations, ZonesChanged
 from ragwortkeel.ingress.following import EvacuationFollower
 from ragwortkeel.ingress.placement import Placement
