--- a/src/ragwortkeel/budget/__init__.py
+++ b/src/ragwortkeel/budget/__init__.py
@@ -1,1 +1,1 @@
-"""Prepaid budgets: ledger, slices, seals, receipts, without I/O."""
+"""Prepaid budgets without I/O: ledgers, slices, seals and receipts."""
--- a/src/ragwortkeel/budget/account.py
+++ b/src/ragwortkeel/budget/account.py
@@ -1,8 +1,8 @@
-"""One customer's tokens at one ingress process: its slice, its cap, its loans.
+"""One customer's tokens at one ingress process: slice, cap and loans.
 
-A slice is spent by requests straight to upstreams, which counts as one sidecar
-called `DIRECT`; why it can't overspend whatever answers are lost is
-`budget.ledger` and `budget.slice`.  What the cap is for is `budget.allowance`.
+Requests spend the slice directly at upstreams, which the ledger records as one sidecar
+called `DIRECT`.  `budget.ledger` and `budget.slice` say why the slice can't be
+overspent when answers are lost, `budget.allowance` what the cap is for.
 """
 
 from dataclasses import dataclass
@@ -21,65 +21,89 @@
 from ragwortkeel.exceptions import BudgetRefused
 
 DIRECT = "direct"
-"""What a ledger calls the way to upstreams without a sidecar."""
+"""Name in the ledger for spend at upstreams without a sidecar."""
 
 GROWTH_DELAY_SECONDS = 5.5
-"""A cap grows only from then on after the last write.  A killed process is back
-and has taken its start's time within 2.5 s, and after a loss of power a jump of the
-time of day of 3 s is allowed for: so an ordinary death costs the headroom alone."""
+"""Seconds after the last write at which a cap begins to grow.
+
+A killed process restarts and records its start time within 2.5 s, and after a loss of
+power a jump of the time of day of 3 s is allowed for.  So an ordinary crash charges
+only the headroom of the cap.
+"""
 
 GROWTH_FACTOR = 1.5
-"""How fast a cap grows then, against the demand: an outage has to be caught up
-with, and its demand may be higher than that before it."""
+"""Growth rate of a cap as a multiple of the demand.
+
+The cap has to catch up with the outage so far, and demand may rise during it.
+"""
 
 MIN_GROWTH_PERIOD_SECONDS = 8.0
-"""A cap grows by at least a typical request in so many seconds, the length of an
-ordinary outage, for customers whose demand is not known yet."""
+"""Period in which a cap grows by at least one request of mean size.
+
+It is the length of an ordinary outage and serves customers without known demand.
+"""
 
 RIDE_OUT_SECONDS = 12.0
-"""Outages of the platform to bridge with what is held.  Longer, and more is
-stranded with processes that die in an outage; shorter, and callers are refused."""
+"""Length of an outage of the platform that a slice covers.
+
+A longer one strands more tokens at processes that crash in an outage; a shorter one
+refuses more callers.
+"""
 
 EQUAL_FRACTION = 0.2
-"""Of what is unspent, not shared by demand.  Customers stick to few processes, so
-shares by demand leave least in the platform, where an outage locks it away; what
-lies with the wrong process is lent."""
+"""Fraction of the unspent tokens that is shared equally, not by demand.
+
+Customers use few processes each, so shares by demand leave least in the platform, where
+an outage makes tokens unreachable.  Tokens at the wrong process are lent.
+"""
 
 SLICES_FRACTION = 0.6
-"""Of what is unspent, held in slices; the rest stays in the ledger.  A request mostly
-needs a renewal for room in the cap anyway, and that takes the tokens along; with all
-handed out to 21 processes no slice holds a request any more, and each has to be
-pieced together from others' slices, two writes a piece."""
+"""Fraction of the unspent tokens that slices hold; the ledger holds the others.
+
+Most requests need a renewal for headroom in the cap anyway, and it takes the tokens as
+well.  With all tokens in the slices of 21 processes, no slice covers a request, and
+each request needs tokens of several slices, at two writes for each.
+"""
 
 INITIAL_SLICE_FRACTION = 0.25
-"""Of an equal share of what is unspent, held for a customer that has asked for
-nothing yet: its first requests may come in an outage."""
+"""Fraction of an equal share of the unspent tokens to hold without demand.
+
+The first requests of a customer may arrive in an outage.
+"""
 
 INITIAL_HEADROOM_FRACTION = 0.01
-"""Of what is unspent, the least that all processes' caps together leave room for:
-the first callers of an outage are served, and no more is charged for nothing."""
+"""Fraction of the unspent tokens that all caps together leave as headroom at least.
+
+It serves the first callers of an outage.  More would be charged without use when a
+process crashes.
+"""
 
 INITIAL_GROWTH_FRACTION = 0.005
-"""Of what is unspent, the least by which a cap grows in `LEAST_SECONDS`.  Room
-from the start was charged for nothing at each death, for every customer; a caller
-who lacks room gets it by the next renewal."""
+"""Fraction of the unspent tokens by which a cap grows at least.
+
+It grows by this much in `MIN_GROWTH_PERIOD_SECONDS`.  Headroom from the start would be
+charged without use at each crash, for every customer; a caller without headroom gets
+it by the next renewal.
+"""
 
 MIN_SLICE_REQUESTS = 1.5
-"""A slice holds this many requests of the process's mean size even for a customer
-without demand: its first requests may come in an outage."""
+"""Size of a slice without demand, in requests of the process's mean size.
+
+The first requests of a customer may arrive in an outage.
+"""
 
 REFILL_FRACTION = 0.6
-"""A slice below this part of its target is filled up."""
+"""Fraction of its target below which a slice is filled up."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class AccountReservation:
-    """Tokens set aside for one request: some of loans, the rest of the slice."""
+    """Tokens set aside for one request, from loans first and then from the slice."""
 
     customer: str
     tokens: int
     borrowed: int
-    reservation: Reservation | None
+    slice_reservation: Reservation | None
 
 
 class Account:
@@ -88,9 +112,9 @@
     Attributes
     ----------
     waiting_tokens : int
-        Tokens of all requests that wait for room now, at their most.
+        Upper bound of the tokens of all requests that wait for a reservation.
     read_at : float
-        Monotonic second of which `ledger` is known to be.
+        Monotonic second at which `ledger` was read.
     """
 
     def __init__(self, *, customer: str, holder: str) -> None:
@@ -107,97 +131,98 @@
 
     @property
     def ledger_known(self) -> bool:
-        """Whether the customer's ledger has been seen."""
+        """Whether the customer's ledger has been read."""
         return self.ledger.prepaid > 0 or self.slice.in_ledger
 
     @property
     def free(self) -> int:
-        """Tokens of the slice that can be set aside now."""
+        """Tokens of the slice that are neither spent nor reserved."""
         return self.slice.free
 
     @property
     def held(self) -> int:
-        """Tokens of loans and slice that no request has, within the cap or not."""
+        """Unreserved tokens of loans and slice, within the cap or not."""
         return self._borrowed + max(0, self.slice.free)
 
     @property
     def held_elsewhere(self) -> int:
-        """Unspent tokens in the slices of all other processes, gone ones too."""
+        """Unspent tokens in the slices of all other processes, also of stopped ones."""
         own = self.slice.granted - self.slice.spent
         outstanding = self.ledger.held - self.ledger.total_spent
         return max(0, outstanding - own)
 
     @property
     def available(self) -> int:
-        """Tokens that a request may take now, loans and slice together."""
+        """Tokens of loans and slice that a request can reserve now."""
         return self._borrowed + max(0, min(self.slice.free, self.cap_headroom))
 
     @property
     def cap_headroom(self) -> int:
-        """Untold spend that the cap still allows."""
+        """Unreported spend that the cap still allows."""
         cap = self.slice.cap + self.slice.grown
         return max(0, cap - self.slice.exposure(DIRECT))
 
     def grow(self, elapsed_seconds: float) -> None:
-        """Let the cap grow by the seconds since the last try to write."""
+        """Set the growth of the cap by the seconds since the last attempt to write."""
         self.slice.grown = int(self.slice.growth * growth_seconds(elapsed_seconds))
 
     def reserve(self, tokens: int) -> AccountReservation | None:
-        """Set tokens aside, of loans first: they can't be given back."""
+        """Reserve tokens, from loans first, as those can't be given back."""
         borrowed = min(tokens, self._borrowed)
-        reservation = None
+        slice_reservation = None
         if tokens > borrowed:
-            reservation = self.reserve_from_slice(tokens - borrowed)
-            if reservation is None:
+            slice_reservation = self.reserve_from_slice(tokens - borrowed)
+            if slice_reservation is None:
                 return None
         self._borrowed -= borrowed
         return AccountReservation(
             customer=self._customer,
             tokens=tokens,
             borrowed=borrowed,
-            reservation=reservation,
+            slice_reservation=slice_reservation,
         )
 
     def in_demand(self, now: float) -> bool:
-        """Whether requests ask for the customer's tokens, or did so lately."""
+        """Return whether requests need the customer's tokens or recently did."""
         return bool(self.waiting_tokens or self._meter.rate(now=now))
 
     def record_demand(self, tokens: int, now: float) -> None:
-        """Count the demand, whether it is met or not."""
+        """Add a request's tokens to the demand, whether it is served or refused."""
         self._meter.add(tokens=tokens, now=now)
 
-    def settle(self, hold: AccountReservation, *, spent: int) -> None:
-        """Replace what was set aside by what the request took."""
-        spent = min(spent, hold.tokens)
-        self._borrowed += max(0, hold.borrowed - spent)
-        if hold.reservation is not None:
-            spent_of_slice = max(0, spent - hold.borrowed)
-            self.slice.settle(hold.reservation, spent=spent_of_slice)
+    def settle(self, reservation: AccountReservation, *, spent: int) -> None:
+        """Replace a reservation by the tokens that the request spent."""
+        spent = min(spent, reservation.tokens)
+        self._borrowed += max(0, reservation.borrowed - spent)
+        if reservation.slice_reservation is not None:
+            spent_of_slice = max(0, spent - reservation.borrowed)
+            self.slice.settle(reservation.slice_reservation, spent=spent_of_slice)
 
     def charge_open(self) -> None:
-        """Charge the open requests at their most and set nothing aside any more.
+        """Charge open requests their reservations and refuse further reservations.
 
-        For a stop that cuts them: what they still take is within what is charged.
+        A stop of the process cuts these requests; whatever they still spend is within
+        the charge.
         """
         self._open_charged = True
         for reservation in list(self.slice.open_by_id.values()):
             self.slice.settle(reservation, spent=reservation.tokens)
 
     def lendable_tokens(self, asker: SliceNeed, now: float) -> int:
-        """Return the tokens that an asker should rather have."""
+        """Return how many tokens to move to the process that asks for them."""
         return tokens_to_lend(free=max(0, self.free), own=self.need(now), asker=asker)
 
     def lend(self, asker: SliceNeed, now: float) -> int:
-        """Charge a loan to the slice and return its tokens; 0 for none."""
+        """Charge a loan to the slice and return its tokens; 0 if there is no loan."""
         tokens = min(self.lendable_tokens(asker, now), self.cap_headroom, asker.lacking)
-        hold = self.reserve_from_slice(tokens)
-        if hold is None:
+        reservation = self.reserve_from_slice(tokens)
+        if reservation is None:
             return 0
-        self.slice.settle(hold, spent=tokens)
+        self.slice.settle(reservation, spent=tokens)
         return tokens
 
     def reserve_from_slice(self, tokens: int) -> Reservation | None:
-        """Set tokens of the slice aside, or return None."""
+        """Reserve tokens of the slice, or return None."""
         if tokens <= 0 or self._open_charged:
             return None
         try:
@@ -206,25 +231,25 @@
             return None
 
     def recall(self, tokens: int) -> None:
-        """Give so much back at the next renewal, for a process that lacks it.
+        """Give back these tokens at the next renewal, for a process that lacks them.
 
-        0 takes that back.
+        Zero cancels an earlier recall.
         """
         self._recalled = max(self._recalled, tokens) if tokens else 0
 
     @property
     def returning(self) -> bool:
-        """Whether tokens for another process are still on their way back."""
+        """Whether tokens that another process lacks are still to be given back."""
         return bool(self._recalled)
 
     def borrow(self, tokens: int) -> None:
-        """Add a loan that came in."""
+        """Add the tokens of a loan that was received."""
         self._borrowed += tokens
 
     def need(self, now: float, mean_request_tokens: int = 0) -> SliceNeed:
-        """Return what the sizing of slices looks at.
+        """Return the figures by which `budget.sizing` sizes the slice.
 
-        `typical` is the mean size of a request of any customer.
+        `mean_request_tokens` is the mean size of a request of any customer.
         """
         unspent = max(0, self.ledger.prepaid - self.ledger.total_spent)
         holders = max(1, self.ledger.holders)
@@ -254,7 +279,7 @@
         headroom_seconds: float,
         now: float,
     ) -> bool:
-        """Prepare a renewal where one is due; return whether one is pending."""
+        """Prepare a renewal if one is due, and return whether one is pending."""
         if self.slice.pending is not None:
             self.slice.propose(nonce=nonce, cap=0)
             return True
@@ -284,7 +309,7 @@
         return True
 
     def resolve(self, ledger: Ledger) -> None:
-        """Take over a pending renewal that has taken effect in the ledger."""
+        """Accept the pending renewal if it has taken effect in the ledger."""
         self.ledger = ledger
         grant = ledger.grants.get(self.slice.router)
         if self.slice.is_applied_in(grant):
@@ -297,16 +322,17 @@
         return max(int(unspent * INITIAL_GROWTH_FRACTION), mean_request_tokens)
 
     def _give_back(self, ledger: Ledger, need: SliceNeed) -> int:
-        """Return what to give back; nothing that a request here waits for."""
+        """Return the tokens to give back, without those that requests here wait for."""
         give_back = tokens_to_give_back(ledger, router=self.slice.router, need=need)
         give_back = max(give_back, self._recalled)
         return min(give_back, max(0, self.free - self.waiting_tokens))
 
     def _cap(self, need: SliceNeed, headroom_seconds: float) -> int:
-        """Return the untold spend to allow from now on, all told being settled.
+        """Return the unreported spend to allow once this renewal has settled all spend.
 
-        Requests that wait count whole: room that was left before this renewal is
-        gone with it, and one that only gets what it missed is refused.
+        Waiting requests count with all their tokens, as the renewal also ends the
+        headroom of the earlier cap.  With only the shortfall a request would be
+        refused.
         """
         unspent = max(0, self.ledger.prepaid - self.ledger.total_spent)
         holders = max(1, self.ledger.holders)
@@ -317,11 +343,11 @@
     def _is_due(
         self, holding: int, wanted_tokens: int, give_back: int, cap: int
     ) -> bool:
-        # Without a grant no peer may renew this slice, so an empty one is made too.
+        # Peers can renew a slice only if it has a grant, even an empty one.
         if self.waiting_tokens or give_back or not self.slice.in_ledger:
             return True
-        # The stamp of this write makes all caps count from now on: one that had
-        # grown would be charged as if it had not.
+        # The stamp of this write restarts the growth of all caps, so exposure beyond
+        # a cap that was not renewed with it would not be charged.
         if self.slice.exposure(DIRECT) > self.slice.cap:
             return True
         if self.slice.unsettled or self.slice.cap > 2 * cap:
@@ -330,11 +356,11 @@
 
 
 def _hash_fraction(name: str) -> float:
-    """Return a number from 0 to 1 that a name always has."""
+    """Return a number from 0 to 1 that depends on the name only."""
     digest = blake2b(name.encode(), digest_size=4).digest()
     return int.from_bytes(digest) / 2**32
 
 
 def growth_seconds(seconds: float) -> float:
-    """Return for how much of the time since a write a cap has been growing."""
+    """Return how long a cap has been growing, from the seconds since its last write."""
     return max(0.0, seconds - GROWTH_DELAY_SECONDS)
--- a/src/ragwortkeel/budget/allowance.py
+++ b/src/ragwortkeel/budget/allowance.py
@@ -1,19 +1,19 @@
-"""Customers' prepaid budgets as one ingress process holds them: slices and loans.
-
-What a dead process spent since it last told the ledger is not known.  Each
-process therefore keeps its untold spend and open reservations under a cap that
-stands in the ledger, and its successor on the same machine charges the cap.  A
-fixed cap would have to hold a whole outage of the platform and would strand that
-much at each kill; so it grows some time after the last write, at the rate of the
-demand, and the successor charges what it can have grown to.  Both count to
-the safe side: the process from its last *try* to write and by its slowest clock,
-the successor up to its own start and by its fastest.  A process that is frozen,
-cut off or killed thus can't lead to an overspend, and only its own successor ever
-takes anything back.
-
-A loan moves tokens between processes while the platform is away.  The lender
-charges the whole loan as spent before it sends it, so a loan that is lost is
-stranded, never spent twice.
+"""Customers' prepaid budgets at one ingress process: slices, caps and loans.
+
+What a crashed process spent since its last report to the ledger is unknown.  Each
+process therefore keeps its unreported spend and open reservations under a cap that the
+ledger records, and its successor on the same instance charges the cap.  A fixed cap
+would have to cover a whole outage of the platform, and each crash would strand that
+much.  So the cap grows from some time after the last write on, at the rate of the
+demand, and the successor charges what it can have grown to.  Both count on the safe
+side: the process from its last *attempt* to write and by its slowest clock, the
+successor up to its own start and by its fastest clock.  So a process that is suspended,
+disconnected or killed can't cause an overspend, and only its own successor closes its
+grants.
+
+A loan moves tokens between processes while the platform is unreachable.  The lender
+charges the loan as spent before it sends it, so a lost loan is stranded and never spent
+twice.
 """
 
 from collections.abc import Iterable
@@ -35,35 +35,44 @@
 from ragwortkeel.messages import HandedRenewals, RenewalsWritten, Start
 
 HEADROOM_SECONDS = 0.5
-"""Demand that a cap leaves room for at the least: one pause between renewals.  A
-request beyond it waits 15 ms for the next.  All of it is charged for nothing where a
-process dies: after a burst that ended with a loss of power 0.79 of 8.75 million
-prepaid tokens were charged for caps and open requests, with 1.2 s 0.95 million."""
+"""Demand that the headroom of a cap covers at least: one interval between renewals.
+
+A request beyond it waits 15 ms for the next renewal.  A crash of the process charges
+all headroom without use: after a loss of power that followed a burst, caps and open
+requests took 0.79 of 8.75 million prepaid tokens; with headroom for 1.2 s it is 0.95
+million.
+"""
 
 HEADROOM_RENEWALS = 2.5
-"""The same in the time that a renewal takes, for hours in which the platform is
-slow, or so many processes write that each has to try again: a cap that holds less
-than the demand until the next renewal is done refuses callers whose tokens are
-there."""
+"""Demand that the headroom of a cap covers at least, in durations of a renewal.
+
+It matters while the platform is slow, or while many processes write and retry: a cap
+below the demand until the next renewal ends refuses callers whose tokens are available.
+"""
 
 LONGEST_RENEWAL_SECONDS = 3.0
-"""A renewal counts for so long at the most; a longer one was an outage, which the
-growth of the caps is for."""
+"""Longest duration with which a renewal counts in the mean.
+
+Longer renewals are outages, for which the caps grow.
+"""
 
 RENEWAL_WEIGHT = 0.4
-"""Of the newest renewal: a slow platform shows after two or three."""
+"""Weight of the newest renewal in the mean duration.
+
+A slow platform shows in the mean after two or three renewals.
+"""
 
 REQUEST_SIZE_WEIGHT = 0.05
-"""Of the newest request in the mean size: some twenty requests count."""
+"""Weight of the newest request in the mean size; about 20 requests count."""
 
 
 class Allowances:
-    """All customers' accounts at one process, and their renewal.
+    """All customers' accounts at one process, and their renewals.
 
     Parameters
     ----------
     holder : str
-        Incarnation of this process; a start under the same name is another one.
+        Incarnation of this process; each start of it is another incarnation.
     started : Reading
         The clocks at the start of this process.
 
@@ -96,29 +105,29 @@
         return account
 
     def resolve(self, shard: Shard) -> None:
-        """Take over from the platform's shard what has taken effect there."""
+        """Accept the pending renewals that have taken effect in the shard."""
         for name, ledger in shard.ledger_by_customer.items():
             self.account(name).resolve(ledger)
 
     def withdraw(self) -> None:
-        """Drop the renewals that no write can bring about any more.
+        """Discard the pending renewals, which no write can apply any more.
 
-        Call it after `resolve`, with a shard of a later version than each write of
-        them named: the platform refuses such a write whenever it comes.
+        Call it after `resolve`, with a shard of a later version than each of their
+        writes names: the platform refuses such a write whenever it arrives.
         """
         for account in self._account_by_customer.values():
             if account.slice.pending is not None:
                 account.slice.withdraw()
 
     def record_demand(self, customer: str, tokens: int, now: float) -> None:
-        """Count the demand of a request, whether it is met or not."""
+        """Add a request's tokens to the demand, whether it is served or refused."""
         self.account(customer).record_demand(tokens, now)
         self._mean_request_tokens += (
             tokens - self._mean_request_tokens
         ) * REQUEST_SIZE_WEIGHT
 
     def record_renewal_seconds(self, seconds: float) -> None:
-        """Note the seconds that a renewal took, with all its tries."""
+        """Record the duration of a renewal, all its attempts included."""
         seconds = min(seconds, LONGEST_RENEWAL_SECONDS)
         self._mean_renewal_seconds += (
             seconds - self._mean_renewal_seconds
@@ -126,22 +135,22 @@
 
     @property
     def headroom_seconds(self) -> float:
-        """Demand that a cap leaves room for, in seconds."""
+        """Demand that the headroom of a cap covers, in seconds."""
         return max(HEADROOM_SECONDS, HEADROOM_RENEWALS * self._mean_renewal_seconds)
 
     @property
     def holders(self) -> int:
-        """Processes that the ledgers show, by the customer that most of them serve."""
+        """Number of processes in the ledger that names most of them."""
         accounts = self._account_by_customer.values()
         return max((one.ledger.holders for one in accounts), default=0)
 
     def grow(self, elapsed_seconds: float) -> None:
-        """Let all caps grow by the seconds since the last try to write."""
+        """Set the growth of all caps by the seconds since the last attempt to write."""
         for account in self._account_by_customer.values():
             account.grow(elapsed_seconds)
 
     def renewed(self, shard: Shard, reading: Reading) -> Shard:
-        """Return the shard with all renewals that are due and a new stamp."""
+        """Return the shard with all due renewals and a new stamp of this process."""
         ledgers = dict(shard.ledger_by_customer)
         mean_request_tokens = int(self._mean_request_tokens)
         for name, ledger in shard.ledger_by_customer.items():
@@ -164,9 +173,10 @@
     def delegate_renewals(
         self, reading: Reading, *, urgent: bool, start: Start | None = None
     ) -> HandedRenewals:
-        """Return the renewals that are due, for a peer to write with its own.
+        """Return the due renewals, for a peer to write together with its own.
 
-        A process that has not charged its predecessors yet says by `start` how.
+        `start` lets the peer charge the predecessors of this process, if this process
+        has not charged them yet.
         """
         mean_request_tokens = int(self._mean_request_tokens)
         renewal_by_customer = {}
@@ -196,7 +206,7 @@
         )
 
     def receive_written(self, answer: RenewalsWritten) -> None:
-        """Take over what a peer wrote for this process, and what it then saw."""
+        """Apply a peer's reply: the grants that it wrote and its ledger summaries."""
         for name, summary in answer.summary_by_customer.items():
             account = self.account(name)
             grant = answer.grant_by_customer.get(name)
@@ -204,21 +214,21 @@
             account.resolve(restore_own_grant(summary, router=self.holder, grant=own))
 
     def record_read(self, customers: Iterable[str], at: float) -> None:
-        """Note that the ledgers known of these customers are of a monotonic second."""
+        """Record the monotonic second at which these customers' ledgers were read."""
         for name in customers:
             self.account(name).read_at = at
 
     def lacks_grants(self, customers: Iterable[str]) -> bool:
-        """Whether a customer has no grant here yet, as after a start."""
+        """Return whether any customer has no grant here yet, as after a start."""
         return any(not self.account(name).slice.in_ledger for name in customers)
 
     def charge_open(self) -> None:
-        """Charge all open requests at their most: a stop cuts them."""
+        """Charge all open requests their reservations, as a stop cuts them."""
         for account in self._account_by_customer.values():
             account.charge_open()
 
     def closed(self, shard: Shard) -> Shard:
-        """Return the shard without this process's grants, its spend charged.
+        """Return the shard with this process's grants closed and its spend charged.
 
         Call it only when no request is open, or after `charge_open`.
         """
@@ -240,17 +250,17 @@
         )
 
     def charge_predecessors(self, shard: Shard) -> Shard:
-        """Return the shard without the grants of earlier starts of this process."""
+        """Return the shard with earlier starts of this process charged and closed."""
         return close_predecessors(shard, self.predecessors(shard))
 
     def bound_start_time(self, reading: Reading) -> None:
-        """Take over what a later reading says of the time when this one started."""
+        """Bound the fleet time of this process's start by a later reading."""
         if reading.latest is not None:
             since = reading.boot - self._started.boot
             self._started = replace(self._started, latest=reading.latest - since)
 
     def lacks_fleet_time(self, shard: Shard) -> bool:
-        """Whether the fleet's time would tell more of how a predecessor died."""
+        """Return whether fleet time is missing and would bound a predecessor's age."""
         if self._started.latest is not None:
             return False
         return any(
@@ -260,7 +270,7 @@
         )
 
     def predecessors(self, shard: Shard) -> list[Predecessor]:
-        """Return the earlier starts of this process that still hold grants."""
+        """Return the earlier starts of this process that hold grants or a stamp."""
         return find_predecessors(shard, holder=self.holder, started=self._started)
 
     def start(self, shard: Shard) -> Start:
--- a/src/ragwortkeel/budget/clocks.py
+++ b/src/ragwortkeel/budget/clocks.py
@@ -1,8 +1,8 @@
-"""The clocks of this instance, read together.
+"""Readings of all clocks of this instance at the same moment.
 
-No single one tells how long ago something was: the monotonic clock stands still
-while a machine is suspended, the boot clock starts anew with it, and the time of
-day jumps by seconds.
+No single clock is enough to compute an age: the monotonic clock stops while the
+instance is suspended, the boot clock restarts with the instance, and the time of day
+jumps by seconds.
 """
 
 import time
@@ -11,21 +11,26 @@
 import msgspec
 
 JUMP_SECONDS = 3.0
-"""How far the time of day may jump between two looks; synchronised clocks are
-stepped by less."""
+"""Largest jump of the time of day between two readings.
+
+Synchronised clocks are stepped by less.
+"""
 
 FLEET_SLACK_SECONDS = 0.1
-"""For the drift of clocks between two looks at those of the peers."""
+"""Allowance for the drift of clocks between two readings of the peers' clocks."""
 
 REBOOT_SECONDS = 60.0
-"""Where the boot clock says so much more than the time of day, it began anew."""
+"""Excess of boot time over wall time that shows a reboot.
+
+The boot clock restarts at a reboot, so a longer elapsed boot time belongs to another
+boot.
+"""
 
 
 class Stamp(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """When a process wrote something, in seconds of two clocks of its instance.
+    """The moment of a write, in seconds of two clocks of the writer's instance.
 
-    `earliest` is a lower bound of the time of day by the clocks of the fleet, where
-    that was known.
+    `earliest` is a lower bound of the fleet time, None if that was unknown.
     """
 
     boot: float
@@ -33,17 +38,17 @@
     earliest: float | None = None
 
     def rebooted(self, now: "Reading") -> bool:
-        """Whether the instance has started anew since."""
+        """Return whether the instance has rebooted since this stamp."""
         by_boot = now.boot - self.boot
         by_wall = now.wall - self.wall
         return by_boot < 0 or by_boot > by_wall + REBOOT_SECONDS
 
     def age(self, now: "Reading") -> float:
-        """Return an upper bound of the seconds since, on the same instance.
+        """Return an upper bound of the seconds since this stamp, on the same instance.
 
-        Without a reboot the larger of both is too small only if both are wrong.
-        After one only the time of day is left: the fleet's, between bounds, or else
-        that of the instance, whose jumps are allowed for.
+        Without a reboot it is the larger of boot and wall time, which is too small only
+        if both clocks are wrong.  After a reboot only the time of day remains: fleet
+        time between its bounds, or else the wall clock with an allowance for its jumps.
         """
         by_wall = now.wall - self.wall
         if not self.rebooted(now):
@@ -55,10 +60,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reading:
-    """One look at all clocks, in seconds.
+    """All clocks of this instance at one moment, in seconds.
 
-    `earliest` and `latest` bound the time of day by the clocks of the fleet; None
-    where too few are known.
+    `earliest` and `latest` bound the fleet time; None if too few clocks of the fleet
+    are known.
     """
 
     monotonic: float
@@ -69,16 +74,16 @@
 
     @property
     def stamp(self) -> Stamp:
-        """The part that another start of this process can compare with."""
+        """The clocks that another start of this process can compare with its own."""
         return Stamp(boot=self.boot, wall=self.wall, earliest=self.earliest)
 
     def min_seconds_since(self, earlier: "Reading") -> float:
-        """Return a lower bound of the seconds since a reading of this process."""
+        """Return a lower bound of the seconds since an earlier reading here."""
         return min(self.monotonic - earlier.monotonic, self.boot - earlier.boot)
 
 
 def read_clocks() -> Reading:
-    """Return what the clocks show now."""
+    """Return a reading of this instance's own clocks, without fleet time."""
     return Reading(
         monotonic=time.monotonic(),
         boot=time.clock_gettime(time.CLOCK_BOOTTIME),
--- a/src/ragwortkeel/budget/delegation.py
+++ b/src/ragwortkeel/budget/delegation.py
@@ -1,11 +1,14 @@
-"""Renewals that one process hands over and another writes.
+"""Renewals that one process delegates and a peer writes.
 
-Failure it guards against: a message that was held up, or whose sender gave up waiting
-and wrote by itself, is written later and undoes newer figures; tokens that were given
-back and taken by others are then spent twice.  So of one holder only a later stamp is
-taken.  A holder without a stamp here has never written, was stopped, or is dead and
-charged by its successor; it comes in by a `Start` only, and not past another start of
-the same process that its sender has not heard of: that one may be alive.
+They must not undo newer figures.  That would happen if a message was delayed, or if its
+sender stopped waiting and wrote by itself before the peer wrote the message; tokens
+that were given back and granted again would be spent twice.  So of each holder only a
+later stamp is accepted.
+
+A holder without a stamp in the shard has never written, was stopped, or crashed and was
+charged by its successor.  Its renewals are accepted only with a `Start`, and only if
+that names all other starts of the same process in the shard, as an unnamed one may be
+live.
 """
 
 import msgspec
@@ -20,14 +23,14 @@
 
 
 def apply_delegated(shard: Shard, delegated: HandedRenewals) -> Shard:
-    """Return the shard with what another process handed over.
+    """Return the shard with the renewals that a peer delegated.
 
     Raises
     ------
     RenewalVoid
-        It will never be written, by whomever.
+        The renewals can never be written, by any process.
     LedgerError, RouterSealed
-        A grant does not allow it.
+        A grant doesn't allow a renewal.
     """
     holder = delegated.holder
     last_stamp = shard.stamp_by_holder.get(holder)
@@ -51,7 +54,7 @@
 
 
 def _with_predecessors_charged(shard: Shard, holder: str, start: Start) -> Shard:
-    """Return the shard with a process's earlier starts charged."""
+    """Return the shard with the earlier starts of a process charged and closed."""
     started = Reading(
         monotonic=0.0, boot=start.boot, wall=start.wall, latest=start.latest
     )
@@ -62,10 +65,10 @@
 
 
 def _renew_once(ledger: Ledger, renewal: Renewal) -> Ledger:
-    """Return the ledger with a renewal that it may hold already.
+    """Return the ledger with a renewal that it may contain already.
 
-    Where it does, its sender did not hear so and may have spent more since than its
-    cap here: under the new stamp the cap has to cover that.
+    If it does, the sender got no reply and may have spent more than the recorded cap
+    since.  Under the new stamp the cap has to cover that spend.
     """
     grant = ledger.grants.get(renewal.router)
     if grant is None or grant.nonce != renewal.nonce:
--- a/src/ragwortkeel/budget/demand.py
+++ b/src/ragwortkeel/budget/demand.py
@@ -1,21 +1,21 @@
-"""How many tokens a minute are asked of one slice, lately.
+"""Recent demand for one slice, in tokens a minute.
 
-The meter forgets with a half-life, so a burst raises the slice at once and an
-idle profile gives its tokens back within a few of them.
+The demand decays with a half-life: a burst raises the slice at once, and an idle
+profile gives its tokens back within a few half-lives.
 """
 
 import math
 
 HALF_LIFE_SECONDS = 60.0
-"""Long enough to smooth single requests, short enough to follow a shift."""
+"""Half-life of the demand; it smooths single requests and follows a shift of load."""
 
 _DECAY_PER_SECOND = math.log(2) / HALF_LIFE_SECONDS
 
 
 class DemandMeter:
-    """An exponentially forgetting rate.
+    """An exponentially decaying rate of tokens.
 
-    Parameters are tokens and seconds of a monotonic clock that the caller reads.
+    Each method gets `now`, the current second of a monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -24,18 +24,19 @@
         self._updated_at = 0.0
 
     def add(self, *, tokens: int, now: float) -> None:
-        """Note that a request asked for tokens, whether it got them or not."""
+        """Add a request's tokens, whether it is served or refused."""
         if self._started_at is None:
             self._started_at = self._updated_at = now
         self._decay(now)
         self._tokens += tokens
 
     def rate(self, *, now: float) -> int:
-        """Return tokens a minute."""
+        """Return the recent demand in tokens a minute."""
         if self._started_at is None:
             return 0
         self._decay(now)
-        # Right after the start little has been forgotten and little was seen.
+        # Soon after the first request the sum covers only a fraction of the decaying
+        # window, and the rate is corrected by that fraction.
         observed_fraction = 1 - math.exp(
             -_DECAY_PER_SECOND * max(1.0, now - self._started_at)
         )
--- a/src/ragwortkeel/budget/grant.py
+++ b/src/ragwortkeel/budget/grant.py
@@ -1,8 +1,8 @@
-"""What the ledger knows of one router incarnation's slice.
+"""The ledger's record of one router incarnation's slice.
 
-A grant names the sidecars that may carry its tokens.  Through each of them the
-router keeps less than `cap` tokens of spend that is not yet settled here, so a
-ledger can bound, without asking anyone, what a silent sidecar may have run.
+A grant names the sidecars through which its tokens may be spent.  Through each of them
+the router has at most `cap` tokens of spend that the grant doesn't record yet.  So the
+ledger alone bounds what an unreachable sidecar may have run.
 """
 
 from typing import Self
@@ -12,33 +12,33 @@
 from ragwortkeel.exceptions import LedgerFull, SettledBeyondGrant
 
 MAX_SIDECARS = 64
-"""Sidecars one grant may name: enough to spread load, few enough to seal."""
+"""Sidecars that one grant may name: enough to spread load, few enough to seal."""
 
 
 class Renewal(msgspec.Struct, frozen=True, kw_only=True):
-    """What a router asks of its grant in one conditional update.
+    """A router's changes to its grant in one conditional update.
 
     Attributes
     ----------
     nonce : str
-        Found in the grant afterwards; tells a lost answer from a lost write.
+        Recorded in the grant; after a lost answer it shows whether the write happened.
     settled : dict of str to int
-        Cumulative tokens spent by sidecar incarnation; also names sidecars.
+        Cumulative tokens spent, by sidecar incarnation; also names new sidecars.
     dropped : tuple of str
-        Sidecars that will carry nothing more and have nothing open.
+        Sidecars without open reservations through which nothing more will be spent.
     want, give_back : int
-        Tokens to add, tokens the router has already taken off its slice.
+        Tokens to add to the grant; tokens to return, already off the router's slice.
     give_to : str
-        Router that gets what is given back; it needs an open grant.
+        Router that gets the returned tokens; it needs an open grant.
     cap : int
-        Tokens of unsettled spend the router allows itself through a sidecar.
+        Tokens of unsettled spend that the router allows itself through a sidecar.
     growth : int
-        Tokens by which the cap grows with each second since this renewal; only
-        where whoever seals the router can tell how long ago that was.
+        Tokens by which the cap grows each second after this renewal; only for routers
+        whose sealer can bound the age of the renewal.
     demand : int
-        Tokens a minute lately reserved here; others size their slices by it.
+        Recent demand in tokens a minute, by which other routers size their slices.
     first : bool
-        Whether this router has had no grant here yet.
+        Whether this router has had no grant in the ledger yet.
     """
 
     router: str
@@ -55,22 +55,22 @@
 
 
 class Grant(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One router incarnation's part of a budget.
+    """Tokens of a budget that are set aside for one router incarnation.
 
     Attributes
     ----------
     granted : int
-        Tokens this incarnation may ever spend; less what it gave back.
+        All tokens that this incarnation may spend, without those it gave back.
     settled : dict of str to int
-        Cumulative spend by sidecar incarnation.
+        Cumulative spend, by sidecar incarnation.
     folded : int
-        Spend through sidecars that are no longer in `settled`.
+        Spend through sidecars that were removed from `settled`.
     sealed : bool
-        No further renewal is taken; sidecars leave `settled` as they report.
+        Whether renewals are refused; sidecars leave `settled` as they report.
     gone : tuple of str
-        Sidecars that will never report; they stay at their bound.
+        Deleted sidecars, which will never report and are charged their bound.
     holders : int
-        Incarnations that it stands for; above one only in a summary.
+        Number of incarnations that the grant sums up; above one only in a summary.
     """
 
     granted: int = 0
@@ -91,14 +91,14 @@
 
     @property
     def held(self) -> int:
-        """Tokens of the budget that this grant keeps from others, spent or not."""
+        """Tokens of the budget that no other grant can get, spent or not."""
         if not self.sealed:
             return self.granted
         bounds = self.folded + sum(v + self.cap for v in self.settled.values())
         return min(self.granted, bounds)
 
     def renewed(self, renewal: Renewal) -> Self:
-        """Return the grant settled and less what comes back."""
+        """Return the grant with the renewal's spend, returned tokens and cap."""
         settled = dict(self.settled)
         for sidecar, tokens in renewal.settled.items():
             settled[sidecar] = max(tokens, settled.get(sidecar, 0))
@@ -106,7 +106,9 @@
         for sidecar in renewal.dropped:
             folded += settled.pop(sidecar, 0)
         if len(settled) > MAX_SIDECARS:
-            raise LedgerFull(f"{renewal.router} names over {MAX_SIDECARS} sidecars")
+            raise LedgerFull(
+                f"grant of {renewal.router} names more than {MAX_SIDECARS} sidecars"
+            )
         grant = msgspec.structs.replace(
             self,
             granted=self.granted - renewal.give_back,
@@ -118,13 +120,16 @@
             nonce=renewal.nonce,
         )
         if grant.used > grant.granted:
-            raise SettledBeyondGrant(f"{renewal.router}: {grant.used}")
+            raise SettledBeyondGrant(
+                f"{renewal.router} settled {grant.used} tokens, more than its grant"
+            )
         return grant
 
     def reported(self, sidecar: str, tokens: int) -> Self:
-        """Return the sealed grant with one sidecar's spend known for good.
+        """Return the sealed grant with the final spend of one sidecar.
 
-        A second report of the same sidecar finds it gone and changes nothing.
+        A repeated report changes nothing, as the first one removed the sidecar from
+        `settled`.
         """
         if sidecar not in self.settled:
             return self
--- a/src/ragwortkeel/budget/ledger.py
+++ b/src/ragwortkeel/budget/ledger.py
@@ -1,13 +1,13 @@
 """A profile's prepaid budget as one object in the platform.
 
-The ledger is kept under kind ``ledgers`` by the profile's name and changes only
-by conditional updates.  Each transition here is pure: it returns a new ledger
-or raises and leaves the old one.  The invariant of every ledger is that what is
-spent plus what the grants hold never exceeds what is prepaid.
-
-A settle and a seal of the same router are updates of the same object, so one
-of them comes first: a router that was sealed can't settle any more and so can't
-free exposure that the seal has already counted.
+The ledger is stored under kind ``ledgers`` by the profile's name and changes only by
+conditional updates.  Each transition here is pure: it returns a new ledger, or raises
+and leaves the old one unchanged.  In every ledger, the spend plus the tokens that
+grants hold never exceed the prepaid tokens.
+
+A settlement and a seal of the same router update the same object, so they are ordered.
+A sealed router can't settle any more, and so can't free exposure that the seal has
+counted.
 """
 
 from typing import Self
@@ -25,32 +25,37 @@
 )
 
 MAX_KEPT_OPERATIONS = 1024
-"""Operation ids a ledger remembers: years of top-ups in about 60 KB."""
+"""Operation ids that a ledger stores: years of top-ups in about 60 KB."""
 
 MAX_NAMED_SIDECARS = 8000
-"""Over all grants of one ledger: 640 KB with the longest names, under 1 MB."""
+"""Sidecars that all grants of one ledger may name together.
+
+With the longest names they take 640 KB, less than the platform's limit of 1 MB.
+"""
 
 
 class Operation(msgspec.Struct, frozen=True, kw_only=True):
-    """One change of the prepaid tokens that was applied."""
+    """A change of the prepaid tokens that was applied."""
 
     operation_id: str
     tokens: int
 
 
 class Ledger(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What is prepaid, spent and granted under one profile, in tokens.
+    """Prepaid, spent and granted tokens of one profile.
 
     Attributes
     ----------
     spent : int
-        Spend of grants that are closed; see `total_spent` for all of it.
+        Spend of closed grants; `total_spent` has the spend of open grants too.
     operations : tuple of Operation
         The latest changes of `prepaid`, oldest first.
     operation_count, operation_floor : int
-        How many there ever were; ids made before the floor are refused.
+        Number of all changes so far, and the count below which ids are refused.
     recall_to : int or None
-        A lowering that waits for slices to come back.
+        Prepaid tokens after a recall that waits for slices to be given back.
+    retired : bool
+        Whether no more tokens are granted.
 
     Examples
     --------
@@ -73,22 +78,22 @@
 
     @property
     def held(self) -> int:
-        """Tokens spent or committed."""
+        """Tokens that are spent or held by grants."""
         return self.spent + sum(grant.held for grant in self.grants.values())
 
     @property
     def total_spent(self) -> int:
-        """Tokens known to be spent, in open grants too."""
+        """Tokens known to be spent, those of open grants included."""
         return self.spent + sum(grant.used for grant in self.grants.values())
 
     @property
     def holders(self) -> int:
-        """Router incarnations that hold a grant."""
+        """Number of router incarnations with a grant."""
         return sum(grant.holders for grant in self.grants.values())
 
     @property
     def rest(self) -> int:
-        """Tokens that a router may still take."""
+        """Tokens that can still be granted."""
         if self.retired:
             return 0
         limit = self.prepaid if self.recall_to is None else self.recall_to
@@ -97,21 +102,21 @@
     def operation_id(self, nonce: str) -> str:
         """Return an id for a new change of the prepaid tokens.
 
-        Make it once, from a ledger just read, and use it for every retry.
+        Create it once, from a ledger that was just read, and use it for every retry.
         """
         return f"{self.operation_count}.{nonce}"
 
     def top_up(self, *, tokens: int, operation_id: str) -> Self:
-        """Add prepaid tokens; a repeated operation changes nothing."""
+        """Return the ledger with prepaid tokens added; idempotent by operation id."""
         return self._change_prepaid(tokens, operation_id)
 
     def lower(self, *, tokens: int, operation_id: str) -> Self:
-        """Take prepaid tokens off, at once or not at all.
+        """Return the ledger with fewer prepaid tokens; idempotent by operation id.
 
         Raises
         ------
         BudgetCommitted
-            What is spent or committed does not allow it; see `recall`.
+            Too many tokens are spent or held by grants; `recall` can wait for them.
         """
         if not self._is_applied(operation_id) and self.prepaid - tokens < self.held:
             lowerable = max(0, self.prepaid - self.held)
@@ -119,10 +124,16 @@
         return self._change_prepaid(-tokens, operation_id)
 
     def recall(self, *, to: int) -> Self:
-        """Lower the prepaid tokens to `to` as soon as enough slices are back.
+        """Return the ledger with a recall of its prepaid tokens to `to`.
 
-        Until then nothing is granted beyond it, and routers give back what they
-        don't need.  Saying it twice changes nothing.
+        They are lowered once enough slices are given back.  Until then nothing is
+        granted beyond `to`, and routers give back what they don't need.  The call is
+        idempotent; with `to` at the prepaid tokens or above it cancels a recall.
+
+        Raises
+        ------
+        BudgetCommitted
+            More than `to` is spent already.
         """
         if to < self.total_spent:
             lowerable = max(0, self.prepaid - self.total_spent)
@@ -132,13 +143,17 @@
         return self._replace(recall_to=to)
 
     def retire(self) -> Self:
-        """Grant nothing more; what is out may still be spent or come back."""
+        """Return the ledger without further grants or top-ups.
+
+        Granted tokens may still be spent or given back.
+        """
         return msgspec.structs.replace(self, retired=True)
 
     def renew(self, renewal: Renewal) -> Self:
-        """Settle, give back and take for one router, in this order.
+        """Return the ledger with one router's grant renewed.
 
-        The router gets what is there, which may be less than it wants.
+        Spend is settled first, then tokens are given back, then tokens are granted.
+        The router may get fewer tokens than it wants.
         """
         if renewal.first and renewal.router not in self.grants:
             grant = Grant()
@@ -151,13 +166,14 @@
         )
         named_sidecars = sum(len(entry.settled) for entry in ledger.grants.values())
         if named_sidecars > MAX_NAMED_SIDECARS:
-            raise LedgerFull(f"over {MAX_NAMED_SIDECARS} sidecars named")
+            raise LedgerFull(f"ledger names more than {MAX_NAMED_SIDECARS} sidecars")
         return ledger
 
     def close(self, renewal: Renewal) -> Self:
-        """End the grant of a router that has nothing open and stops.
+        """Return the ledger without the grant of a router that stops.
 
-        A grant that is gone already was closed by the same call before.
+        Call it only when the router has no open reservations.  The call is idempotent:
+        without a grant the ledger is unchanged.
         """
         if renewal.router not in self.grants:
             return self
@@ -165,11 +181,12 @@
         return self._without_grant(renewal.router, grant.used)
 
     def seal(self, router: str) -> Self:
-        """Take no more of this router; hold only what it can have spent.
+        """Return the ledger with a router sealed.
 
-        This is safe before any sidecar has heard of the seal: from here on the
-        router can't settle, so through each named sidecar it stays under the
-        cap, whether it is dead, paused or only cut off.
+        Renewals of the router are refused, and its grant holds only what it can have
+        spent.  This is safe before any sidecar has received the seal: the router can't
+        settle any more, so its spend through each named sidecar stays within the cap,
+        whether it has crashed, is suspended or is only partitioned.
         """
         grant = self.grants.get(router)
         if grant is None or grant.sealed:
@@ -178,18 +195,20 @@
         return self._close_if_final(router, grant)
 
     def report(self, *, router: str, sidecar: str, tokens: int) -> Self:
-        """Replace the bound of a sealed sidecar by its exact cumulative spend."""
+        """Return the ledger with a sidecar's exact spend in place of its bound.
+
+        Only grants of sealed routers change.
+        """
         grant = self.grants.get(router)
         if grant is None or not grant.sealed:
             return self
         return self._close_if_final(router, grant.reported(sidecar, tokens))
 
     def write_off(self, *, router: str, sidecar: str) -> Self:
-        """Charge the bound for good: this sidecar is gone with its upstream.
+        """Return the ledger with a deleted sidecar marked to be charged its bound.
 
-        The charge is made when the grant closes.  Earlier, the bound could take
-        what another sidecar has yet to report, and the sum would exceed the
-        grant.
+        The charge is made when the grant closes.  An earlier one could use tokens of
+        the grant that another sidecar has yet to report.
         """
         grant = self.grants.get(router)
         if grant is None or not grant.sealed or sidecar not in grant.settled:
@@ -205,7 +224,10 @@
         return grant
 
     def _with_returned(self, renewal: Renewal) -> Self:
-        """Hand what a router gave back on; without a taker it joins the rest."""
+        """Return the ledger with the returned tokens added to the router in `give_to`.
+
+        Without an open grant of that router they can be granted to any router.
+        """
         recipient = self.grants.get(renewal.give_to)
         if recipient is None or recipient.sealed:
             return self
@@ -245,12 +267,14 @@
         if self._is_applied(operation_id):
             return self
         if self.retired:
-            raise BudgetRetired("the profile is retired")
-        # The id carries how many operations there were when it was made.  Ids
-        # leave the list only together with all ids that are as old, so a late
-        # retry of one that has left is refused instead of adding twice.
+            raise BudgetRetired("a retired profile can't be topped up or lowered")
+        # An id contains the operation count at its creation.  The floor is above that
+        # of each id that was removed, so a late retry of a removed id is refused
+        # instead of being applied twice.
         if _operation_count_of(operation_id) < self.operation_floor:
-            raise StaleOperation(f"{operation_id} is too old to tell")
+            raise StaleOperation(
+                f"operation id {operation_id} is too old to tell whether it was applied"
+            )
         operation = Operation(operation_id=operation_id, tokens=tokens)
         kept = (*self.operations, operation)
         removed = kept[:-MAX_KEPT_OPERATIONS]
@@ -273,7 +297,7 @@
 def _operation_count_of(operation_id: str) -> int:
     count, _, nonce = operation_id.partition(".")
     if not nonce or not count.isdecimal():
-        raise InvalidOperation(f"{operation_id!r} is no operation id")
+        raise InvalidOperation(f"operation id {operation_id!r} is not COUNT.NONCE")
     return int(count)
 
 
@@ -282,10 +306,16 @@
 
 
 def encode_ledger(ledger: Ledger) -> bytes:
-    """Return the value to keep in the platform."""
+    """Return the ledger as the platform stores it."""
     return _encoder.encode(ledger)
 
 
 def decode_ledger(value: bytes) -> Ledger:
-    """Return the ledger; `msgspec.DecodeError` where it is not one."""
+    """Return the ledger that the platform stores as this value.
+
+    Raises
+    ------
+    msgspec.DecodeError
+        The value is no ledger.
+    """
     return _decoder.decode(value)
--- a/src/ragwortkeel/budget/predecessors.py
+++ b/src/ragwortkeel/budget/predecessors.py
@@ -1,8 +1,8 @@
-"""What the ledgers charge for a process that died: what it may have spent untold.
+"""Charges for crashed processes: what each may have spent without reporting it.
 
-Only one process of a name runs at a time, so all earlier ones were dead when this one
-started: what counts is the age of their last write then, even where the platform can
-be read only much later.
+Only one process of a name runs at a time, so all earlier ones had ended when this one
+started.  Their charge depends on the age of their last write at that moment, even if
+the platform can be read only much later.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,16 +18,22 @@
 from ragwortkeel.budget.shards import Shard
 
 LONGEST_AGE_SECONDS = 3600.0
-"""From here on a dead process's grant is charged whole; its cap has long grown to
-that, and no clock has to be believed for so long."""
+"""Age of the last write from which on the full grant is charged.
+
+By then the cap has grown to the grant, and no clock has to be trusted for longer.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Predecessor:
     """An earlier start of a process.
 
-    `age_seconds` bounds the seconds from its last write to its death; `granted` are the
-    tokens it held in all ledgers, `reported` those it had told as spent.
+    Attributes
+    ----------
+    age_seconds : float
+        Upper bound of the seconds from its last write until it ended.
+    granted, reported : int
+        Tokens of its grants in all ledgers, and the spend that it reported of them.
     """
 
     holder: str
@@ -37,14 +43,14 @@
 
 
 def is_predecessor(holder: str, *, successor: str) -> bool:
-    """Whether a holder is another start of the process `of`."""
+    """Return whether a holder is another start of the successor's process."""
     return _process_name(holder) == _process_name(successor) and holder != successor
 
 
 def find_predecessors(
     shard: Shard, *, holder: str, started: Reading
 ) -> list[Predecessor]:
-    """Return the other starts of a process that still hold something.
+    """Return the other starts of a process that hold grants or a stamp.
 
     Parameters
     ----------
@@ -67,7 +73,7 @@
 
 
 def close_predecessors(shard: Shard, stopped: Iterable[Predecessor]) -> Shard:
-    """Return the shard without these, their bounds charged."""
+    """Return the shard with the grants of these starts charged and closed."""
     for predecessor in stopped:
         ledgers = {
             customer: _charge_grant(
@@ -98,7 +104,7 @@
 
 
 def _charge_grant(ledger: Ledger, holder: str, *, age: float) -> Ledger:
-    """Return the ledger with a dead process's grant closed and charged."""
+    """Return the ledger with a stopped process's grant charged and closed."""
     grant = ledger.grants.get(holder)
     if grant is None:
         return ledger
--- a/src/ragwortkeel/budget/receipt.py
+++ b/src/ragwortkeel/budget/receipt.py
@@ -1,9 +1,8 @@
-"""Receipts in create-only segments, and the bill as a set of them.
+"""Receipts in create-only segments, and the bill that is computed from them.
 
-A segment is named by its writer and a digest of what it holds, so writing it
-again finds it there and changes nothing.  A receipt may reach the platform
-twice, from the router and from the sidecar: the bill takes one for each
-request, whichever order they come in.
+A segment is named by its writer and a digest of its content, so a repeated write finds
+it and changes nothing.  A receipt may be stored twice, by the router and by the
+sidecar; the bill charges one for each request, in whatever order they are added.
 """
 
 import hashlib
@@ -14,24 +13,27 @@
 from ragwortkeel.messages import RunReceipt
 
 MAX_SEGMENT_RECEIPTS = 1000
-"""At some 400 bytes each a segment stays under half of the platform's limit."""
+"""Receipts in one segment.
+
+At about 400 bytes each, a segment is below half of the platform's size limit.
+"""
 
 
 class Segment(msgspec.Struct, frozen=True, kw_only=True):
-    """A batch of receipts as it is kept in the platform."""
+    """A batch of receipts as the platform stores it."""
 
     writer: str
     receipts: tuple[RunReceipt, ...]
 
     @property
     def name(self) -> str:
-        """The name under kind ``receipts``; equal segments have equal names."""
+        """Object name under kind ``receipts``; equal segments have equal names."""
         digest = hashlib.sha256(encode_segment(self)).hexdigest()
         return f"{self.writer}.{digest[:24]}"
 
 
 def segments(*, writer: str, receipts: Iterable[RunReceipt]) -> Iterator[Segment]:
-    """Yield the receipts in segments, the same ones for the same receipts."""
+    """Yield the receipts in segments; equal receipts give equal segments."""
     by_nonce = {receipt.nonce: receipt for receipt in receipts}
     ordered = [by_nonce[nonce] for nonce in sorted(by_nonce)]
     for start in range(0, len(ordered), MAX_SEGMENT_RECEIPTS):
@@ -40,21 +42,21 @@
 
 
 class Bill:
-    """What callers owe: one receipt for each profile and request id.
+    """The tokens that callers pay: one receipt for each profile and request id.
 
-    Of several runs of one request the cheapest billable one counts, so a rerun
-    after a crash never costs its caller more; the rest is `absorbed`.
+    Of several runs of one request the cheapest billable one is charged, so a rerun
+    after a crash never costs the caller more.  The other runs are `absorbed`.
     """
 
     def __init__(self) -> None:
         self._runs: dict[str, RunReceipt] = {}
 
     def add(self, receipt: RunReceipt) -> None:
-        """Take a receipt in; the same one again changes nothing."""
+        """Add a receipt; the same one again changes nothing."""
         self._runs[receipt.nonce] = receipt
 
     def add_segment(self, segment: Segment) -> None:
-        """Take all receipts of a segment in."""
+        """Add all receipts of a segment."""
         for receipt in segment.receipts:
             self.add(receipt)
 
@@ -70,7 +72,7 @@
         return charged
 
     def charged(self, profile: str) -> int:
-        """Return the tokens billed under a profile."""
+        """Return the tokens that a profile is billed."""
         return sum(
             receipt.tokens
             for (name, _), receipt in self.by_request.items()
@@ -78,7 +80,7 @@
         )
 
     def absorbed(self, profile: str) -> int:
-        """Return the tokens that ran under a profile and are billed to nobody."""
+        """Return the tokens that a profile's runs spent and that are not billed."""
         run_tokens = sum(
             receipt.tokens
             for receipt in self._runs.values()
@@ -96,10 +98,16 @@
 
 
 def encode_segment(segment: Segment) -> bytes:
-    """Return the value to keep in the platform."""
+    """Return the segment as the platform stores it."""
     return _encoder.encode(segment)
 
 
 def decode_segment(value: bytes) -> Segment:
-    """Return the segment; `msgspec.DecodeError` where it is not one."""
+    """Return the segment that the platform stores as this value.
+
+    Raises
+    ------
+    msgspec.DecodeError
+        The value is no segment.
+    """
     return _decoder.decode(value)
--- a/src/ragwortkeel/budget/refresh.py
+++ b/src/ragwortkeel/budget/refresh.py
@@ -1,10 +1,9 @@
-"""How a slice and its ledger keep in step over lost answers, without I/O.
+"""Synchronisation of a slice with its ledger when answers are lost, without I/O.
 
-The owner reads the ledger, asks for the next value, writes it on condition of
-the version it read, and says how the write ended.  A write whose answer is lost
-may still land later.  It names a version, so it can't land once the object has
-moved on; until then the same renewal is written again and nothing of what it
-gives back is used.
+The owner reads the ledger, computes the next value, writes it on condition of the
+version that it read, and records the outcome.  A write whose answer is lost may still
+be applied later, until the object has a newer version.  Until then the same renewal is
+written again, and the tokens that it gives back are not spent.
 """
 
 from ragwortkeel.budget.ledger import Ledger
@@ -13,12 +12,12 @@
 
 
 class SliceRefresh:
-    """The order of reads and writes of one slice.
+    """The reads and writes of the ledger for one slice, in their order.
 
     Parameters
     ----------
     slice_ : Slice
-        The slice to keep in step; its owner uses it between the calls.
+        The slice to synchronise; its owner uses it between the calls.
     """
 
     def __init__(self, *, slice_: Slice) -> None:
@@ -26,12 +25,12 @@
         self._newest_unknown_version: int | None = None
 
     def read(self, ledger: Ledger, *, version: int) -> None:
-        """Take in what the platform holds, before a write.
+        """Apply the ledger that was read from the platform, before a write.
 
         Raises
         ------
         RouterSealed
-            Nothing can be settled any more under this incarnation.
+            This incarnation can't settle any more.
         """
         grant = ledger.grants.get(self.slice.router)
         if grant is None and self.slice.in_ledger:
@@ -52,17 +51,17 @@
             self.slice.withdraw()
 
     def record_written(self, ledger: Ledger) -> None:
-        """Note that the pending renewal is in this ledger."""
+        """Record that the pending renewal took effect in this ledger."""
         self._newest_unknown_version = None
         self.slice.accept(ledger.grants[self.slice.router])
 
     def record_refused(self) -> None:
-        """Note that the last write certainly did not happen."""
+        """Record that the last write was not applied and never will be."""
         if self._newest_unknown_version is None:
             self.slice.withdraw()
 
     def record_unknown(self, *, version: int) -> None:
-        """Note that the last write, on condition of `version`, may have happened."""
+        """Record that the last write, on condition of `version`, may be applied."""
         newest_unknown = self._newest_unknown_version
         self._newest_unknown_version = (
             version if newest_unknown is None else max(newest_unknown, version)
--- a/src/ragwortkeel/budget/renewal_replies.py
+++ b/src/ragwortkeel/budget/renewal_replies.py
@@ -1,7 +1,7 @@
-"""What a process that writes for others answers each of them.
+"""Replies of a process that writes the renewals of its peers.
 
-An answer carries only the ledgers that its receiver has a use for: with all of them,
-told to each of dozens of processes twice a second, the writer's link would be full.
+A reply has only the ledgers that its receiver needs: all ledgers, sent to each of
+dozens of processes twice a second, would fill the writer's link.
 """
 
 from ragwortkeel.budget.delegation import apply_delegated
@@ -15,7 +15,7 @@
 def apply_all_delegated(
     shard: Shard, delegated_by_holder: dict[str, HandedRenewals]
 ) -> tuple[Shard, set[str]]:
-    """Return the shard with the peers' renewals, and whose were refused."""
+    """Return the shard with the peers' renewals, and the holders that were refused."""
     refused = set()
     for holder, delegated in delegated_by_holder.items():
         try:
@@ -27,7 +27,7 @@
 
 
 def customers_to_report(delegated: HandedRenewals, shard: Shard) -> set[str]:
-    """Return the customers whose ledgers the sender has a use for."""
+    """Return the customers whose ledgers the sender of the renewals needs."""
     if delegated.start is not None:
         return set(shard.ledger_by_customer)
     return {
@@ -39,7 +39,7 @@
 def success_reply(
     shard: Shard, delegated: HandedRenewals, summary_by_customer: dict[str, Ledger]
 ) -> RenewalsWritten:
-    """Return the answer, with the ledgers that its receiver has a use for."""
+    """Return the reply to renewals that were written, with the ledgers it needs."""
     grant_by_customer = {
         customer: shard.ledger_by_customer[customer].grants[delegated.holder]
         for customer in delegated.renewal_by_customer
@@ -55,5 +55,5 @@
 
 
 def failure_reply(delegated: HandedRenewals, outcome: WriteOutcome) -> RenewalsWritten:
-    """Return the answer to renewals that were not written, and why."""
+    """Return the reply to renewals that were not written, with the reason."""
     return RenewalsWritten(boot=delegated.stamp.boot, outcome=outcome)
--- a/src/ragwortkeel/budget/seal.py
+++ b/src/ragwortkeel/budget/seal.py
@@ -1,10 +1,10 @@
-"""A sidecar's side of seals: whom it serves, and what each router ran there.
+"""Seals at a sidecar: the routers it serves and the spend of each router.
 
 A seal is first an object in the platform (kind ``seals``, named by the router's
-incarnation) and then an order to the sidecars.  A sidecar registers, then reads
-the seals, and only then accepts work.  With this one order of writes either the
-sealer finds the sidecar or the sidecar finds the seal.  A sidecar that starts
-while the platform is down can do neither, and accepts no work until it can.
+incarnation) and then a message to the sidecars.  A sidecar registers, then reads the
+seals, and only then accepts requests.  With this order either the sealer finds the
+sidecar or the sidecar finds the seal.  A sidecar that starts while the platform is
+unreachable can do neither, and accepts no requests until it can.
 """
 
 from collections import defaultdict
@@ -14,21 +14,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SealReport:
-    """What a sealed router ran at one sidecar, in tokens by profile.
+    """A sealed router's spend at one sidecar, in tokens by profile.
 
     Attributes
     ----------
     ran : dict of str to int
-        Cumulative spend of the runs that have ended.
+        Cumulative spend of ended runs.
     running : dict of str to int
-        Reservations still running; the figures are final once it is empty.
+        Reservations of runs that haven't ended; without any the spend is final.
     """
 
     ran: dict[str, int]
     running: dict[str, int]
 
     def final(self, profile: str) -> bool:
-        """Whether nothing of this profile runs any more."""
+        """Return whether no run of this profile is left."""
         return profile not in self.running
 
 
@@ -40,7 +40,7 @@
 
 
 class SidecarAccounts:
-    """What ran at one sidecar incarnation, by router incarnation and profile."""
+    """Spend at one sidecar incarnation, by router incarnation and profile."""
 
     def __init__(self) -> None:
         self.ready = False
@@ -49,21 +49,21 @@
         self._ran: defaultdict[str, dict[str, int]] = defaultdict(dict)
 
     def open(self, *, seals: Iterable[str]) -> None:
-        """Accept work: the sidecar is registered and read these seals after it."""
+        """Accept requests; the sidecar has registered and then read these seals."""
         self._sealed.update(seals)
         self.ready = True
 
     def admits(self, router: str) -> bool:
-        """Whether work of this router incarnation may start."""
+        """Return whether runs of this router incarnation may start."""
         return self.ready and router not in self._sealed
 
     def start(self, *, nonce: str, router: str, profile: str, reservation: int) -> None:
-        """Note a run before the upstream hears of it."""
+        """Record a run before it is sent to the upstream."""
         run = _Run(router=router, profile=profile, reservation=reservation)
         self._runs_by_nonce[nonce] = run
 
     def finish(self, *, nonce: str, tokens: int) -> bool:
-        """Note what a run cost; a second note of the same run is a no-op."""
+        """Record the spend of a run; return False if it ended already."""
         run = self._runs_by_nonce.pop(nonce, None)
         if run is None:
             return False
@@ -72,7 +72,7 @@
         return True
 
     def seal(self, router: str) -> SealReport:
-        """Refuse the router from now on and report; may be repeated."""
+        """Refuse the router from now on and return its spend; idempotent."""
         self._sealed.add(router)
         running: dict[str, int] = {}
         for run in self._runs_by_nonce.values():
--- a/src/ragwortkeel/budget/shards.py
+++ b/src/ragwortkeel/budget/shards.py
@@ -1,7 +1,7 @@
 """Several customers' ledgers in one object of the platform.
 
-One conditional write renews the slices of many customers, and one read shows what is
-left of all budgets.
+One conditional write renews the slices of many customers, and one read returns the
+unspent tokens of all of them.
 """
 
 import zlib
@@ -18,12 +18,21 @@
 SHARDS_KIND = "customer-ledgers"
 
 USABLE_FRACTION = 0.99
-"""Of what is prepaid; the rest covers tokens that an upstream makes between the
-last event a caller got and the close of a broken stream."""
+"""Fraction of the prepaid tokens that can be granted.
+
+The remaining 1% covers tokens that an upstream generates between the last event that a
+caller received and the end of a broken stream.
+"""
 
 
 class Shard(msgspec.Struct, frozen=True, kw_only=True):
-    """Some customers' ledgers, and the configuration that set their budgets."""
+    """Some customers' ledgers, and the revision of the configuration of their budgets.
+
+    Attributes
+    ----------
+    stamp_by_holder : dict of str to Stamp
+        Time of the last write of each process that holds grants.
+    """
 
     revision: int = 0
     ledger_by_customer: dict[str, Ledger] = {}
@@ -32,8 +41,8 @@
     def provisioned(self, prepaid_by_customer: dict[str, int], revision: int) -> Self:
         """Return the shard with the budgets of a configuration.
 
-        Of an older configuration nothing is taken over: a process that lags
-        would undo a top-up.
+        Older revisions change nothing, as a process with an old configuration would
+        undo a top-up.
         """
         if revision <= self.revision:
             return self
@@ -47,9 +56,9 @@
         )
 
     def summaries(self, customers: Collection[str] | None = None) -> dict[str, Ledger]:
-        """Return these customers' ledgers, or all, in few bytes.
+        """Return summaries of these customers' ledgers, or of all ledgers.
 
-        Customers that have none here are left out; see `budget.summary`.
+        Customers without a ledger here are left out; see `budget.summary`.
         """
         if customers is None:
             customers = self.ledger_by_customer.keys()
@@ -61,7 +70,7 @@
 
 
 class _Packed(msgspec.Struct, frozen=True, kw_only=True):
-    """A shard as the platform keeps it: JSON, compressed, in base 64."""
+    """A shard as the platform stores it: JSON, compressed, in base 64."""
 
     packed: bytes
 
@@ -71,19 +80,28 @@
 _packed_decoder = msgspec.json.Decoder(_Packed)
 
 COMPRESSION_LEVEL = 1
-"""Of zlib.  Names of holders and fields repeat for each grant: 504 grants take 69 KB
-as they are and 23 KB packed, in 0.2 ms.  A slow link of 5 Mbit/s carries that in 36 ms
-in place of 110, for each write and each refusal."""
+"""Compression level of zlib.
+
+Names of holders and fields repeat in each grant: 504 grants take 69 KB plain and 23 KB
+compressed, at 0.2 ms of processor time.  A link of 5 Mbit/s transfers that in 36 ms
+instead of 110 ms, for each write and each refusal.
+"""
 
 
 def encode_shard(shard: Shard) -> bytes:
-    """Return the value to keep in the platform."""
+    """Return the shard as the platform stores it."""
     packed = zlib.compress(_encoder.encode(shard), COMPRESSION_LEVEL)
     return _encoder.encode(_Packed(packed=packed))
 
 
 def decode_shard(value: bytes) -> Shard:
-    """Return the shard; `LedgerUnreadable` where it is not one."""
+    """Return the shard that the platform stores as this value.
+
+    Raises
+    ------
+    LedgerUnreadable
+        The value is no shard.
+    """
     try:
         return _decoder.decode(zlib.decompress(_packed_decoder.decode(value).packed))
     except (msgspec.DecodeError, zlib.error) as exc:
--- a/src/ragwortkeel/budget/sizing.py
+++ b/src/ragwortkeel/budget/sizing.py
@@ -1,10 +1,10 @@
-"""How large a router's slice and its exposure cap should be.
+"""Sizes of a router's slice and of its exposure cap.
 
-Answers uneven and changing demand for one budget.  Slices too small run dry in
-an outage; slices too large strand tokens with routers that nobody asks, which
-is what an equal split does at the end of a budget.  So a router aims at a share of
-all that is unspent, and at no more than its own demand in the outage to ride
-out; what lies with the wrong router is lent.
+Demand for one budget is uneven and changes.  Slices that are too small are used up in
+an outage; slices that are too large strand tokens at routers without requests, as an
+equal split does at the end of a budget.  So a router aims at a share of all unspent
+tokens, but at no more than its own demand during the outage to cover.  Routers lend
+each other tokens that the wrong one holds.
 """
 
 from dataclasses import dataclass
@@ -14,63 +14,82 @@
 from ragwortkeel.configuration import Spread
 
 RIDE_OUT_FACTOR_BY_SPREAD = {Spread.WIDE: 2.0, Spread.NARROW: 1.0}
-"""Demand of the next outage against demand now; a doubling is ordinary."""
+"""Demand in the next outage as a multiple of the demand now; doubling is common."""
 
 SLICES_FRACTION_BY_SPREAD = {Spread.WIDE: 1.0, Spread.NARROW: 0.5}
-"""Part of the unspent tokens out in slices; the rest waits for shifts."""
+"""Fraction of the unspent tokens that slices hold.
+
+The ledger holds the others, for shifts of the demand.
+"""
 
 EQUAL_FRACTION_BY_SPREAD = {Spread.WIDE: 1.0, Spread.NARROW: 0.3}
-"""Part of the unspent tokens shared equally, not by demand.
+"""Fraction of the unspent tokens in slices that is shared equally, not by demand.
 
-A minute's demand is noisy: with 0.8, 0.9 and 1.0 an outage of the platform met
-35, 20 and 11 false refusals (4 seeds of the bench, all handed out).  Idle routers
-still get little, since no slice exceeds its own demand in an outage.
+The demand of a minute is noisy, and an outage of the platform causes more false
+refusals the more tokens follow it: 11, 20 and 35 at fractions of 1.0, 0.9 and 0.8, in
+four benchmark runs.  Idle routers still hold few tokens, as no slice exceeds its
+router's demand in an outage.
 """
 
 CAP_SKEW_BY_SPREAD = {Spread.WIDE: 1.5, Spread.NARROW: 1.1}
-"""How uneven the spend through a router's sidecars may be before one is full."""
+"""Cap of a sidecar as a multiple of an equal share of the slice.
+
+It is how uneven the spend through a router's sidecars may be.
+"""
 
 MIN_CAP_REQUESTS = 4
-"""A cap lets this many of the largest requests through one sidecar at least."""
+"""Smallest cap of one sidecar, in requests of the largest size."""
 
 LEDGER_SLICES_PER_HOLDER = 0.5
-"""Useful slices that stay in the ledger for each holder, where the next renewal finds
-them for whichever holder's caller needs them.  What is out in dozens of slices is only
-together as much as one request needs."""
+"""Slices of the smallest useful size that stay in the ledger, for each holder.
+
+There the next renewal of any holder can get them.  Tokens spread over dozens of slices
+would cover a request only together.
+"""
 
 GIVE_BACK_FACTOR = 1.25
-"""Give back only what is well above the target, so that slices don't swing."""
+"""Multiple of its target above which a slice gives tokens back.
+
+The margin prevents oscillation.
+"""
 
 UNSPENT_FACTOR = 4
-"""A peer that shows so many times what lacks has it free most likely, as
-part of a slice is reserved by requests under way.  A guess, not measured."""
+"""Unspent tokens to find before no more peers are asked, as a multiple of the need.
+
+Running requests have reserved some of the tokens that a ledger shows as unspent.
+"""
 
 MAX_GIVERS_ASKED = 3
-"""Enough to find tokens at the end of a budget; each ask may cost a write."""
+"""Most peers to ask for tokens at once.
+
+Three find tokens at the end of a budget, and each request to a peer may cost a write.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class SliceNeed:
-    """What sizing looks at, in tokens, tokens a minute and seconds.
+    """A router's state and settings for sizing, in tokens, tokens a minute and seconds.
 
     Attributes
     ----------
     holding : int
-        Unspent tokens in the slice, reserved ones too.
+        Unspent tokens in the slice, reserved ones included.
+    demand : int
+        Recent demand in tokens a minute.
     waiting : int
-        Tokens that callers wait for at this moment.
+        Tokens that waiting callers need.
     lacking : int
-        Tokens missing for the smallest of them.
-    handed_out : float or None
-        In place of `SHARE_HANDED_OUT`; then what is shared equally goes to as many
-        holders as can each hold a useful slice.
-    useful : int
-        Tokens below which a slice serves hardly a request.
-    lot : float
-        From 0 to 1, another for each router and profile: which holders those are.
-    equal_part : float or None
-        In place of `EQUAL_PART`, for routers that lend each other what they lack
-        in an outage as well, so that only what all hold together matters.
+        Tokens missing for the smallest waiting request.
+    slices_fraction_override : float or None
+        Replaces `SLICES_FRACTION_BY_SPREAD`.  Equally shared tokens then go to only so
+        many holders that each holds a useful slice.
+    min_useful_tokens : int
+        Size below which a slice serves hardly any request.
+    selection_hash : float
+        Number from 0 to 1 by router and profile, which selects these holders.
+    equal_fraction_override : float or None
+        Replaces `EQUAL_FRACTION_BY_SPREAD`, for routers that lend each other tokens in
+        an outage too, so that only the tokens of all of them together matter.
     """
 
     holding: int
@@ -87,14 +106,14 @@
 
     @property
     def slices_fraction(self) -> float:
-        """Part of the unspent tokens that all slices together may hold."""
+        """Fraction of the unspent tokens that all slices together may hold."""
         if self.slices_fraction_override is None:
             return SLICES_FRACTION_BY_SPREAD[self.spread]
         return self.slices_fraction_override
 
     @property
     def equal_fraction(self) -> float:
-        """Part of the unspent tokens that is not shared by demand."""
+        """Fraction of the unspent tokens in slices that is not shared by demand."""
         return (
             EQUAL_FRACTION_BY_SPREAD[self.spread]
             if self.equal_fraction_override is None
@@ -103,7 +122,7 @@
 
 
 def target_holding(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
-    """Return the unspent tokens that the router should hold, reserved ones too."""
+    """Return the unspent tokens that a router should hold, reserved ones included."""
     unspent = max(0, ledger.prepaid - ledger.total_spent)
     others = sum(
         grant.demand for name, grant in ledger.grants.items() if name != router
@@ -122,7 +141,7 @@
         + (1 - equal_weight) * demand_fraction * slice_tokens,
         outage_tokens * RIDE_OUT_FACTOR_BY_SPREAD[need.spread],
     )
-    # A request above the target still has to pass while tokens are left.
+    # A request larger than the target must be served while tokens are unspent.
     floor = need.largest_request
     if need.slices_fraction_override is not None:
         floor = min(floor, int(equal_slice))
@@ -135,11 +154,11 @@
 
 
 def _equal_slice(slice_tokens: float, count: int, need: SliceNeed) -> float:
-    """Return this router's part of tokens that are shared equally.
+    """Return this router's share of tokens that are shared equally.
 
-    Pattern of load: dozens of routers and budgets of a few requests' size.  Equal
-    parts would be too small for any request, and each would have to be pieced
-    together from many of them; so fewer hold a part, and lend it in an outage.
+    With dozens of routers and a budget of a few requests, equal shares would be too
+    small for any request, and each request would need tokens of many routers.  So fewer
+    routers hold a share and lend it in an outage.
     """
     if need.min_useful_tokens * count <= slice_tokens:
         return slice_tokens / count
@@ -148,13 +167,13 @@
 
 
 def tokens_to_take(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
-    """Return how many tokens to ask for now."""
+    """Return how many tokens to request from the ledger."""
     target = target_holding(ledger, router=router, need=need)
     return min(max(0, target - need.holding), ledger.rest)
 
 
 def tokens_to_give_back(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
-    """Return how many tokens the router holds for nothing."""
+    """Return how many tokens the router holds without need."""
     if ledger.retired:
         return need.holding
     if need.waiting:
@@ -171,8 +190,8 @@
 def exposure_cap(*, holding: int, sidecars: int, need: SliceNeed) -> int:
     """Return the unsettled spend to allow through one sidecar.
 
-    In an outage nothing settles, so all caps together must let the whole slice
-    be spent, also when one sidecar gets several times its share.
+    In an outage nothing is settled, so the caps together must allow the full slice to
+    be spent, even if one sidecar gets more than its share.
     """
     fair_share = holding / max(1, sidecars)
     floor = MIN_CAP_REQUESTS * need.largest_request
@@ -180,13 +199,14 @@
 
 
 def tokens_to_lend(*, free: int, own: SliceNeed, asker: SliceNeed) -> int:
-    """Return how many free tokens to hand to a router that has run dry.
+    """Return how many free tokens to transfer to a router that lacks tokens.
+
+    Without waiting callers here, both routers should then hold equal tokens for their
+    demand, and the asker gets at least what it lacks.
 
-    Where nobody waits here, both should hold the same for their demand
-    afterwards, and the asker gets at least what it lacks.  Where callers wait
-    here, none of them fits into `free`; without this rule two routers would each
-    sit on tokens that the other's caller needs.  So tokens go where they serve a
-    caller at once, or else to the one that lacks less.
+    With waiting callers here, none of their requests fits into `free`.  Two routers
+    could each hold tokens that a caller of the other needs, so the tokens go to the
+    asker if they serve a caller there at once, or if the asker lacks less.
     """
     if own.lacking:
         is_enough = asker.lacking <= free
@@ -208,9 +228,9 @@
 ) -> list[str]:
     """Return the routers to ask for tokens, the best one first.
 
-    They hold most unspent tokens for their demand.  Several are asked at once,
-    since what the ledger shows as unspent may be reserved; with `lacking`, only as
-    many as hold a few times that, as each ask may cost a write.
+    They have the most unspent tokens for their demand.  There are several, as unspent
+    tokens may be reserved.  With `lacking` they are only so many that they hold
+    `UNSPENT_FACTOR` times these tokens, as each request may cost a write.
     """
     spare = {
         name: (grant.granted - grant.used) / (1 + grant.demand)
--- a/src/ragwortkeel/budget/slice.py
+++ b/src/ragwortkeel/budget/slice.py
@@ -1,8 +1,8 @@
-"""A router's own slice of one budget: reserve, settle and renew without waiting.
+"""A router's slice of one budget: reservations, settlements and renewals without I/O.
 
-The slice spends only what the ledger has already granted, and takes tokens off
-itself before the ledger hears that they come back.  So at every moment the
-ledger's grant covers the slice, whichever answers are lost.
+The slice spends only tokens that the ledger has already granted, and removes tokens
+from itself before the ledger records that they are given back.  So the ledger's grant
+covers the slice at every moment, whichever answers are lost.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 from ragwortkeel.exceptions import BudgetExhausted, ExposureFull, SidecarNotNamed
 
 RETRY_AFTER_SECONDS = 0.5
-"""When to come back to a slice that a refill may help: a few refresh periods."""
+"""Delay before a retry of a refused reservation: a few refresh periods."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -28,7 +28,7 @@
 
 
 class Slice:
-    """What one router incarnation may spend under one profile.
+    """Tokens that one router incarnation may spend under one profile.
 
     Parameters
     ----------
@@ -38,10 +38,16 @@
     Attributes
     ----------
     cap, growth : int
-        Unsettled tokens allowed through a sidecar, and by how many that grows a
-        second since the last renewal was sent.
+        Unsettled tokens allowed through a sidecar, and the tokens by which that cap
+        grows each second after the last renewal was sent.
     grown : int
-        By how much it has grown; set by the owner, who knows the time.
+        Tokens by which the cap has grown; set by the owner, as the slice has no clock.
+    giving_back : int
+        Tokens that the pending renewal gives back.
+    pending : Renewal or None
+        The renewal that may or may not have taken effect in the ledger.
+    in_ledger : bool
+        Whether the ledger has a grant for this incarnation.
     """
 
     def __init__(self, *, profile: str, router: str) -> None:
@@ -72,7 +78,7 @@
 
     @property
     def reserved(self) -> int:
-        """Tokens of attempts still open."""
+        """Tokens of open reservations."""
         return sum(self._reserved_by_sidecar.values())
 
     @property
@@ -82,7 +88,7 @@
 
     @property
     def unsettled(self) -> int:
-        """Spend the ledger does not know of yet."""
+        """Spend that the ledger doesn't record yet."""
         return sum(
             spent - self._settled_by_sidecar.get(sidecar, 0)
             for sidecar, spent in self._spent_by_sidecar.items()
@@ -90,32 +96,32 @@
 
     @property
     def named(self) -> frozenset[str]:
-        """Sidecars that may carry this slice."""
+        """Sidecars through which this slice may be spent."""
         return frozenset(self._settled_by_sidecar) - self._dropped
 
     def committed(self, sidecar: str) -> int:
-        """Return what was spent through this sidecar or is set aside for it."""
+        """Return the tokens spent through this sidecar or reserved for it."""
         spent = self._spent_by_sidecar.get(sidecar, 0)
         return spent + self._reserved_by_sidecar.get(sidecar, 0)
 
     def exposure(self, sidecar: str) -> int:
-        """Return what a seal could not know of this sidecar from the ledger."""
+        """Return the tokens committed to this sidecar that are not settled yet."""
         return self.committed(sidecar) - self._settled_by_sidecar.get(sidecar, 0)
 
     def reserve(self, *, sidecar: str, tokens: int) -> Reservation:
-        """Set tokens aside, or raise what is in the way.
+        """Reserve tokens for one attempt.
 
         Raises
         ------
         SidecarNotNamed, BudgetExhausted, ExposureFull
-            A renewal may help each of them.
+            The reservation isn't possible now; a renewal may allow it.
         """
         if sidecar not in self.named:
             raise self._refusal(SidecarNotNamed)
         if tokens > self.free:
             raise self._refusal(BudgetExhausted)
-        # A dead router's unreachable sidecar can have run this much unseen; a
-        # seal charges the cap for it, so the cap must hold at each moment.
+        # After a crash of the router an unreachable sidecar may have run this much
+        # without a report.  A seal charges the cap for it, so the cap must always hold.
         if self.exposure(sidecar) + tokens > self.cap + self.grown:
             raise self._refusal(ExposureFull)
         self._last_reservation_id += 1
@@ -133,10 +139,10 @@
         return reservation
 
     def settle(self, reservation: Reservation, *, spent: int) -> bool:
-        """Replace a reservation by what it cost; a repeated call is a no-op.
+        """Replace a reservation by the tokens spent; return False if already settled.
 
-        Call it on evidence only: the sidecar said what the attempt cost, or
-        that it never ran, or the sidecar is gone for good (the whole bound).
+        Call it only once the spend is certain: the sidecar reported it, or reported
+        that the attempt never ran, or was deleted, which costs the full reservation.
         """
         if self.open_by_id.pop(reservation.reservation_id, None) is None:
             return False
@@ -146,10 +152,10 @@
         return True
 
     def drop(self, sidecar: str) -> None:
-        """Send nothing more through a sidecar that is gone for good.
+        """Exclude a deleted sidecar from further reservations.
 
-        It can't be named again: its figures are cumulative, and what it ran
-        before would be charged twice.
+        It can't be named again: its spend is cumulative, and earlier spend would be
+        charged twice.
         """
         self._dropped.add(sidecar)
 
@@ -165,10 +171,11 @@
         growth: int = 0,
         demand: int = 0,
     ) -> Renewal:
-        """Return the renewal to apply to the ledger, and take off what it returns.
+        """Return the renewal to apply to the ledger, and set aside what it gives back.
 
-        While one is pending that one is returned unchanged: it may have taken
-        effect, or may still, until `accept` or `withdraw`.
+        While a renewal is pending, that one is returned, with a higher cap if the
+        exposure needs it: it may have taken effect, or may still, until `accept` or
+        `withdraw`.
         """
         if self.pending is not None:
             self._cover_pending()
@@ -178,7 +185,7 @@
         dropped = (sidecar for sidecar in sorted(self._dropped) if sidecar in settled)
         self.giving_back = max(0, min(give_back, self.free))
         cap = max([cap, *self._exposures_after(settled)])
-        # A lower cap binds before the ledger may count on it.
+        # A lower cap must bind before the ledger records it.
         self.cap = min(self.cap, cap)
         self.growth = min(self.growth, growth)
         self.grown = 0
@@ -202,13 +209,13 @@
         return self.pending
 
     def is_applied_in(self, grant: Grant | None) -> bool:
-        """Whether the pending renewal has taken effect in this grant."""
+        """Return whether the pending renewal has taken effect in this grant."""
         if grant is None or self.pending is None:
             return False
         return grant.nonce == self.pending.nonce
 
     def accept(self, grant: Grant) -> None:
-        """Take over the grant in which the pending renewal has taken effect."""
+        """Apply the grant in which the pending renewal has taken effect."""
         self.granted = grant.granted
         self.cap = self._cap_in_ledger = grant.cap
         self.growth = self._growth_in_ledger = grant.growth
@@ -222,19 +229,21 @@
         self.pending = None
 
     def receive(self, grant: Grant) -> None:
-        """Take over tokens that another router has handed to this grant.
+        """Add tokens that another router transferred to this grant.
 
-        A read older than our last write would bring back what that write gave
-        away, and two routers would spend it; the nonce tells such a read.
+        A grant read before the last write of this slice would restore tokens that the
+        write gave back, and two routers would spend them.  It has another nonce and is
+        ignored.
         """
         if self.pending is None and grant.nonce == self._nonce_in_ledger:
             self.granted = max(self.granted, grant.granted)
 
     def withdraw(self) -> None:
-        """Forget the pending renewal: it certainly did not and will not happen.
+        """Discard the pending renewal, which was not applied and never can be.
 
-        Each write of it was refused, or named a version that is gone while the
-        grant does not hold the nonce.  Otherwise an answer may only be lost.
+        Call it only if each write of the renewal was refused, or was conditional on a
+        version that is no longer current while the grant lacks the nonce.  Otherwise
+        the renewal may have been applied, and only its answer was lost.
         """
         self.giving_back = 0
         self.cap = self._cap_in_ledger
@@ -242,8 +251,8 @@
         self.pending = None
 
     def _cover_pending(self) -> None:
-        # The cap has grown since this renewal was made, and more may be exposed
-        # than it says: a seal right after it would charge too little.
+        # The cap has grown since this renewal was created, and the exposure may exceed
+        # the cap in it: a seal right after it would charge too little.
         exposed = max(self._exposures_after(self.pending.settled), default=0)
         if exposed > self.pending.cap:
             self.pending = msgspec.structs.replace(self.pending, cap=exposed)
@@ -251,10 +260,10 @@
         self.grown = 0
 
     def _exposures_after(self, settled: dict[str, int]) -> list[int]:
-        """Return the exposure of each sidecar once the ledger knows these settlements.
+        """Return each sidecar's exposure once the ledger records these settlements.
 
-        What a renewal tells is no part of it: a cap that covered that as well would
-        stand until the next renewal, and a seal would charge it a second time.
+        It excludes the spend that the renewal settles: a cap that covered this spend
+        too would apply until the next renewal, and a seal would charge the spend twice.
         """
         return [self.committed(sidecar) - tokens for sidecar, tokens in settled.items()]
 
--- a/src/ragwortkeel/budget/summary.py
+++ b/src/ragwortkeel/budget/summary.py
@@ -1,8 +1,8 @@
-"""A ledger in few bytes: what its holders need to size their own slices.
+"""Short summaries of ledgers, by which holders size their own slices.
 
-A whole ledger grows with the processes that hold a part of it, and told to each of
-them it grows with their square.  Holders look at sums over the others and at the few
-that could give tokens; so those are named and the rest is one grant.
+A full ledger grows with the number of its holders, and sent to each of them it takes
+traffic that grows with the square.  Holders need only sums over all others and the few
+that can give tokens.  So a summary names these few and adds all others up in one grant.
 """
 
 import msgspec
@@ -12,11 +12,11 @@
 from ragwortkeel.budget.sizing import best_givers
 
 OTHERS = "others"
-"""What a summary calls all holders that it doesn't name."""
+"""Name in a summary for all holders that it doesn't name."""
 
 
 def summarize(ledger: Ledger) -> Ledger:
-    """Return the ledger with its best givers named and all other grants as one."""
+    """Return the ledger with the best givers named and all other grants in one."""
     named = set(best_givers(ledger, router=""))
     rest = [grant for name, grant in ledger.grants.items() if name not in named]
     grants = {name: ledger.grants[name] for name in named}
@@ -31,12 +31,12 @@
 
 
 def restore_own_grant(summary: Ledger, *, router: str, grant: Grant | None) -> Ledger:
-    """Return the summary as one holder sees it, its own grant apart.
+    """Return the summary for one holder, with its own grant named.
 
     Parameters
     ----------
     grant : Grant or None
-        The holder's grant in the ledger that was summarized; None for none.
+        The holder's grant in the summarized ledger; None if it has none.
     """
     if grant is None or router in summary.grants:
         return summary
--- a/src/ragwortkeel/budget/write_attempts.py
+++ b/src/ragwortkeel/budget/write_attempts.py
@@ -1,11 +1,14 @@
-"""WriteAttempts to renew that may have taken effect, or may still.
+"""Attempts to write renewals whose outcome may still be open.
 
 The caps of a process grow with the time since its stamp in the ledgers, and a successor
-charges them by that stamp.  Failures it guards against: the answer to a write is lost
-and the stamp is newer than the process believes, so it spends what its successor does
-not charge; and, counted from any try, in an outage each vain one would put the growth
-off for ever, and all callers are refused until it ends.  So the time counts from the
-latest try that is not known to have failed.
+charges them by that stamp.  That time counts from the latest attempt that is not known
+to have failed:
+
+- From the latest known success would be too early.  If only the answer to a write was
+  lost, the stamp is newer than the process assumes, and it spends more than its
+  successor charges.
+- From any attempt would be too late.  In an outage each failed attempt would postpone
+  the growth, and all callers would be refused until the outage ends.
 """
 
 from dataclasses import dataclass
@@ -20,16 +23,17 @@
 
 
 class WriteAttempts:
-    """The tries of one process, by the boot clock at which each was made.
+    """The write attempts of one process, by the boot clock at each attempt.
 
     Examples
     --------
-    >>> tries = WriteAttempts()
-    >>> tries.record_attempt(Reading(monotonic=1.0, boot=1.0, wall=1.0), delegated=True)
-    >>> tries.any_delegated
+    >>> attempts = WriteAttempts()
+    >>> reading = Reading(monotonic=1.0, boot=1.0, wall=1.0)
+    >>> attempts.record_attempt(reading, delegated=True)
+    >>> attempts.any_delegated
     True
-    >>> tries.record_failure(1.0)
-    >>> tries.latest is None
+    >>> attempts.record_failure(1.0)
+    >>> attempts.latest is None
     True
     """
 
@@ -39,7 +43,7 @@
 
     @property
     def latest(self) -> Reading | None:
-        """The clocks at the latest try that may stand in the ledgers."""
+        """Clocks at the latest attempt that may have taken effect; None without any."""
         readings = [attempt.reading for attempt in self._open_by_boot.values()]
         if self._last_success is not None:
             readings.append(self._last_success)
@@ -47,31 +51,31 @@
 
     @property
     def any_open(self) -> bool:
-        """Whether any try may still take effect."""
+        """Whether the outcome of any attempt is open."""
         return bool(self._open_by_boot)
 
     @property
     def any_delegated(self) -> bool:
-        """Whether a peer may still write what it was handed."""
+        """Whether a peer may still write renewals of this process."""
         return any(attempt.delegated for attempt in self._open_by_boot.values())
 
     def get_delegated(self, boot: float) -> Reading | None:
-        """Return the clocks at a hand-over whose outcome is open, or None."""
+        """Return the clocks at a delegation whose outcome is open, or None."""
         attempt = self._open_by_boot.get(boot)
         return attempt.reading if attempt is not None and attempt.delegated else None
 
     def record_attempt(self, reading: Reading, *, delegated: bool) -> None:
-        """Note a try: a write of this process, or renewals handed to a peer."""
+        """Record an attempt: a write of this process, or a delegation to a peer."""
         self._open_by_boot[reading.boot] = _Attempt(
             reading=reading, delegated=delegated
         )
 
     def record_failure(self, boot: float) -> None:
-        """Note that a try certainly changed nothing and never will."""
+        """Record that an attempt changed nothing and never will."""
         self._open_by_boot.pop(boot, None)
 
     def record_own_failures(self) -> None:
-        """Note that no write of this process can be done any more."""
+        """Record that no write of this process itself can take effect any more."""
         self._open_by_boot = {
             boot: attempt
             for boot, attempt in self._open_by_boot.items()
@@ -79,7 +83,7 @@
         }
 
     def record_success(self, boot: float) -> None:
-        """Note that a try took effect: none made before it can any more."""
+        """Record that an attempt took effect, so that no earlier one can any more."""
         attempt = self._open_by_boot.get(boot)
         if attempt is not None and (
             self._last_success is None or self._last_success.boot < boot
--- a/src/ragwortkeel/budget/write_order.py
+++ b/src/ragwortkeel/budget/write_order.py
@@ -1,17 +1,16 @@
-"""Which process writes the ledgers next, and for whom.
-
-Pattern of load: dozens of processes renew their slices twice a second in one object
-by conditional writes.  Each write voids all others that were prepared beside it, so
-the tries grow with the square of the processes: with 21 of them most had not got a
-write through 14 s after their start.
-
-So whoever writes takes the others' renewals along, and a process that was renewed by
-somebody else's write has no reason to write itself.  All go by one order of names:
-the first of those that hear each other writes each `RENEWAL_INTERVAL_SECONDS`, the
-second only after `RANK_DELAY_SECONDS` more without a renewal, and so on.  Nobody is
-elected and nobody
-has to agree: two that write at once, as in a partition, cost a refused write, and one
-that is killed, frozen or cut off is stood in for after a step.
+"""The order in which processes write the ledgers.
+
+Dozens of processes renew their slices twice a second in one object by conditional
+writes.  Each write makes all other writes that are prepared at the same time fail, so
+attempts grow with the square of the number of processes: with 21 processes that all
+write, most have not completed a write 14 s after their start.
+
+So one process writes the renewals of all, and a process that was renewed by it doesn't
+write.  All processes use the same order of names: the first of those that are connected
+writes each `RENEWAL_INTERVAL_SECONDS`, the second only after `RANK_DELAY_SECONDS` more
+without a renewal, and so on.  This needs no election and no agreement: two processes
+that write at once, as in a partition, cost a refused write, and when the first one is
+killed, suspended or disconnected, the next one writes after a rank delay.
 """
 
 from collections.abc import Iterable
@@ -21,46 +20,59 @@
 from random import Random
 
 RENEWAL_INTERVAL_SECONDS = 0.5
-"""Between renewals.  A cap holds the demand of two, and is charged for nothing
-where a process dies."""
+"""Interval between renewals.
+
+The headroom of a cap covers at least the demand of one interval, and a crash of the
+process charges it without use.
+"""
 
 RANK_DELAY_SECONDS = 0.15
-"""How much later the next process in the order writes: several times what a write
-takes with the calls for renewals before it, 45 ms."""
+"""Delay of each further process in the order.
+
+It is several times the 45 ms that a write takes with the request for renewals before
+it.
+"""
 
 LATENCY_CLASS_SECONDS = 0.04
-"""Writes that take less count as equally quick: 5 to 20 ms, straight or through a
-peer.  Each step of the order is as much slower."""
+"""Range of write durations that share a latency class.
+
+The first class covers writes of 5 to 20 ms, direct or through a peer.
+"""
 
 FALLBACK_WRITES_PER_SECOND = 8.0
-"""Of all processes together that are not the first in the order."""
+"""Rate of writes of all processes together that aren't the first in the order."""
 
 UNREACHABLE_LATENCY_CLASS = 9
-"""Of a process that does not reach the platform, behind all that do."""
+"""Class of a process that can't reach the platform, after all that can."""
 
 SLOW_LATENCY_CLASS = 4
-"""From here on a write is slower than an instance or its link makes it: 0.16 s."""
+"""Class, from 0.16 s on, that a slow instance or link alone does not explain."""
 
 MIN_SLOW_WRITERS = 2
-"""So many processes that write so slowly show that the platform is slow."""
+"""Number of processes in slow classes that shows that the platform itself is slow."""
 
 MIN_BACKOFF_SECONDS = 0.02
-"""After a write that was refused as another came first; a write takes about 10 ms."""
+"""Longest backoff after the first write that lost to another one.
+
+A write takes about 10 ms.
+"""
 
 MAX_BACKOFF_SECONDS = 0.6
-"""The pause doubles up to here: dozens of processes that start at once and must each
-write once share the object with few collisions then."""
+"""Longest backoff after many writes in a row that lost to another one.
+
+With it, dozens of processes that start at once and each have to write collide rarely.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Writer:
-    """A process that may write for others.
+    """A process that may write for its peers.
 
     Attributes
     ----------
     latency_class : int
-        How slowly it writes, as `latency_class_of` says; unlike instances and links
-        differ by ten times, and a slow writer is outrun by every other one.
+        Class of its write duration, see `latency_class_of`.  Instances and links differ
+        by a factor of ten, and the writes of a slow writer lose to all others.
     """
 
     name: str
@@ -68,16 +80,16 @@
 
     @property
     def sort_key(self) -> tuple[int, bytes]:
-        """Where it stands in the order; by hash of the name among equally quick ones.
+        """Sort key in the order: the latency class, then a hash of the name.
 
-        Names often sort by availability zone, and one zone's processes would then be
-        the first of all.
+        Names often sort by availability zone, so without the hash the processes of one
+        zone would come before all others.
         """
         return self.latency_class, _name_hash(self.name)
 
 
 def latency_class_of(write_seconds: float, *, reachable: bool) -> int:
-    """Return how slow a process is that needs so long for a write; 0 is quick."""
+    """Return the latency class of a process by its write duration; 0 is the fastest."""
     if not reachable:
         return UNREACHABLE_LATENCY_CLASS
     return min(
@@ -86,59 +98,59 @@
 
 
 def rank_of(writer: Writer, others: Iterable[Writer]) -> int:
-    """Return how many of the others come before this process."""
+    """Return how many of the other processes come before this one in the order."""
     own, *ranked = _equalize_slow_writers([writer, *others])
     return sum(1 for other in ranked if other.sort_key < own.sort_key)
 
 
 def first_writer(writers: Iterable[Writer]) -> Writer | None:
-    """Return the process that writes for these, or None where there are none."""
+    """Return the first process in the order, or None without any process."""
     ranked = _equalize_slow_writers(writers)
     return min(ranked, key=lambda writer: writer.sort_key, default=None)
 
 
 def _equalize_slow_writers(writers: Iterable[Writer]) -> list[Writer]:
-    """Return the writers as equally quick, where the platform is what is slow.
+    """Return the writers, none faster than the slowest one if the platform is slow.
 
-    Pattern of load: the platform takes a quarter of a second.  Only who writes has
-    measured that, so each would be followed by one that has not written yet, which
-    has to find its way to the platform and to read the ledgers first.
+    Only a process that writes measures a slow platform.  By its measured class it would
+    be replaced by a process that has not written yet and first has to connect to the
+    platform and to read the ledgers, and so on through all processes.
     """
     writers = list(writers)
     slow = [
-        one.latency_class
-        for one in writers
-        if SLOW_LATENCY_CLASS <= one.latency_class < UNREACHABLE_LATENCY_CLASS
+        entry.latency_class
+        for entry in writers
+        if SLOW_LATENCY_CLASS <= entry.latency_class < UNREACHABLE_LATENCY_CLASS
     ]
     if len(slow) < MIN_SLOW_WRITERS:
         return writers
     return [
-        replace(one, latency_class=max(one.latency_class, *slow)) for one in writers
+        replace(entry, latency_class=max(entry.latency_class, *slow))
+        for entry in writers
     ]
 
 
 def write_delay(rank: int, *, rank_delay_seconds: float = RANK_DELAY_SECONDS) -> float:
-    """Return the seconds since its last renewal after which a process writes."""
+    """Return how many seconds after its last renewal a process of this rank writes."""
     return RENEWAL_INTERVAL_SECONDS + rank * rank_delay_seconds
 
 
 class FallbackWriter:
-    """When a process writes that is not the first, once nobody answers it.
+    """Decides when a process writes that isn't the first and that gets no reply.
 
-    Pattern of load: the platform, the way to it or the first process is slow while
-    callers wait for tokens everywhere.  If each process then wrote by itself, the
-    writes would void each other, each refusal would bring all ledgers along, and what
-    was slow would stay so for as long as callers come.  So each waits for a random part
-    of a time that grows with the fleet, and whoever is answered meanwhile writes
-    nothing: the fleet's writes stay at about `FALLBACK_WRITES_PER_SECOND` however many
-    processes it has.
+    The platform, the link to it or the first writer may be slow while callers wait for
+    tokens at all processes.  If each process then wrote, the writes would make each
+    other fail, each refusal would transfer all ledgers, and the slowness would last.
+    So each process waits for a random fraction of a time that grows with the fleet, and
+    writes only if it gets no reply meanwhile.  The writes of the fleet stay at about
+    `FALLBACK_WRITES_PER_SECOND` for any number of processes.
 
     Examples
     --------
-    >>> stand_in = FallbackWriter(random=Random(0))
-    >>> stand_in.may_write(processes=68, now=0.0)
+    >>> fallback_writer = FallbackWriter(random=Random(0))
+    >>> fallback_writer.may_write(processes=68, now=0.0)
     False
-    >>> stand_in.may_write(processes=68, now=2 * 68 / FALLBACK_WRITES_PER_SECOND)
+    >>> fallback_writer.may_write(processes=68, now=2 * 68 / FALLBACK_WRITES_PER_SECOND)
     True
     """
 
@@ -147,7 +159,7 @@
         self._writes_at: float | None = None
 
     def may_write(self, *, processes: int, now: float) -> bool:
-        """Whether to write at this second; a write that is allowed counts as made."""
+        """Return whether to write now; after True the next wait begins."""
         if self._writes_at is None:
             longest = 2 * processes / FALLBACK_WRITES_PER_SECOND
             self._writes_at = now + longest * self._random.random()
@@ -157,12 +169,12 @@
         return True
 
     def reset(self) -> None:
-        """Note that another process writes for this one."""
+        """Start the wait anew, as another process writes for this one."""
         self._writes_at = None
 
 
 def backoff_seconds(refusals: int, random: Random) -> float:
-    """Return how long to wait after so many refused writes in a row."""
+    """Return the seconds to wait after refused writes in a row, a random backoff."""
     longest = min(MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS * 2**refusals)
     return longest * random.random()
 
