--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -321,7 +321,7 @@
         "handed",
         "a late start closes no living process",
         "budget/delegation.py",
-        "if any(one.holder not in start.predecessors for one in stopped):",
+        "if any(entry.holder not in start.predecessors for entry in stopped):",
         "if False:",
     ),
     _guard(
--- a/src/ragwortkeel/budget/allowance.py
+++ b/src/ragwortkeel/budget/allowance.py
@@ -142,7 +142,7 @@
     def holders(self) -> int:
         """Number of processes in the ledger that names most of them."""
         accounts = self._account_by_customer.values()
-        return max((one.ledger.holders for one in accounts), default=0)
+        return max((account.ledger.holders for account in accounts), default=0)
 
     def grow(self, elapsed_seconds: float) -> None:
         """Set the growth of all caps by the seconds since the last attempt to write."""
@@ -279,7 +279,7 @@
             boot=self._started.boot,
             wall=self._started.wall,
             latest=self._started.latest,
-            predecessors=tuple(one.holder for one in self.predecessors(shard)),
+            predecessors=tuple(entry.holder for entry in self.predecessors(shard)),
         )
 
 
--- a/src/ragwortkeel/budget/delegation.py
+++ b/src/ragwortkeel/budget/delegation.py
@@ -59,7 +59,7 @@
         monotonic=0.0, boot=start.boot, wall=start.wall, latest=start.latest
     )
     stopped = find_predecessors(shard, holder=holder, started=started)
-    if any(one.holder not in start.predecessors for one in stopped):
+    if any(entry.holder not in start.predecessors for entry in stopped):
         raise RenewalVoid(holder=holder)
     return close_predecessors(shard, stopped)
 
--- a/tests/budget/allowance_world.py
+++ b/tests/budget/allowance_world.py
@@ -1,4 +1,4 @@
-"""The processes, their machines and the platform of the random walks over budgets."""
+"""Processes, instances and the platform for random walks over ingress budgets."""
 
 from dataclasses import dataclass, field
 
@@ -16,45 +16,45 @@
 
 @dataclass
 class Write:
-    """A conditional write that is on its way, or was lost and comes late."""
+    """A conditional write in transit, which may arrive late."""
 
     version: int
     shard: Shard
 
 
 @dataclass
-class Machine:
-    """An instance: its clocks, and the process that runs on it now."""
+class Instance:
+    """An instance, its clocks and the process that runs on it."""
 
     name: str
     starts: int = 0
     suspended: float = 0.0
     booted_at: float = 0.0
-    wall_off: float = 0.0
+    wall_offset: float = 0.0
     allowances: Allowances | None = None
     merged: bool = False
-    tried_at: Reading | None = None
+    attempted_at: Reading | None = None
     read: tuple[int, Shard] | None = None
-    tried_version: int = 0
-    hears: bool = True
-    patience: int = 0
-    open_holds: list = field(default_factory=list)
-    handed_boots: set = field(default_factory=set)
-    starts_handed: set = field(default_factory=set)
-    seen: Shard | None = None
-
-    def void(self, boot):
-        """Forget messages made up to here: none of them can be written any more."""
-        self.handed_boots = {made for made in self.handed_boots if made > boot}
+    attempted_version: int = 0
+    has_fleet_time: bool = True
+    clock_waits_left: int = 0
+    open_reservations: list = field(default_factory=list)
+    delegated_boots: set = field(default_factory=set)
+    delegated_starts: set = field(default_factory=set)
+    seen_shard: Shard | None = None
+
+    def discard_messages_until(self, boot):
+        """Discard messages up to this boot time, which can't be written any more."""
+        self.delegated_boots = {other for other in self.delegated_boots if other > boot}
 
     def reading(self, now):
-        # Of the clocks that the fleet shows one at least is right.
+        # At least one clock of the fleet is right.
         return Reading(
             monotonic=now - self.booted_at - self.suspended,
             boot=now - self.booted_at,
-            wall=now + self.wall_off,
-            earliest=now + min(0.0, self.wall_off) if self.hears else None,
-            latest=now + max(0.0, self.wall_off) if self.hears else None,
+            wall=now + self.wall_offset,
+            earliest=now + min(0.0, self.wall_offset) if self.has_fleet_time else None,
+            latest=now + max(0.0, self.wall_offset) if self.has_fleet_time else None,
         )
 
     def start(self, now):
@@ -63,76 +63,78 @@
             holder=f"{self.name}/{self.starts}", started=self.reading(now)
         )
         self.merged = False
-        self.patience = 2
-        self.tried_at = None
+        self.clock_waits_left = 2
+        self.attempted_at = None
         self.read = None
-        self.tried_version = 0
-        self.open_holds = []
-        self.handed_boots = set()
-        self.starts_handed = set()
-        self.seen = None
+        self.attempted_version = 0
+        self.open_reservations = []
+        self.delegated_boots = set()
+        self.delegated_starts = set()
+        self.seen_shard = None
 
-    def die(self):
+    def crash(self):
         self.allowances = None
-        self.open_holds = []
+        self.open_reservations = []
 
 
 class AllowanceWorld:
-    """Counts what truly ran, beside what the ledgers say.
+    """A fleet that counts the spend of all runs independently of the ledgers.
 
-    A run takes effect when it is reserved, as the upstream may do all of it while
-    its process is dead; a settle that the process still sees corrects it.
+    A run counts with its reservation, as the upstream may complete it after a crash of
+    the process; a settlement that the process still makes corrects that.
     """
 
     def __init__(
         self,
-        machines=3,
+        instances=3,
         *,
-        forgets_growth=False,
-        counts_from_done=False,
+        ignores_growth=False,
+        counts_from_success=False,
         withdraws_at_once=False,
     ):
         self.now = 10.0
         self.version = 0
         self.shard = None
-        self.late: list[Write] = []
-        self.late_messages: list[tuple[Machine, HandedRenewals]] = []
+        self.late_writes: list[Write] = []
+        self.late_messages: list[tuple[Instance, HandedRenewals]] = []
         self.revision = 1
         self.prepaid = dict(PREPAID)
         self.highest_prepaid = dict(PREPAID)
         self.spent = dict.fromkeys(PREPAID, 0)
-        self.machines = [Machine(name=f"m{i}") for i in range(machines)]
-        self.forgets_growth = forgets_growth
-        self.counts_from_done = counts_from_done
+        self.instances = [Instance(name=f"m{i}") for i in range(instances)]
+        self.ignores_growth = ignores_growth
+        self.counts_from_success = counts_from_success
         self.withdraws_at_once = withdraws_at_once
-        for machine in self.machines:
-            machine.start(self.now)
+        for instance in self.instances:
+            instance.start(self.now)
 
     def live(self):
-        return [m for m in self.machines if m.allowances is not None]
+        return [each for each in self.instances if each.allowances is not None]
 
-    # What happens to a process.
+    # Events at a process.
 
-    def reserve(self, machine, customer, tokens):
-        machine.allowances.record_demand(
-            customer, tokens, machine.reading(self.now).monotonic
+    def reserve(self, instance, customer, tokens):
+        instance.allowances.record_demand(
+            customer, tokens, instance.reading(self.now).monotonic
         )
-        self.grow(machine)
-        account = machine.allowances.account(customer)
-        hold = account.reserve(tokens)
-        if hold is None:
+        self.grow(instance)
+        account = instance.allowances.account(customer)
+        reservation = account.reserve(tokens)
+        if reservation is None:
             account.waiting_tokens = tokens
             return False
         account.waiting_tokens = 0
-        machine.open_holds.append(hold)
+        instance.open_reservations.append(reservation)
         self.spent[customer] += tokens
         return True
 
-    def settle(self, machine, share):
-        hold = machine.open_holds.pop()
-        spent = int(hold.tokens * share)
-        machine.allowances.account(hold.customer).settle(hold, spent=spent)
-        self.spent[hold.customer] -= hold.tokens - spent
+    def settle(self, instance, share):
+        reservation = instance.open_reservations.pop()
+        spent = int(reservation.tokens * share)
+        instance.allowances.account(reservation.customer).settle(
+            reservation, spent=spent
+        )
+        self.spent[reservation.customer] -= reservation.tokens - spent
 
     def lend(self, lender, asker, customer, *, arrives):
         need = asker.allowances.account(customer).need(0.0)
@@ -144,115 +146,128 @@
         if arrives:
             asker.allowances.account(customer).borrow(tokens)
 
-    def grow(self, machine):
-        if machine.tried_at is not None:
-            reading = machine.reading(self.now)
-            machine.allowances.grow(reading.min_seconds_since(machine.tried_at))
+    def grow(self, instance):
+        if instance.attempted_at is not None:
+            reading = instance.reading(self.now)
+            instance.allowances.grow(reading.min_seconds_since(instance.attempted_at))
 
-    # Renewals, in the steps between which anything may happen.
+    # Renewals, in steps between which any other event may occur.
 
-    def read_ledger(self, machine):
-        machine.read = (self.version, self.shard or Shard())
-        machine.seen = self.shard
-        machine.allowances.resolve(machine.read[1])
-        outran = self.version > machine.tried_version and not machine.handed_boots
+    def read_ledger(self, instance):
+        instance.read = (self.version, self.shard or Shard())
+        instance.seen_shard = self.shard
+        instance.allowances.resolve(instance.read[1])
+        outran = (
+            self.version > instance.attempted_version and not instance.delegated_boots
+        )
         if outran or self.withdraws_at_once:
-            machine.allowances.withdraw()
+            instance.allowances.withdraw()
+
+    def write_ledger(self, instance, fate):
+        """Send the write.
 
-    def write_ledger(self, machine, fate):
-        """Send the write; `fate` is done, refused, lost or late."""
-        if machine.read is None:
+        `fate` is done, refused, lost (applied, but the answer is lost) or late.
+        """
+        if instance.read is None:
             return
-        version, shard = machine.read
-        machine.read = None
-        machine.tried_version = version
-        reading = machine.reading(self.now)
+        version, shard = instance.read
+        instance.read = None
+        instance.attempted_version = version
+        reading = instance.reading(self.now)
         renewed = shard.provisioned(self.prepaid, self.revision)
-        machine.allowances.bound_start_time(reading)
-        merges = not machine.merged and (
-            machine.patience <= 0 or not machine.allowances.lacks_fleet_time(renewed)
+        instance.allowances.bound_start_time(reading)
+        merges = not instance.merged and (
+            instance.clock_waits_left <= 0
+            or not instance.allowances.lacks_fleet_time(renewed)
         )
-        machine.patience -= 1
+        instance.clock_waits_left -= 1
         if merges:
-            renewed = machine.allowances.charge_predecessors(renewed)
-        renewed = machine.allowances.renewed(renewed, reading)
+            renewed = instance.allowances.charge_predecessors(renewed)
+        renewed = instance.allowances.renewed(renewed, reading)
         if fate == "refused":
             return
-        if not self.counts_from_done:
-            machine.tried_at = reading
+        if not self.counts_from_success:
+            instance.attempted_at = reading
         write = Write(version=version, shard=renewed)
         if fate == "late":
-            self.late.append(write)
+            self.late_writes.append(write)
             return
         done = self.apply(write)
         if done and fate == "done":
-            machine.allowances.resolve(renewed)
-            machine.void(reading.boot)
-            machine.merged = machine.merged or merges
-            machine.tried_at = reading
+            instance.allowances.resolve(renewed)
+            instance.discard_messages_until(reading.boot)
+            instance.merged = instance.merged or merges
+            instance.attempted_at = reading
 
-    def hand_over(self, machine, fate):
+    def delegate(self, instance, fate):
         """Send renewals to a peer; `fate` is done, refused, lost or late.
 
-        Refused and lost: they are never written, and the sender is told or not.
+        Refused and lost renewals are never written; only of refused ones the sender
+        gets a reply.
         """
-        reading = machine.reading(self.now)
-        if machine.seen is None or reading.boot in machine.handed_boots:
+        reading = instance.reading(self.now)
+        if instance.seen_shard is None or reading.boot in instance.delegated_boots:
             return
         start = None
-        if not machine.merged:
-            machine.allowances.bound_start_time(reading)
-            machine.patience -= 1
-            if machine.patience > 0 and machine.allowances.lacks_fleet_time(
-                machine.seen
+        if not instance.merged:
+            instance.allowances.bound_start_time(reading)
+            instance.clock_waits_left -= 1
+            if instance.clock_waits_left > 0 and instance.allowances.lacks_fleet_time(
+                instance.seen_shard
             ):
                 return
-            start = machine.allowances.start(machine.seen)
-            machine.starts_handed.add(reading.boot)
-        handed = machine.allowances.delegate_renewals(
+            start = instance.allowances.start(instance.seen_shard)
+            instance.delegated_starts.add(reading.boot)
+        delegated = instance.allowances.delegate_renewals(
             reading, urgent=False, start=start
         )
-        machine.tried_at = reading
-        machine.handed_boots.add(reading.boot)
+        instance.attempted_at = reading
+        instance.delegated_boots.add(reading.boot)
         match fate:
             case "refused":
-                machine.handed_boots.discard(reading.boot)
+                instance.delegated_boots.discard(reading.boot)
             case "late":
-                self.late_messages.append((machine, handed))
+                self.late_messages.append((instance, delegated))
             case "done":
-                self.write_for(machine, handed)
+                self.write_for(instance, delegated)
 
-    def write_for(self, machine, handed, *, answers=True):
-        """Let a peer write what it was handed, at the newest version."""
+    def write_for(self, instance, delegated, *, answers=True):
+        """Let a peer write renewals that it received, at the newest version."""
         try:
-            shard = apply_delegated(self.shard, handed)
+            shard = apply_delegated(self.shard, delegated)
         except (RenewalVoid, RouterSealed, LedgerError):
             return
         self.apply(Write(version=self.version, shard=shard))
-        alive = machine.allowances
-        if not answers or alive is None or alive.holder != handed.holder:
+        live_allowances = instance.allowances
+        if (
+            not answers
+            or live_allowances is None
+            or live_allowances.holder != delegated.holder
+        ):
             return
-        alive.receive_written(
+        live_allowances.receive_written(
             RenewalsWritten(
-                boot=handed.stamp.boot,
+                boot=delegated.stamp.boot,
                 outcome=WriteOutcome.DONE,
                 grant_by_customer={
-                    name: shard.ledger_by_customer[name].grants[handed.holder]
-                    for name in handed.renewal_by_customer
+                    name: shard.ledger_by_customer[name].grants[delegated.holder]
+                    for name in delegated.renewal_by_customer
                 },
                 summary_by_customer=shard.summaries(),
             )
         )
-        machine.merged = machine.merged or handed.stamp.boot in machine.starts_handed
-        machine.void(handed.stamp.boot)
+        instance.merged = (
+            instance.merged or delegated.stamp.boot in instance.delegated_starts
+        )
+        instance.discard_messages_until(delegated.stamp.boot)
 
-    def close(self, machine):
-        """Stop as planned; what is open is cut and charged at its most."""
-        machine.allowances.charge_open()
-        self.read_ledger(machine)
-        version, shard = machine.read
-        self.apply(Write(version=version, shard=machine.allowances.closed(shard)))
-        machine.die()
+    def close(self, instance):
+        """Stop a process as planned; open requests are charged their reservations."""
+        instance.allowances.charge_open()
+        self.read_ledger(instance)
+        version, shard = instance.read
+        self.apply(Write(version=version, shard=instance.allowances.closed(shard)))
+        instance.crash()
 
     def apply(self, write):
         if write.version != self.version:
@@ -261,25 +276,25 @@
         self.shard = write.shard
         return True
 
-    # Machines, clocks and operators.
+    # Instances, clocks and operators.
 
-    def restart(self, machine, *, power_lost, boot=0.0):
-        machine.die()
+    def restart(self, instance, *, power_lost, boot=0.0):
+        instance.crash()
         if power_lost:
-            machine.booted_at = self.now - boot
-            machine.suspended = 0.0
-        machine.start(self.now)
-        if self.forgets_growth:
-            reading = machine.reading(self.now)
-            machine.allowances.charge_predecessors = lambda shard: _trusting(
-                machine.allowances, shard, reading
+            instance.booted_at = self.now - boot
+            instance.suspended = 0.0
+        instance.start(self.now)
+        if self.ignores_growth:
+            reading = instance.reading(self.now)
+            instance.allowances.charge_predecessors = lambda shard: _trusting(
+                instance.allowances, shard, reading
             )
 
     def top_up(self, customer, tokens):
         self.prepaid = self.prepaid | {customer: self.prepaid[customer] + tokens}
         self.revision += 1
 
-    # What must hold.
+    # Invariants.
 
     def check(self):
         for customer, spent in self.spent.items():
@@ -289,7 +304,7 @@
 
 
 def _trusting(allowances, shard, reading):
-    """Merge as if every predecessor had died right after its last write."""
+    """Charge predecessors as if each had crashed right after its last write."""
     young = {
         holder: stamp.__class__(boot=reading.boot, wall=reading.wall)
         for holder, stamp in shard.stamp_by_holder.items()
--- a/tests/budget/fleet_model.py
+++ b/tests/budget/fleet_model.py
@@ -1,8 +1,8 @@
-"""A fleet of processes that serve requests out of shared budgets, without a network.
+"""A model of a fleet of processes that serve requests from shared budgets.
 
-One process writes the ledgers for all at a fixed pace, as `budget.write_order` has it;
-each request waits for tokens where its process has none.  Time goes in steps, and all
-randomness is a seeded generator's.
+There is no network.  One process writes the ledgers for all at a fixed interval, as in
+`budget.write_order`, and each request waits for tokens if its process has too few.
+Time advances in steps, and a seeded generator supplies all randomness.
 """
 
 from dataclasses import dataclass, field
@@ -14,57 +14,57 @@
 from ragwortkeel.budget.shards import Shard
 from ragwortkeel.messages import RenewalsWritten, Start, WriteOutcome
 
-STEP_SECONDS = 0.04
-"""Between two writes of the ledgers while callers wait."""
+WRITE_INTERVAL_SECONDS = 0.04
+"""Interval between writes of the ledgers while callers wait."""
 
 WAIT_SECONDS = 0.7
-"""How long a request waits for tokens."""
+"""Longest wait of a request for tokens."""
 
 
 @dataclass(kw_only=True)
 class Request:
-    """One request: what it sets aside and what it takes, in tokens."""
+    """A request, with the tokens that it reserves and spends."""
 
     customer: str
     tokens: int
     spent: int
     seconds: float
-    arrived: float
-    hold: object = None
+    arrived_at: float
+    reservation: object = None
     ends_at: float = 0.0
 
 
 @dataclass(kw_only=True)
 class Result:
-    """What became of the requests."""
+    """The outcomes of all requests."""
 
     served: int = 0
     refused: int = 0
-    refused_with_tokens: int = 0
-    waited: list = field(default_factory=list)
+    refused_despite_tokens: int = 0
+    waited_seconds: list = field(default_factory=list)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Loss:
-    """What a loss of power of all did to one customer's tokens.
+    """The tokens of one customer at a loss of power of all processes.
 
-    `open` was set aside for requests that it cut, `untold` was spent and not told yet;
-    `charged` is what the ledger took for both.
+    `open` were reserved for requests that were cut, `unreported` were spent without a
+    report to the ledger, and `charged` are those that the ledger charged for both.
     """
 
     unspent: int
     open: int
-    untold: int
+    unreported: int
     charged: int
 
     @property
-    def for_nothing(self) -> int:
-        """Tokens that were charged and that no request can have taken."""
-        return self.charged - self.open - self.untold
+    def unused_charge(self) -> int:
+        """Tokens that were charged and that no request can have spent."""
+        return self.charged - self.open - self.unreported
 
 
 class Fleet:
-    """Processes with slices of the same ledgers."""
+    """Processes that hold slices of the same ledgers."""
 
     def __init__(self, *, processes: int, prepaid: dict[str, int], seed: int) -> None:
         self.now = 0.0
@@ -90,7 +90,7 @@
             self._renew(one, start=one.start(self.shard))
 
     def reading(self):
-        """Return the clocks; those of the fleet are known to a tenth of a second."""
+        """Return all clocks, with the fleet time known to a tenth of a second."""
         wall = self.now + 1000.0
         return Reading(
             monotonic=self.now,
@@ -101,7 +101,7 @@
         )
 
     def lose_power(self, *, seconds: float) -> dict[str, Loss]:
-        """Start all processes anew, and return by customer what that cost."""
+        """Restart all processes, and return each customer's loss."""
         accounts_by_customer = {
             name: [one.account(name) for one in self.allowances]
             for name in self.prepaid
@@ -115,7 +115,7 @@
             name: Loss(
                 unspent=before[name].prepaid - before[name].total_spent,
                 open=sum(one.slice.reserved for one in accounts),
-                untold=sum(one.slice.unsettled for one in accounts),
+                unreported=sum(one.slice.unsettled for one in accounts),
                 charged=self.shard.ledger_by_customer[name].total_spent
                 - before[name].total_spent,
             )
@@ -123,7 +123,7 @@
         }
 
     def arrive(self, request):
-        """Let a request arrive at a random process."""
+        """Send a request to a random process."""
         index = self.random.randrange(len(self.allowances))
         allowances = self.allowances[index]
         allowances.record_demand(request.customer, request.tokens, self.now)
@@ -132,38 +132,38 @@
             self.waiting.append((index, request))
 
     def step(self):
-        """Go on by one write of the ledgers."""
-        self.now += STEP_SECONDS
+        """Advance the time to the next write of the ledgers."""
+        self.now += WRITE_INTERVAL_SECONDS
         for index, request in [
             one for one in self.running if one[1].ends_at <= self.now
         ]:
             self.running.remove((index, request))
             account = self.allowances[index].account(request.customer)
-            account.settle(request.hold, spent=request.spent)
-        ticks = round(self.now / STEP_SECONDS)
-        in_need = {index for index, _ in self.waiting}
+            account.settle(request.reservation, spent=request.spent)
+        write_count = round(self.now / WRITE_INTERVAL_SECONDS)
+        waiting_indexes = {index for index, _ in self.waiting}
         for index, one in enumerate(self.allowances):
-            if index in in_need or (ticks + index) % 12 == 0:
+            if index in waiting_indexes or (write_count + index) % 12 == 0:
                 self._renew(one)
         for index, request in list(self.waiting):
             account = self.allowances[index].account(request.customer)
-            late = self.now - request.arrived > WAIT_SECONDS
+            late = self.now - request.arrived_at > WAIT_SECONDS
             if not self._reserve(index, request) and not late:
                 continue
             account.waiting_tokens -= request.tokens
             self.waiting.remove((index, request))
-            if request.hold is None:
+            if request.reservation is None:
                 self._refuse(request)
 
     def _reserve(self, index, request):
         account = self.allowances[index].account(request.customer)
-        request.hold = account.reserve(request.tokens)
-        if request.hold is None:
+        request.reservation = account.reserve(request.tokens)
+        if request.reservation is None:
             return False
         request.ends_at = self.now + request.seconds
         self.running.append((index, request))
         self.result.served += 1
-        self.result.waited.append(self.now - request.arrived)
+        self.result.waited_seconds.append(self.now - request.arrived_at)
         return True
 
     def _refuse(self, request):
@@ -173,19 +173,19 @@
             one.tokens for _, one in self.running if one.customer == request.customer
         )
         if ledger.prepaid - ledger.total_spent - held >= request.tokens:
-            self.result.refused_with_tokens += 1
+            self.result.refused_despite_tokens += 1
 
     def _renew(self, allowances, *, start: Start | None = None):
         reading = self.reading()
-        handed = allowances.delegate_renewals(reading, urgent=False, start=start)
-        self.shard = apply_delegated(self.shard, handed)
+        delegated = allowances.delegate_renewals(reading, urgent=False, start=start)
+        self.shard = apply_delegated(self.shard, delegated)
         allowances.receive_written(
             RenewalsWritten(
-                boot=handed.stamp.boot,
+                boot=delegated.stamp.boot,
                 outcome=WriteOutcome.DONE,
                 grant_by_customer={
-                    name: self.shard.ledger_by_customer[name].grants[handed.holder]
-                    for name in handed.renewal_by_customer
+                    name: self.shard.ledger_by_customer[name].grants[delegated.holder]
+                    for name in delegated.renewal_by_customer
                 },
                 summary_by_customer=self.shard.summaries(),
             )
--- a/tests/budget/test_allowance.py
+++ b/tests/budget/test_allowance.py
@@ -1,4 +1,4 @@
-"""Sizes of slices and caps, and what they answer."""
+"""Sizes of slices and caps of ingress processes."""
 
 from ragwortkeel.budget.allowance import (
     HEADROOM_RENEWALS,
@@ -16,52 +16,53 @@
     return Reading(monotonic=now, boot=now, wall=now)
 
 
-def busy(took, *, seconds=20, per_second=1000):
-    """Return an account after seconds of even demand; renewals take so long."""
+def busy(renewal_seconds, *, seconds=20, per_second=1000):
+    """Return allowances and shard after even demand with renewals of this duration."""
     allowances = Allowances(holder="i/1", started=reading(0.0))
     shard = Shard().provisioned({"surco": PREPAID}, revision=1)
     for second in range(1, seconds):
         allowances.record_demand("surco", per_second, float(second))
-        allowances.record_renewal_seconds(took)
+        allowances.record_renewal_seconds(renewal_seconds)
         shard = allowances.renewed(shard, reading(float(second)))
         allowances.resolve(shard)
     return allowances, shard
 
 
 class TestCaps:
-    def test_a_quick_platform_needs_little_room(self):
+    def test_a_fast_platform_needs_little_headroom(self):
         allowances, _ = busy(0.02)
         assert allowances.headroom_seconds == HEADROOM_SECONDS
 
     def test_a_slow_platform_gets_caps_that_last_until_the_next_renewal(self):
-        """Callers are refused for seconds although their tokens lie in the slice.
+        """Guards against refusals for seconds although the slice has the tokens.
 
-        The platform was slow and four processes wrote to one ledger; each renewal
-        took two seconds, and the cap held the demand of one.
+        On a slow platform, with four processes that write to one ledger, a renewal
+        takes 2 s and the cap covers the demand of 1 s.
         """
-        # Well above the least room that every cap has, or that alone would do.
+        # The demand is well above the minimum headroom of every cap, which would
+        # otherwise pass the test alone.
         allowances, _ = busy(2.0, per_second=10_000)
         account = allowances.account("surco")
         assert account.cap_headroom >= 2 * 2.0 * 10_000
         assert account.free >= account.cap_headroom
 
-    def test_a_request_that_waits_for_room_gets_it_by_one_renewal(self):
-        """A caller is refused though the platform answers and its tokens are there.
+    def test_a_request_that_waits_for_headroom_gets_it_by_one_renewal(self):
+        """Guards against a refusal although tokens are available.
 
-        The cap left room for most of a large request.  The renewal added only what
-        was missing, to a cap counted anew, which left less room than before.
+        The cap has headroom for most of a large request.  A renewal that adds only the
+        shortfall to a new cap leaves less headroom than before.
         """
         allowances, shard = busy(0.5, per_second=10_000)
         account = allowances.account("surco")
-        large = account.cap_headroom + 500
-        assert large < account.free
-        assert account.reserve(large) is None
-        account.waiting_tokens = large
+        large_request_tokens = account.cap_headroom + 500
+        assert large_request_tokens < account.free
+        assert account.reserve(large_request_tokens) is None
+        account.waiting_tokens = large_request_tokens
         allowances.resolve(allowances.renewed(shard, reading(20.0)))
-        assert account.reserve(large) is not None
+        assert account.reserve(large_request_tokens) is not None
 
-    def test_nothing_is_given_back_that_a_request_waits_for(self):
-        """The same, once more: the slice gave back what was to be set aside."""
+    def test_tokens_that_a_request_waits_for_are_not_given_back(self):
+        """Guards against a renewal that gives back tokens a waiting request needs."""
         allowances, shard = busy(0.5)
         account = allowances.account("surco")
         account.waiting_tokens = account.free
@@ -70,14 +71,14 @@
         allowances.resolve(shard)
         assert account.reserve(account.waiting_tokens) is not None
 
-    def test_an_outage_counts_as_no_slow_renewal(self):
+    def test_an_outage_does_not_count_as_a_slow_renewal(self):
         allowances, _ = busy(60.0)
         longest = HEADROOM_RENEWALS * LONGEST_RENEWAL_SECONDS
         assert allowances.headroom_seconds <= longest
 
 
 class TestSlices:
-    def test_a_customer_without_demand_has_something_for_an_outage(self):
+    def test_a_customer_without_demand_has_tokens_for_an_outage(self):
         allowances, shard = busy(0.5)
         assert allowances.account("surco").free > 0
         other = Shard().provisioned({"maule": PREPAID}, revision=1)
@@ -85,19 +86,19 @@
         allowances.resolve(allowances.renewed(other, reading(1.0)))
         assert allowances.account("maule").free > 0
 
-    def test_what_another_process_lacks_goes_back(self):
-        """Callers of one process are refused while another sits on the tokens."""
+    def test_tokens_that_another_process_lacks_are_given_back(self):
+        """Guards against refusals at one process while another holds free tokens."""
         allowances, shard = busy(0.5)
         account = allowances.account("surco")
-        rest = shard.ledger_by_customer["surco"].rest
+        rest_before = shard.ledger_by_customer["surco"].rest
         account.recall(account.free)
         recalled = account.free
         shard = allowances.renewed(shard, reading(20.0))
         allowances.resolve(shard)
-        assert shard.ledger_by_customer["surco"].rest == rest + recalled
+        assert shard.ledger_by_customer["surco"].rest == rest_before + recalled
         assert not account.returning
 
-    def test_an_older_configuration_undoes_no_top_up(self):
+    def test_an_older_configuration_does_not_undo_a_top_up(self):
         _, shard = busy(0.5)
         topped = shard.provisioned({"surco": 2 * PREPAID}, revision=3)
         assert topped.provisioned({"surco": PREPAID}, revision=2) == topped
--- a/tests/budget/test_allowance_machine.py
+++ b/tests/budget/test_allowance_machine.py
@@ -1,4 +1,4 @@
-"""Budgets of the ingress under random faults, and what each guard is for."""
+"""Budgets of the ingress under random faults, and tests that its guards are needed."""
 
 from random import Random
 
@@ -14,10 +14,10 @@
 
 
 class AllowanceMachine(RuleBasedStateMachine):
-    """A customer must never get more than it paid for, whatever fails.
+    """Guards against customers who spend more than they prepaid.
 
-    Processes take, spend, lend and settle; writes are refused, lost or late; they
-    are killed, lose power, stand still and come back; times of day jump.
+    Processes reserve, settle and lend tokens; their writes are refused, lost or late;
+    they are killed, lose power, are suspended and restart; the time of day jumps.
     """
 
     def __init__(self):
@@ -25,40 +25,40 @@
         self.world = AllowanceWorld()
 
     def process(self, index):
-        machine = self.world.machines[index]
-        return machine if machine.allowances is not None else None
+        instance = self.world.instances[index]
+        return instance if instance.allowances is not None else None
 
     @rule(index=indexes, customer=customers, tokens=st.integers(1, 600))
     def reserve(self, index, customer, tokens):
-        if machine := self.process(index):
-            self.world.reserve(machine, customer, tokens)
+        if instance := self.process(index):
+            self.world.reserve(instance, customer, tokens)
 
     @rule(index=indexes, share=st.floats(0, 1))
     def settle(self, index, share):
-        machine = self.process(index)
-        if machine and machine.open_holds:
-            self.world.settle(machine, share)
+        instance = self.process(index)
+        if instance and instance.open_reservations:
+            self.world.settle(instance, share)
 
     @rule(index=indexes)
     def read(self, index):
-        if machine := self.process(index):
-            self.world.read_ledger(machine)
+        if instance := self.process(index):
+            self.world.read_ledger(instance)
 
     @rule(index=indexes, fate=st.sampled_from(FATES))
     def write(self, index, fate):
-        if machine := self.process(index):
-            self.world.write_ledger(machine, fate)
+        if instance := self.process(index):
+            self.world.write_ledger(instance, fate)
 
     @rule(index=indexes, fate=st.sampled_from(FATES))
     def renew(self, index, fate):
-        if machine := self.process(index):
-            self.world.read_ledger(machine)
-            self.world.write_ledger(machine, fate)
+        if instance := self.process(index):
+            self.world.read_ledger(instance)
+            self.world.write_ledger(instance, fate)
 
     @rule(index=indexes, fate=st.sampled_from(FATES))
     def hand_over(self, index, fate):
-        if machine := self.process(index):
-            self.world.hand_over(machine, fate)
+        if instance := self.process(index):
+            self.world.delegate(instance, fate)
 
     @rule(data=st.data(), answers=st.booleans())
     def late_message(self, data, answers):
@@ -75,26 +75,26 @@
 
     @rule(data=st.data())
     def late_write(self, data):
-        if self.world.late:
-            at = data.draw(st.integers(0, len(self.world.late) - 1))
-            self.world.apply(self.world.late.pop(at))
+        if self.world.late_writes:
+            at = data.draw(st.integers(0, len(self.world.late_writes) - 1))
+            self.world.apply(self.world.late_writes.pop(at))
 
     @rule(index=indexes, power_lost=st.booleans(), boot=st.floats(0, 30_000))
     def kill(self, index, power_lost, boot):
-        machine = self.world.machines[index]
-        self.world.restart(machine, power_lost=power_lost, boot=boot)
+        instance = self.world.instances[index]
+        self.world.restart(instance, power_lost=power_lost, boot=boot)
 
     @rule(power_lost=st.booleans(), boot=st.floats(0, 30_000))
     def kill_all(self, power_lost, boot):
-        for machine in self.world.machines:
-            self.world.restart(machine, power_lost=power_lost, boot=boot)
+        for instance in self.world.instances:
+            self.world.restart(instance, power_lost=power_lost, boot=boot)
 
     @rule(index=indexes)
     def stop(self, index):
-        machine = self.process(index)
-        if machine:
-            self.world.close(machine)
-            machine.start(self.world.now)
+        instance = self.process(index)
+        if instance:
+            self.world.close(instance)
+            instance.start(self.world.now)
 
     @rule(seconds=st.floats(0.1, 6.0))
     def wait(self, seconds):
@@ -103,15 +103,15 @@
     @rule(index=indexes, seconds=st.floats(0.1, 8.0))
     def suspend(self, index, seconds):
         self.world.now += seconds
-        self.world.machines[index].suspended += seconds
+        self.world.instances[index].suspended += seconds
 
     @rule(index=indexes, seconds=st.floats(-1.5, 1.5))
     def step_time_of_day(self, index, seconds):
-        self.world.machines[index].wall_off = seconds
+        self.world.instances[index].wall_offset = seconds
 
-    @rule(index=indexes, hears=st.booleans())
-    def hear_peers(self, index, hears):
-        self.world.machines[index].hears = hears
+    @rule(index=indexes, has_time=st.booleans())
+    def has_peer_clocks(self, index, has_time):
+        self.world.instances[index].has_fleet_time = has_time
 
     @rule(customer=customers, tokens=st.integers(1, 500))
     def top_up(self, customer, tokens):
@@ -133,10 +133,10 @@
 
 
 def walk(seed, **switches):
-    """Play one random day; return whether a customer got too much.
+    """Run one random scenario; return whether a customer spent more than it prepaid.
 
-    Ordinary hours and outages of the platform take turns.  At the end of an outage
-    a process often loses the answer to a write, goes on spending and is killed.
+    Normal operation and outages of the platform alternate.  At the end of an outage a
+    process often loses the answer to a write, continues to spend and is killed.
     """
     random = Random(seed)
     world = AllowanceWorld(**switches)
@@ -148,36 +148,36 @@
             for _ in range(random.randint(10, 45)):
                 outage_step(world, random)
                 world.check()
-            machine = random.choice(world.machines)
+            instance = random.choice(world.instances)
             if random.random() < 0.5:
-                world.read_ledger(machine)
-                world.write_ledger(machine, "lost")
+                world.read_ledger(instance)
+                world.write_ledger(instance, "lost")
                 for _ in range(6):
-                    world.reserve(machine, CUSTOMER, random.randint(1, 150))
+                    world.reserve(instance, CUSTOMER, random.randint(1, 150))
                     world.check()
-            machine.hears = random.random() < 0.7
+            instance.has_fleet_time = random.random() < 0.7
             if random.random() < 0.6:
-                world.restart(machine, power_lost=random.random() < 0.3)
+                world.restart(instance, power_lost=random.random() < 0.3)
     except AssertionError:
         return True
     return False
 
 
 def ordinary_step(world, random):
-    machine = random.choice(world.machines)
+    instance = random.choice(world.instances)
     step = ["reserve", "settle", "renew", "late", "hand", "message"]
     match random.choices(step, [20, 8, 30, 2, 20, 4])[0]:
         case "reserve":
-            world.reserve(machine, CUSTOMER, random.randint(1, 40))
-        case "settle" if machine.open_holds:
-            world.settle(machine, 1.0)
+            world.reserve(instance, CUSTOMER, random.randint(1, 40))
+        case "settle" if instance.open_reservations:
+            world.settle(instance, 1.0)
         case "renew":
-            world.read_ledger(machine)
-            world.write_ledger(machine, random.choice(FATES))
-        case "late" if world.late:
-            world.apply(world.late.pop())
+            world.read_ledger(instance)
+            world.write_ledger(instance, random.choice(FATES))
+        case "late" if world.late_writes:
+            world.apply(world.late_writes.pop())
         case "hand":
-            world.hand_over(machine, random.choice(FATES))
+            world.delegate(instance, random.choice(FATES))
         case "message" if world.late_messages:
             message = world.late_messages.pop(0)
             world.write_for(*message, answers=random.random() < 0.5)
@@ -185,45 +185,45 @@
 
 
 def outage_step(world, random):
-    machine = random.choice(world.machines)
-    world.reserve(machine, CUSTOMER, random.randint(1, 150))
+    instance = random.choice(world.instances)
+    world.reserve(instance, CUSTOMER, random.randint(1, 150))
     world.now += random.uniform(0.0, 0.8)
 
 
 SEEDS = range(200)
 
 
-def test_random_days_keep_every_budget():
+def test_random_scenarios_overspend_no_budget():
     assert not [seed for seed in SEEDS if walk(seed)]
 
 
-@pytest.mark.parametrize("switch", ["forgets_growth", "counts_from_done"])
+@pytest.mark.parametrize("switch", ["ignores_growth", "counts_from_success"])
 def test_each_guard_is_needed(switch):
-    """A customer gets more than it paid for after a process was killed.
+    """Guards against an overspend after a kill of a process in an outage.
 
-    The process had spent its whole slice in an outage, beyond the cap that stands
-    in the ledger; its successor charges the cap only.  Left out are, in turn, the
-    look at the age of the last write and the wait before spending uncapped.
+    The process spends its slice beyond the cap in the ledger, and its successor charges
+    only the cap.  One switch ignores the age of the last write, the other counts the
+    growth of caps from the last success instead of the last attempt.
     """
     assert [seed for seed in SEEDS if walk(seed, **{switch: True})]
 
 
 @pytest.mark.parametrize("at_once", [False, True])
 def test_a_late_write_that_gives_tokens_back(at_once):
-    """A customer gets more than it paid for, by as much as a process gave back.
+    """Guards against an overspend of the tokens that a process gave back.
 
-    The write came late.  Until then the process took it for refused and spent the
-    tokens; when it was done another process took them and spent them again.
+    The write that gives them back arrives late.  If the process assumes that it was
+    refused, it spends the tokens, and after the write another process gets them too.
     """
-    world = AllowanceWorld(machines=2, withdraws_at_once=at_once)
-    one, other = world.machines
+    world = AllowanceWorld(instances=2, withdraws_at_once=at_once)
+    one, other = world.instances
     account = one.allowances.account(CUSTOMER)
     for _ in range(2):
-        # Not reserved yet the first time: the renewal makes the room.
+        # The first reservation fails: only the renewal makes headroom in the cap.
         world.reserve(one, CUSTOMER, 3_900)
         world.read_ledger(one)
         world.write_ledger(one, "done")
-    # What came after the cap's renewal leaves room for all that is free.
+    # After the settlement the cap has headroom for all free tokens.
     world.settle(one, 0.0)
     assert world.reserve(one, CUSTOMER, 3_000)
     account.recall(900)
@@ -231,7 +231,7 @@
     world.write_ledger(one, "late")
     world.read_ledger(one)
     world.reserve(one, CUSTOMER, 900)
-    world.apply(world.late.pop())
+    world.apply(world.late_writes.pop())
     for _ in range(2):
         world.reserve(other, CUSTOMER, 900)
         world.read_ledger(other)
@@ -242,25 +242,25 @@
 
 
 def test_a_kill_in_an_outage_costs_the_cap_though_the_ledger_is_read_late():
-    """After an outage all customers are refused, their budgets charged away.
+    """Guards against budgets that are charged completely after a kill in an outage.
 
-    All processes were killed two seconds into it; they could read the ledger only
-    after it, and took the last writes for so old that nothing bounded the spend.
+    The process is killed 2 s into the outage and its successor can read the ledger only
+    after it.  The age of the last write must not include the outage after the kill.
     """
     world = AllowanceWorld()
-    machine = world.machines[0]
+    instance = world.instances[0]
     world.top_up(CUSTOMER, 96_000)
     for _ in range(20):
-        world.reserve(machine, CUSTOMER, 100)
-        world.read_ledger(machine)
-        world.write_ledger(machine, "done")
-        world.settle(machine, 1.0) if machine.open_holds else None
+        world.reserve(instance, CUSTOMER, 100)
+        world.read_ledger(instance)
+        world.write_ledger(instance, "done")
+        world.settle(instance, 1.0) if instance.open_reservations else None
         world.now += 1.0
     world.now += 1.0
-    world.restart(machine, power_lost=False)
+    world.restart(instance, power_lost=False)
     world.now += 15.0
-    world.read_ledger(machine)
-    world.write_ledger(machine, "done")
+    world.read_ledger(instance)
+    world.write_ledger(instance, "done")
     [grant] = world.shard.ledger_by_customer[CUSTOMER].grants.values()
     charged = world.shard.ledger_by_customer[CUSTOMER].spent
     assert world.spent[CUSTOMER] <= charged < 3 * world.spent[CUSTOMER]
--- a/tests/budget/test_loss_of_power.py
+++ b/tests/budget/test_loss_of_power.py
@@ -11,13 +11,13 @@
 from tests.budget.fleet_model import Fleet, Request
 
 SIZES = (900, 1_500, 2_400, 6_000, 12_400, 20_000)
-SPENT_SHARE = 0.93
+SPENT_FRACTION = 0.93
 CUSTOMERS = 4
 PREPAID = 3_500_000
 TOKENS_PER_SECOND = 90_000
 SECONDS = 20.0
 DOWN_SECONDS = 1.6
-FOR_NOTHING_SHARE = 0.021
+UNUSED_CHARGE_FRACTION = 0.021
 
 
 def play(fleet, random, *, until):
@@ -32,9 +32,9 @@
                 Request(
                     customer=f"customer-{random.randrange(CUSTOMERS)}",
                     tokens=tokens,
-                    spent=int(tokens * SPENT_SHARE),
+                    spent=int(tokens * SPENT_FRACTION),
                     seconds=0.1 + tokens / 20_000,
-                    arrived=fleet.now,
+                    arrived_at=fleet.now,
                 )
             )
         fleet.step()
@@ -58,12 +58,12 @@
     losses = [
         one for seed in (1, 2) for one in lose_power(processes=processes, seed=seed)
     ]
-    for_nothing = sum(one.for_nothing for one in losses) / len(losses)
-    assert for_nothing < FOR_NOTHING_SHARE * PREPAID
+    unused_charge = sum(one.unused_charge for one in losses) / len(losses)
+    assert unused_charge < UNUSED_CHARGE_FRACTION * PREPAID
 
 
 @pytest.mark.parametrize("processes", [5, 30, 68])
 def test_what_may_have_been_spent_is_charged_each_time(processes):
     """Guards against an overspend by tokens that a process took and never told."""
     for loss in lose_power(processes=processes, seed=3, times=4):
-        assert loss.charged >= loss.open + loss.untold
+        assert loss.charged >= loss.open + loss.unreported
--- a/tests/budget/test_scarce_tokens.py
+++ b/tests/budget/test_scarce_tokens.py
@@ -34,7 +34,7 @@
                     tokens=tokens,
                     spent=int(tokens * 0.93),
                     seconds=0.3 + tokens / 20_000,
-                    arrived=fleet.now,
+                    arrived_at=fleet.now,
                 )
             )
         fleet.step()
