--- a/src/ragwortkeel/policy/__init__.py
+++ b/src/ragwortkeel/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: pure functions and small state, the clock passed in."""
+"""Load-management decisions: pure functions and small state with an injected clock."""
--- a/src/ragwortkeel/policy/admission.py
+++ b/src/ragwortkeel/policy/admission.py
@@ -1,23 +1,22 @@
-"""Admission: whether a request can still be served in time if it waits.
-
-Pattern of load: saturation, and the first seconds of a burst.  Without this
-check everything is taken in, each answer comes later than the last, and in the
-end all work done is for callers who have hung up.  Refusing at the door costs
-one message and leaves the caller time to come back.
-
-The wait is estimated from how often a request of the class was lately taken out
-of the queue, times the requests ahead.  That holds for whatever slows the class:
-other classes, other routers, limits, lost upstreams.  Before the first is taken
-out, Little's law stands in: own work in flight divided by how long it takes.
-(Little's law alone was tried; batch work was let in that then waited until it
-was too late, since what interactive work would take was not in the estimate.)
-
-The estimate decides only on requests that find no place.  One that finds a place
-is dispatched: were it refused because the last ones were slow, no new sample
-would come, and the refusals would never end (tried; a fleet at 70% load refused
-half of its chats for good).
-
-A refusal is final and given at once.
+"""Admission control: whether a request that has to wait can still be served in time.
+
+Load patterns: saturation, and the first seconds of a burst.  Without admission
+control a router accepts every request, response times grow, and in the end all work
+is done for callers that have disconnected.  An immediate refusal costs one message
+and leaves the caller time to retry.
+
+The expected wait is the mean interval at which requests of the class recently left
+the queue, times the number of requests ahead.  The interval reflects whatever slows
+the class down: other classes, other routers, limits, lost upstreams.  Before the
+first request leaves the queue, the interval follows from Little's law: mean duration
+divided by the requests in flight.  Little's law alone underestimates the wait of
+batch work, because it leaves out the time that interactive work takes.
+
+The estimate applies only to requests that have to wait.  A request that an upstream
+has headroom for is dispatched: refusing it because earlier ones were slow would
+produce no new sample, so the refusals would never end.
+
+A refusal is final and is sent at once.
 """
 
 from random import Random
@@ -29,30 +28,31 @@
 Key = TypeVar("Key")
 
 SMOOTHING_WEIGHT = 0.1
-"""Weight of one more sample: about the last ten requests of a profile count, so
-an estimate follows a slowdown within a second or two at the usual rates."""
+"""Weight of a new sample in a moving average.  About the last ten requests of a profile
+count, so an estimate follows a slowdown within one or two seconds at usual rates."""
 
 DURATION_MARGIN_FACTOR = 1.5
-"""Times the smoothed whole time that must be left before the deadline: answers
-differ in length, and one begun too late is paid for and of no use."""
+"""Mean durations that must remain before the deadline at dispatch.  Answers differ in
+length, and a run that ends after its deadline is paid for but useless."""
 
 MAX_PROFILES = 20_000
-"""Profiles with an estimate at one router, a few megabytes; the longest known is
-forgotten first, and then refuses nothing until its next sample."""
+"""Profiles with an estimate at one router, a few megabytes.  The profile added first is
+dropped first; its requests are then not refused until its next sample."""
 
 MIN_RETRY_SECONDS = 0.5
+"""Lower bound on the retry delay given to a refused caller."""
 MAX_RETRY_SECONDS = 30.0
-"""Longer forecasts of a queue are guesses."""
+"""Upper bound on the retry delay; longer forecasts of a queue are unreliable."""
 
 RETRY_SPREAD_FRACTION = 0.25
-"""Callers refused together come back spread over a quarter of the wait, or the
-burst would return as a burst."""
+"""Random extra delay as a fraction of the delay.  It spreads the retries of callers
+that were refused together, which would otherwise return as another burst."""
 
 
 class ServiceTimes:
-    """How long the requests of each profile take, from dispatch.
+    """Mean times to the first token and to completion, by profile, from dispatch.
 
-    Before the first sample of a profile nothing of it is refused.
+    Requests of a profile without a sample are not refused.
     """
 
     def __init__(self) -> None:
@@ -60,15 +60,15 @@
         self._total_by_profile: dict[str, float] = {}
 
     def record_first_token(self, request: RequestFacts, seconds: float) -> None:
-        """Take in one time to the first token."""
+        """Record the time to the first token of one request."""
         _record_sample(self._first_token_by_profile, request.profile, seconds)
 
     def record_duration(self, request: RequestFacts, seconds: float) -> None:
-        """Take in one whole run's time."""
+        """Record the duration of one completed run."""
         _record_sample(self._total_by_profile, request.profile, seconds)
 
     def latest_start(self, request: RequestFacts) -> tuple[float, Reason]:
-        """Return when the request must be dispatched, and the promise that binds."""
+        """Return the latest dispatch time, and the reason for a refusal after it."""
         total = self._total_by_profile.get(request.profile, 0.0)
         by_deadline = request.deadline - DURATION_MARGIN_FACTOR * total
         if request.service_class is not ServiceClass.INTERACTIVE:
@@ -81,7 +81,7 @@
 
 
 class CompletionIntervals:
-    """How often a place comes free for a set of back ends, by Little's law."""
+    """Mean interval between completions for a set of back ends, by Little's law."""
 
     def __init__(self) -> None:
         self._in_flight_by_pool: dict[tuple[str, ...], int] = {}
@@ -92,61 +92,67 @@
         self._in_flight_by_pool[pool] = self._in_flight_by_pool.get(pool, 0) + 1
 
     def record_end(self, pool: tuple[str, ...]) -> None:
-        """Count a request that runs no more."""
+        """Count a request that no longer runs."""
         self._in_flight_by_pool[pool] -= 1
 
     def record_duration(self, pool: tuple[str, ...], seconds: float) -> None:
-        """Take in one whole run's time."""
+        """Record the duration of one completed run."""
         _record_sample(self._seconds_by_pool, pool, seconds)
 
     def seconds_per_completion(self, pool: tuple[str, ...]) -> float:
-        """Return the seconds from one place to the next; 0 before any finished."""
+        """Return the seconds between two completions; 0 before the first one."""
         in_flight = max(1, self._in_flight_by_pool.get(pool, 0))
         return self._seconds_by_pool.get(pool, 0.0) / in_flight
 
 
 class DequeueIntervals:
-    """How often a waiting request of one class is taken out of one queue."""
+    """Mean interval at which requests of one class leave one queue."""
 
     def __init__(self) -> None:
-        self._seconds: float | None = None
-        self._last = 0.0
+        self._mean_seconds: float | None = None
+        self._interval_start = 0.0
 
     def record_queue_start(self, now: float) -> None:
-        """Note that the first request began to wait."""
-        self._last = now
+        """Record that the first request entered the queue."""
+        self._interval_start = now
 
     def record_dequeue(self, fallback: float, now: float) -> None:
-        """Note that one was taken out; `fallback` is the estimate before any."""
-        known = fallback if self._seconds is None else self._seconds
-        self._seconds = _smooth(known, now - self._last)
-        self._last = now
+        """Record that a request left; `fallback` is the interval before any sample."""
+        mean = fallback if self._mean_seconds is None else self._mean_seconds
+        self._mean_seconds = _smooth(mean, now - self._interval_start)
+        self._interval_start = now
 
     def mean_seconds(self, fallback: float, *, idle: bool, now: float) -> float:
-        """Return the smoothed time from one to the next.
+        """Return the smoothed interval between two requests.
 
-        While any wait, the pause since the last one counts as a sample once it
-        is longer than the rest: without that, a queue that has stopped would
-        look as fast as before.
+        While requests are queued, the time since the last dequeue counts as a sample
+        if it is longer than the mean.  Otherwise a stalled queue would look as fast as
+        before.
         """
-        known = fallback if self._seconds is None else self._seconds
+        mean = fallback if self._mean_seconds is None else self._mean_seconds
         if idle:
-            return known
-        return max(known, _smooth(known, now - self._last))
+            return mean
+        return max(mean, _smooth(mean, now - self._interval_start))
 
 
 def queue_retry_delay(excess_seconds: float, random: Random) -> float:
-    """Return when the line should be short enough, spread at random."""
+    """Return the seconds after which to retry, with a random spread.
+
+    Parameters
+    ----------
+    excess_seconds : float
+        Estimated wait beyond what the request can afford.
+    """
     seconds = max(MIN_RETRY_SECONDS, excess_seconds)
     seconds *= 1.0 + RETRY_SPREAD_FRACTION * random.random()
     return min(MAX_RETRY_SECONDS, seconds)
 
 
-def _smooth(known: float, sample: float) -> float:
-    return known + SMOOTHING_WEIGHT * (sample - known)
+def _smooth(mean: float, sample: float) -> float:
+    return mean + SMOOTHING_WEIGHT * (sample - mean)
 
 
-def _record_sample(known_by_key: dict[Key, float], key: Key, sample: float) -> None:
-    if key not in known_by_key and len(known_by_key) >= MAX_PROFILES:
-        del known_by_key[next(iter(known_by_key))]
-    known_by_key[key] = _smooth(known_by_key.get(key, sample), sample)
+def _record_sample(mean_by_key: dict[Key, float], key: Key, sample: float) -> None:
+    if key not in mean_by_key and len(mean_by_key) >= MAX_PROFILES:
+        del mean_by_key[next(iter(mean_by_key))]
+    mean_by_key[key] = _smooth(mean_by_key.get(key, sample), sample)
--- a/src/ragwortkeel/policy/announced_limits.py
+++ b/src/ragwortkeel/policy/announced_limits.py
@@ -1,10 +1,10 @@
-"""Rate limits that upstreams announce, each for all processes of the fleet together.
+"""Rate limits that upstreams announce, each shared by all processes of the fleet.
 
-Pattern of load: an overloaded upstream still answers and looks idle, so all processes
-go on sending to it, or turn to it.  Its answers carry a rate limit for all of them
-together, until one leaves it out.  Processes hear of it at different moments, from
-their own answers or from each other; the newest statement holds.  Unless they share the
-limit, each process would use the whole of it.
+Load pattern: an overloaded upstream still answers and looks idle, so all processes
+go on sending to it.  Its answers carry a rate limit for the whole fleet, until an
+answer leaves the limit out.  Processes receive a limit at different times, from their
+own answers or from peers; the newest announcement holds.  Without sharing, each
+process would use the full limit.
 """
 
 from collections.abc import Iterable
@@ -13,42 +13,46 @@
 from ragwortkeel.policy.fleet_rates import FleetRate
 
 MIN_REQUESTS_PER_SECOND = 0.25
-"""Of a limit near zero: without any request nobody would find out that it ended."""
+"""Requests per second that a limit near zero still permits.  Without any request no
+process would receive the end of the limit."""
 
 MIN_SENDERS = 3
-"""Processes that share the lowest limit: two of them may be dead or lack callers."""
+"""Processes that share the lowest limit; two of them may have stopped or lack
+callers."""
 
 SENDERS_PER_REQUEST = 1.5
-"""More senders for each request a second.  With few of them most processes could not
-use an upstream whose limit is hardly below its load.  Each may add one request that it
-has saved up, and an upstream takes a burst of half its limit and a few more."""
+"""Additional senders for each request per second of the limit.  With few senders most
+processes could not use an upstream whose limit is hardly below its load.  Each sender
+may add a burst of one request; an upstream accepts a burst of half its limit plus a
+few requests."""
 
 BURST_SECONDS = 0.5
-"""Of its share, what an idle sender saves up: requests come in bursts."""
+"""Seconds of its rate that an idle sender accumulates; requests come in bursts."""
 
 CONFIRMATION_SECONDS = 5.0
-"""A limit that no answer named for so long is shared by all processes equally: those
-that were chosen to send may be gone."""
+"""Age at which a limit that no answer has confirmed is shared equally by all processes.
+The processes that were chosen to send may have stopped."""
 
 REPORTING_SECONDS = 5.0
-"""For how long a statement is passed on to peers; their reports are seconds apart in
-a large fleet."""
+"""Time for which an announcement is sent to peers; their reports are seconds apart in a
+large fleet."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class LimitAnnouncement:
-    """What an upstream said of its limit.
+    """The limit that an upstream announced, or its end.
 
     Attributes
     ----------
     per_second : float or None
-        Requests a second from the whole fleet; None for no limit.
-    at : float
-        Monotonic second from which it holds.
+        Requests per second from the whole fleet; None for no limit.
+    effective_at : float
+        Monotonic second from which the announcement holds.
     own : bool
-        Whether an answer to this process said so; else a peer passed it on.
+        Whether this process received it in an answer; otherwise a peer reported it.
     ended_at : float or None
-        Where there is no limit any more, when that was first said.
+        Monotonic second at which the end of the limit was first announced; None
+        while the limit holds.
     """
 
     per_second: float | None
@@ -58,22 +62,26 @@
 
     @property
     def changed_at(self) -> float:
-        """Return the second from which it is due to be reported."""
+        """Monotonic second from which the announcement is reported to peers."""
         return self.effective_at if self.ended_at is None else self.ended_at
 
 
 class AnnouncedLimits:
-    """The newest statement of each upstream that has announced a limit.
+    """The newest announcement of each upstream that has announced a limit.
 
     Examples
     --------
     >>> limits = AnnouncedLimits()
-    >>> limits.take("u1", LimitAnnouncement(per_second=1.5, at=8.0))
+    >>> limits.merge("u1", LimitAnnouncement(per_second=1.5, effective_at=8.0))
+    True
+    >>> limits.merge("u1", LimitAnnouncement(per_second=None, effective_at=7.9))
+    False
+    >>> limits.limit_of("u1")
+    1.5
+    >>> limits.merge("u1", LimitAnnouncement(per_second=None, effective_at=8.2))
+    True
+    >>> limits.limit_of("u1") is None
     True
-    >>> limits.take("u1", LimitAnnouncement(per_second=None, at=7.9)), limits.of("u1")
-    (False, 1.5)
-    >>> limits.take("u1", LimitAnnouncement(per_second=None, at=8.2)), limits.of("u1")
-    (True, None)
     """
 
     def __init__(self) -> None:
@@ -82,36 +90,36 @@
     def record_answer(
         self, upstream: str, per_second: float | None, *, sent_at: float, now: float
     ) -> bool:
-        """Take in what an answer says; return whether the limit changed.
+        """Record the limit that an answer announced; return whether the limit changed.
 
-        An answer without a limit may have been made before one that names it came, so
-        it speaks only of the moment in which its request was sent.
+        An answer without a limit may have been created before another answer announced
+        one, so it holds only from the moment at which its request was sent.
         """
         at = sent_at if per_second is None else now
         return self.merge(
             upstream, LimitAnnouncement(per_second=per_second, effective_at=at)
         )
 
-    def merge(self, upstream: str, statement: LimitAnnouncement) -> bool:
-        """Take in a statement where it is newer; return whether the limit changed."""
+    def merge(self, upstream: str, announcement: LimitAnnouncement) -> bool:
+        """Store an announcement if it is newer; return whether the limit changed."""
         known = self._announcement_by_upstream.get(upstream)
         if known is None:
-            if statement.per_second is None:
+            if announcement.per_second is None:
                 return False
-            self._announcement_by_upstream[upstream] = statement
+            self._announcement_by_upstream[upstream] = announcement
             return True
-        if statement.effective_at <= known.effective_at:
+        if announcement.effective_at <= known.effective_at:
             return False
-        if statement.per_second is None:
+        if announcement.per_second is None:
             ended_at = (
-                statement.effective_at if known.ended_at is None else known.ended_at
+                announcement.effective_at if known.ended_at is None else known.ended_at
             )
-            statement = replace(statement, ended_at=ended_at)
-        self._announcement_by_upstream[upstream] = statement
-        return statement.per_second != known.per_second
+            announcement = replace(announcement, ended_at=ended_at)
+        self._announcement_by_upstream[upstream] = announcement
+        return announcement.per_second != known.per_second
 
     def limit_of(self, upstream: str) -> float | None:
-        """Return the limit in force, in requests a second; None for none."""
+        """Return the limit in force, in requests per second; None for no limit."""
         known = self._announcement_by_upstream.get(upstream)
         return known.per_second if known else None
 
@@ -128,23 +136,24 @@
         )
 
     def recent_own(self, now: float) -> dict[str, LimitAnnouncement]:
-        """Return the statements that peers should hear of.
+        """Return the announcements to report to peers.
 
-        Only own ones: passed on again, one would seem newer than it is.
+        Announcements that peers reported are left out: forwarded, they would seem newer
+        than they are.
         """
         return {
-            name: statement
-            for name, statement in self._announcement_by_upstream.items()
-            if statement.own and now - statement.changed_at < REPORTING_SECONDS
+            name: announcement
+            for name, announcement in self._announcement_by_upstream.items()
+            if announcement.own and now - announcement.changed_at < REPORTING_SECONDS
         }
 
     def remove(self, upstream: str) -> None:
-        """Drop what an earlier instance of that name said."""
+        """Discard the announcements of an earlier instance of that name."""
         self._announcement_by_upstream.pop(upstream, None)
 
     def retain(self, upstreams: Iterable[str]) -> set[str]:
-        """Drop what upstreams said that are gone; return their names."""
-        gone = self._announcement_by_upstream.keys() - set(upstreams)
-        for name in gone:
+        """Retain only these upstreams; return the names of the removed ones."""
+        removed = self._announcement_by_upstream.keys() - set(upstreams)
+        for name in removed:
             del self._announcement_by_upstream[name]
-        return gone
+        return removed
--- a/src/ragwortkeel/policy/choice.py
+++ b/src/ragwortkeel/policy/choice.py
@@ -1,23 +1,23 @@
 """Choice of an upstream: few candidates, least loaded of two, prefix affinity.
 
-Patterns of load: many routers with lagged load reports, a few prompt prefixes
-that take most of the load, and callers that ask again at another router.
-
-- Candidates are the first few upstreams in rendezvous order of the prefix (or
-  of the request id).  Without that, a retry at another router could not know
-  which sidecars may hold its run, and a prefix would be cold everywhere.
-- Among them the less loaded of two drawn at random.  Taking the least loaded of
-  all makes every router run to the one upstream that looked idle in the last
-  report; round robin keeps feeding a slow one.
-- A prefix goes to its first candidate while that is not much busier than the
-  mean (`LOAD_BOUND_FRACTION`).  Without the bound one hot prefix overloads one
+Load patterns: many routers with lagged load reports, a few prompt prefixes that
+account for most of the load, and callers that retry at another router.
+
+- The candidates are the first few upstreams in rendezvous order of the prefix (or
+  of the request id).  Otherwise a router that receives a retry would not know which
+  sidecars may hold its run, and a prefix would be cold on every upstream.
+- Among the candidates the less loaded of two random ones is chosen.  Choosing the
+  least loaded of all sends the requests of every router to the upstream that looked
+  idle in the last report; round robin keeps sending to a slow upstream.
+- A prefix goes to its first candidate unless that is much busier than the mean
+  (`LOAD_BOUND_FRACTION`).  Without the bound one frequent prefix overloads one
   upstream.
-- Reports lag, so a router replaces its own part of a report by what it knows
-  now (`LoadEstimate`).  Without that it sends a whole burst to one upstream
-  before the next report comes.
-- Without a prefix, the own zone goes first within the same bound.  Zones are
-  well under a millisecond apart, so it saves no time; it keeps work off the
-  links between zones, and out of reach of their partitions.
+- Reports lag, so a router replaces its own load in a report by its current load
+  (`LoadEstimate`).  Otherwise it sends a whole burst to one upstream before the
+  next report arrives.
+- Requests without a prefix prefer the router's own zone within the same bound.
+  Zones are well under a millisecond apart, so this saves no time; it avoids traffic
+  between zones and its exposure to partitions.
 """
 
 from collections import deque
@@ -27,22 +27,24 @@
 from random import Random
 
 CANDIDATE_COUNT = 3
-"""Few enough to ask them all on a retry, enough to lose one and draw two."""
+"""Candidates of one request: few enough to ask all of them on a retry, enough to lose
+one and still draw two."""
 
 LOAD_BOUND_FRACTION = 0.5
-"""A prefix's first upstream may be busier than the mean by this part of what is
-idle: a lot in quiet times, when a hit is all there is to gain, and nothing in a
-saturated fleet, where balance is worth more."""
+"""Fraction of the idle capacity by which a prefix's first upstream may be busier than
+the mean.  The bound is wide at low load, where a cache hit is the only gain, and close
+to zero in a saturated fleet, where balance matters more."""
 
 HISTORY_SECONDS = 10.0
-"""Reports older than this come from a link that is about to be given up."""
+"""Age of the oldest own load that is retained.  A link whose reports lag by more is
+about to be closed."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Candidate:
-    """One upstream as the choice sees it; load and room in requests.
+    """One upstream as seen by the choice; load and limit in requests.
 
-    `claimed` is what the other routers are expected to take of the free room.
+    `claimed` is the number of requests that other routers are expected to add.
     """
 
     name: str
@@ -58,21 +60,21 @@
 
     @property
     def utilisation(self) -> float:
-        """Load as a share of the room, the request to place included."""
+        """Load as a fraction of the limit, including the request to assign."""
         return (self.load + 1.0) / max(self.limit, 1e-9)
 
 
 class LoadEstimate:
-    """One upstream's load: the last report, corrected by own work since.
+    """Load of one upstream: the last report, corrected by own requests since then.
 
-    A report counts own and other routers' work as it was some time ago.  What
-    the own part was then and is now is known exactly, so only the rest is taken
-    from the report.
+    A report counts the requests of this and of other routers some time ago.  The
+    router knows its own requests exactly, then and now, so only the others' requests
+    are taken from the report.
 
     Parameters
     ----------
-    corrects : bool
-        False takes reports as they are, to measure what the correction buys.
+    apply_correction : bool
+        False uses reports unchanged, to measure the effect of the correction.
     """
 
     def __init__(self, *, apply_correction: bool = True) -> None:
@@ -83,49 +85,49 @@
         self._changes: deque[tuple[float, int]] = deque()
 
     def record_start(self, now: float) -> None:
-        """Count one more request of one's own there."""
+        """Count one more own request on the upstream."""
         self._change_own(1, now)
 
     def record_end(self, now: float) -> None:
-        """Count one less."""
+        """Count one own request less."""
         self._change_own(-1, now)
 
     def record_report(self, total: int, taken_at: float) -> None:
-        """Take over a report of `total` requests there at `taken_at`."""
+        """Replace the last report by one of `total` requests at `taken_at`."""
         while len(self._changes) > 1 and self._changes[1][0] <= taken_at:
             self._changes.popleft()
-        own_then = 0
+        own_at_report = 0
         if self._changes and self._changes[0][0] <= taken_at:
-            own_then = self._changes[0][1]
-        self._others_reported = float(max(0, total - own_then))
-        self._own_reported = own_then
+            own_at_report = self._changes[0][1]
+        self._others_reported = float(max(0, total - own_at_report))
+        self._own_reported = own_at_report
 
     def assume_full(self, limit: float) -> None:
-        """Believe that there is no room until the next report."""
+        """Assume that there is no headroom until the next report."""
         self._others_reported = max(self._others_reported, limit - self.own)
 
     @property
     def load(self) -> float:
-        """Requests running or waiting there, own and others'."""
+        """Requests running or queued on the upstream, from this and other routers."""
         if not self._corrects:
             return self._others_reported + self._own_reported
         return self._others_reported + self.own
 
     def claimed_by_others(self, limit: float) -> float:
-        """Return how much of the free room other routers are to take.
+        """Return the requests of the headroom that other routers are expected to use.
 
-        All routers see the same free room in the same report.  If each took all
-        of it, an upstream would be sent several times what it has places for,
-        after each report; so each takes the part that it has of the load.  One
-        that has nothing there may take one place: a router just started has no
-        part anywhere.
+        All routers see the same headroom in the same report.  If each used all of it,
+        an upstream would receive several times its headroom after each report.  So each
+        router uses the fraction that it has of the load.  A router without load there
+        may add one request, because a router that has just started has no load
+        anywhere.
         """
         reported = self._own_reported + self._others_reported
-        part = (self._own_reported + 1.0) / (reported + 1.0)
-        free = max(0.0, limit - reported)
+        own_fraction = (self._own_reported + 1.0) / (reported + 1.0)
+        headroom = max(0.0, limit - reported)
         if self._own_reported:
-            return (1.0 - part) * free
-        return min((1.0 - part) * free, max(0.0, free - 1.0))
+            return (1.0 - own_fraction) * headroom
+        return min((1.0 - own_fraction) * headroom, max(0.0, headroom - 1.0))
 
     def _change_own(self, change: int, now: float) -> None:
         self.own += change
@@ -137,8 +139,8 @@
 def rendezvous(key: str, names: Sequence[str]) -> list[str]:
     """Return `names` in the order in which `key` prefers them.
 
-    Every router computes the same order, and an upstream that joins or leaves
-    moves only the keys that it wins or held.
+    Every router computes the same order.  An upstream that joins or leaves moves
+    only the keys for which it ranks first.
     """
     salt = blake2b(key.encode(), digest_size=16).digest()
 
@@ -157,43 +159,43 @@
     preferred_count: int = CANDIDATE_COUNT,
     bound: float = LOAD_BOUND_FRACTION,
 ) -> Candidate | None:
-    """Return the upstream for one request, or None where none has room.
+    """Return the upstream for one request, or None if none has headroom.
 
     Parameters
     ----------
     ordered : sequence of Candidate
         All usable upstreams in rendezvous order of the request.
     prefix : str
-        Empty for a request without a prefix worth keeping together.
+        Empty for a request without a prefix worth caching.
     zone : str
         The router's own zone; empty for no preference.
     random : random.Random
-        Draws the two.
+        Source of the two random candidates.
     preferred_count, bound : int, float
         See `CANDIDATE_COUNT` and `LOAD_BOUND_FRACTION`.
     """
-    near = [
+    preferred = [
         candidate for candidate in ordered[:preferred_count] if candidate.has_headroom
     ]
-    if not near:
-        # All of the few are full: a run elsewhere beats a refusal.
-        near = [
+    if not preferred:
+        # All preferred upstreams are full: any other upstream beats a refusal.
+        preferred = [
             candidate
             for candidate in ordered[preferred_count:]
             if candidate.has_headroom
         ]
-    if not near:
+    if not preferred:
         return None
-    if prefix and _within(near[0], ordered, bound):
-        return near[0]
+    if prefix and _within(preferred[0], ordered, bound):
+        return preferred[0]
     if not prefix:
-        own = [c for c in near if c.zone == zone and _within(c, ordered, bound)]
-        near = own or near
-    pair = near if len(near) <= 2 else random.sample(near, 2)
+        own = [c for c in preferred if c.zone == zone and _within(c, ordered, bound)]
+        preferred = own or preferred
+    pair = preferred if len(preferred) <= 2 else random.sample(preferred, 2)
     return min(pair, key=lambda candidate: candidate.utilisation)
 
 
-def _within(home: Candidate, ordered: Sequence[Candidate], bound: float) -> bool:
-    """Tell whether the first choice is busy within the bound of the mean."""
-    mean = sum(candidate.utilisation for candidate in ordered) / len(ordered)
-    return home.utilisation <= mean + bound * max(0.0, 1.0 - mean)
+def _within(candidate: Candidate, ordered: Sequence[Candidate], bound: float) -> bool:
+    """Return whether a candidate's utilisation is within the bound of the mean."""
+    mean = sum(each.utilisation for each in ordered) / len(ordered)
+    return candidate.utilisation <= mean + bound * max(0.0, 1.0 - mean)
--- a/src/ragwortkeel/policy/ejection.py
+++ b/src/ragwortkeel/policy/ejection.py
@@ -1,12 +1,12 @@
-"""Ejection of failing upstreams, and their way back through probes.
+"""Ejection of failing upstreams, and their return through probes.
 
-Pattern of load: one upstream fails, often faster than a healthy one serves.
-Without ejection it looks the least loaded and draws ever more requests, which
-all fail.  Without probes and a growing pause, a dead upstream takes a request
-again and again; without a floor on how many stay, a fault of the router's own
-network ejects every upstream and turns a partial fault into a full one.
+Load pattern: one upstream fails, often faster than a healthy one responds.  Without
+ejection it looks the least loaded and attracts ever more requests, which all fail.
+Without probes and exponential backoff, a failed upstream receives requests again and
+again.  Without a minimum of usable upstreams, a fault of the router's own network
+ejects every upstream and turns a partial failure into a complete one.
 
-Returning upstreams start with a small share (see `shifting`).
+Upstreams that return start with a small fraction of their traffic (see `slow_start`).
 """
 
 from collections.abc import Iterable
@@ -16,23 +16,25 @@
 from ragwortkeel.policy.facts import Failure
 
 FAILURES_TO_EJECT = 3
-"""Errors in a row; one or two may be the request's own fault."""
+"""Consecutive errors that eject an upstream; one or two may be the request's fault."""
 
 FIRST_BACKOFF_SECONDS = 1.0
-"""Short, so that a passing error costs little; doubled with each ejection."""
+"""Backoff after the first ejection; it doubles with each further ejection.  A short
+first value keeps a transient error cheap."""
 
 MAX_BACKOFF_SECONDS = 30.0
-"""An upstream that was away for an hour is still tried twice a minute."""
+"""Upper bound of the backoff: an upstream that was down for an hour is still probed
+twice a minute."""
 
 MIN_USABLE_FRACTION = 1 / 3
-"""Of each back end at least this share stays in use: losing one zone of three
-ejects a third, two zones two thirds; more than that is likelier to be a fault
-on the router's own side."""
+"""Minimum fraction of each back end's upstreams that stays in use.  Losing one of three
+availability zones ejects a third, losing two ejects two thirds; a larger loss is more
+likely a fault on the router's side."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Healthy:
-    """In use; `failures` in a row so far, `ejections` without a success since."""
+    """In use, with consecutive `failures`, and `ejections` since the last success."""
 
     failures: int = 0
     ejections: int = 0
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ejected:
-    """Gets nothing before `until`, then one probe."""
+    """Receives no requests before `until`, then one probe."""
 
     until: float
     ejections: int
@@ -48,7 +50,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Probing:
-    """One request is there to find out, since `since`."""
+    """One probe has been sent, at `since`; its result decides."""
 
     since: float
     ejections: int
@@ -58,7 +60,7 @@
 
 
 class Ejections:
-    """The health of each upstream as one router has met it."""
+    """Health of each upstream as observed by one router."""
 
     def __init__(
         self,
@@ -71,7 +73,7 @@
         self._health_by_upstream: dict[str, Health] = {}
 
     def retain(self, upstreams: set[str]) -> None:
-        """Forget upstreams that left."""
+        """Retain only these upstreams."""
         self._health_by_upstream = {
             name: health
             for name, health in self._health_by_upstream.items()
@@ -79,11 +81,11 @@
         }
 
     def health(self, upstream: str) -> Health:
-        """Return what is known of the upstream."""
+        """Return the health of the upstream."""
         return self._health_by_upstream.get(upstream, Healthy())
 
     def usable(self, upstreams: Iterable[str], now: float) -> dict[str, bool]:
-        """Return the upstreams that may get work, and whether it is a probe.
+        """Return the upstreams that may receive requests, and whether each is a probe.
 
         Parameters
         ----------
@@ -95,7 +97,7 @@
         Returns
         -------
         dict of str to bool
-            Never empty unless `upstreams` is; True marks a probe.
+            Empty only if `upstreams` is empty; True marks a probe.
         """
         names = list(upstreams)
         probe_by_name: dict[str, bool] = {}
@@ -116,7 +118,7 @@
         return probe_by_name
 
     def record_assignment(self, upstream: str, now: float) -> None:
-        """Note that work goes there; the first after a pause is the probe."""
+        """Record an assigned request; the first one after the backoff is the probe."""
         match self.health(upstream):
             case Ejected(until=until, ejections=ejections) if until <= now:
                 self._health_by_upstream[upstream] = Probing(
@@ -124,7 +126,7 @@
                 )
 
     def record_success(self, upstream: str) -> bool:
-        """Note a success; return whether it brought the upstream back."""
+        """Record a success; return whether it ended the ejection."""
         match self.health(upstream):
             case Healthy(failures=0, ejections=0):
                 return False
@@ -132,14 +134,14 @@
                 self._health_by_upstream[upstream] = Healthy()
                 return False
             case Ejected():
-                # A late answer from before the ejection proves nothing new.
+                # The request was sent before the ejection, so it proves nothing new.
                 return False
             case Probing(ejections=ejections):
                 self._health_by_upstream[upstream] = Healthy(ejections=ejections)
                 return True
 
     def record_no_verdict(self, upstream: str, now: float) -> None:
-        """Note that work left without a verdict (cancelled, turned away)."""
+        """Record a request that ended without a verdict (cancelled, turned away)."""
         match self.health(upstream):
             case Probing(ejections=ejections):
                 self._health_by_upstream[upstream] = Ejected(
@@ -147,10 +149,10 @@
                 )
 
     def record_failure(self, upstream: str, failure: Failure, now: float) -> bool:
-        """Note a failed attempt; return whether it ejected the upstream.
+        """Record a failed attempt; return whether it ejected the upstream.
 
-        A full or leaving upstream is not a failing one, so `OVERLOADED` and
-        `TURNED_AWAY` count as no verdict.
+        A full or draining upstream has not failed, so `OVERLOADED` and `TURNED_AWAY`
+        count as no verdict.
         """
         if failure in (Failure.OVERLOADED, Failure.TURNED_AWAY):
             self.record_no_verdict(upstream, now)
@@ -167,7 +169,7 @@
             case Probing(ejections=ejections):
                 return self._eject(upstream, ejections, now)
             case Ejected():
-                # The requests that ran there fail together: one ejection.
+                # Requests that ran on one upstream fail together: one ejection.
                 return False
 
     def _eject(self, upstream: str, ejections: int, now: float) -> bool:
--- a/src/ragwortkeel/policy/facts.py
+++ b/src/ragwortkeel/policy/facts.py
@@ -1,7 +1,7 @@
-"""What the decisions under load know: requests, upstreams, answers, failures.
+"""Inputs and results of the load-management decisions.
 
-All times are seconds of one monotonic clock, passed in by the caller as `now`;
-no module of this package reads a clock, a socket or a global random source.
+All times are seconds of one monotonic clock, passed by the caller as `now`; no module
+of this package reads a clock, a socket or a global random source.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request got no (whole) answer; the operators' page lists each."""
+    """Why a request got no complete answer; the operators' page lists each value."""
 
     DEADLINE = "deadline"
     FIRST_TOKEN = "first_token"
@@ -25,12 +25,12 @@
 
 
 class Failure(StrEnum):
-    """How an attempt ended without a whole answer.
+    """How an attempt ended without a complete answer.
 
     `OVERLOADED` and `TURNED_AWAY` are answers of a sidecar that did not run the
-    request: the first for lack of room, the second for any other reason.
-    `UNREACHABLE` is a link that failed, `CRASHED` an upstream that died with the
-    request on it, `ERROR` an answer that blames the upstream (HTTP 5xx).
+    request: the first for lack of capacity, the second for any other reason.
+    `UNREACHABLE` is a failed link, `CRASHED` an upstream that crashed while it ran the
+    request, `ERROR` an answer that reports a server error (HTTP 5xx).
     """
 
     OVERLOADED = "overloaded"
@@ -42,27 +42,30 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RequestFacts:
-    """One request as the decisions see it.
+    """One request as seen by the decisions.
 
     Attributes
     ----------
     request_id : str
-        Names the request; a retry at another router carries the same.  Only one
-        of a name may be open at a router, so it includes the profile's name.
+        Identifies the request; a retry at another router has the same.  Only one
+        request per id may be open at a router, so it includes the profile's name.
     profile, customer : str
-        Whose it is; estimates are kept by profile, fair shares by customer.
+        Owner of the request; estimates are per profile, fair shares per customer.
+    service_class : ServiceClass
+        Selects the queue, the deadline that binds, and whether it may be repeated.
     back_ends : tuple of str
-        Back ends that may serve it.
-    deadline, first_token_by : float
+        Back ends that may serve the request.
+    deadline, first_token_deadline : float
         Monotonic seconds; the latter binds only the interactive class.
     cost : int
-        Tokens that it may take (prompt and output); the unit of fair shares.
+        Upper bound of the tokens (prompt and output); the unit of fair shares.
     prefix : str
-        Key of the prompt prefix worth keeping together; empty for none.
+        Key of the prompt prefix worth caching; empty for none.
     fingerprint : str
-        Of the body (see `quarantine.fingerprint`); empty skips quarantine.
-    first_token_seconds : float
-        The profile's promise itself, for the upstream's limit.
+        Fingerprint of the body (see `quarantine.fingerprint`); empty skips
+        quarantine.
+    promised_first_token_seconds : float
+        The profile's promise, for the upstream's adaptive limit.
     """
 
     request_id: str
@@ -79,13 +82,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a second run would be harmless."""
+        """Whether a second run is harmless."""
         return self.service_class is not ServiceClass.MUST_NOT_REPEAT
 
 
 @dataclass(frozen=True, kw_only=True)
 class UpstreamFacts:
-    """One upstream that may be given work now: linked, and in service."""
+    """One upstream that may receive requests now: linked, and in service."""
 
     name: str
     back_end: str
@@ -94,7 +97,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """What a sidecar last said of its upstream's load, in requests.
+    """Load of an upstream as last reported by its sidecar, in requests.
 
     `limit` is the sidecar's adaptive limit; zero means that it has none yet.
     """
@@ -109,8 +112,8 @@
 class Assignment:
     """Dispatch this request to this upstream now.
 
-    `attempt` counts from 1.  With `alone` the sidecar lets running work end,
-    then runs this request with nothing beside it.
+    `attempt` counts from 1.  With `alone` the sidecar waits for its running requests
+    to end, then runs this one with no other beside it.
     """
 
     request: RequestFacts
@@ -121,7 +124,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Queued:
-    """The request waits; `next` will hand it out or refuse it."""
+    """The request is queued; `Scheduler.next_decisions` assigns or refuses it later."""
 
     request: RequestFacts
     estimated_wait_seconds: float
@@ -131,8 +134,8 @@
 class Refusal:
     """The final answer, to be sent at once.
 
-    `may_have_run` is true only after an attempt whose outcome is not known.
-    `retry_after_seconds` is zero where coming back does not help.
+    `may_have_run` is true only after an attempt with an unknown outcome.
+    `retry_after_seconds` is zero if a retry does not help.
     """
 
     request: RequestFacts
--- a/src/ragwortkeel/policy/fleet_rates.py
+++ b/src/ragwortkeel/policy/fleet_rates.py
@@ -1,22 +1,23 @@
-"""How often an upstream may be sent a request, where the bound is on the whole fleet.
-
-Patterns of load: an availability zone is taken back, a release replaces all upstreams
-in turn, or crashed ones return cold; or an overloaded one announces a limit.  Each
-looks idle, so all processes turn to it within the same second, and it crashes above a
-few requests a second from all of them together.  The bound is on that sum, also while
-processes are cut off from each other, so it can't rest on who is reachable now: each
-process keeps to a share of the rate that depends only on the processes it has ever
-heard of.
-
-- `ChosenSenders`: a few of them, the same for all by rendezvous, have the whole rate.
-  The sum then has few terms and hardly any chance in it.
-- `EqualShare`: each has the same part, by the number of processes that the ledgers
-  show.  That is for a process that has not heard of all others yet: it can't tell who
-  is chosen.  It is also for a bound that other processes may not know of, or that
-  nothing has confirmed lately: one that is not chosen would never find out.
-
-A share is spent from a bucket that starts at a random level.  Full buckets of all
-processes would be a burst of as many requests as there are processes.
+"""Request rates to an upstream that are bounded for the fleet as a unit.
+
+Load patterns: an availability zone returns to service, a release replaces all
+upstreams in turn, crashed upstreams return cold, or an overloaded upstream announces
+a limit.  Such an upstream looks idle, so all processes send to it within the same
+second, and it crashes above a few requests per second from all of them together.  The
+bound is on that sum and has to hold during a partition too, so it can't depend on
+which peers are reachable: each process uses a fraction of the rate that depends only
+on the processes that it has discovered since its start.
+
+- `ChosenSenders`: a few processes, the same for all by rendezvous, share the full
+  rate.  The sum then has few terms and hardly varies.
+- `EqualShare`: each process has the same fraction, by the number of processes that
+  the ledgers list.  It applies until a process has discovered all others, because it
+  can't determine the chosen senders before.  It also applies to a bound that other
+  processes may not know, or that was not confirmed lately: processes that are not
+  chosen would never receive its end.
+
+A fraction of the rate is spent from a token bucket with a random initial level.  Full
+buckets in all processes would allow a burst of one request per process.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,11 +28,13 @@
 from ragwortkeel.policy.choice import rendezvous
 
 SENDERS_PER_UPSTREAM = 2
-"""Processes that send to one cold upstream; one alone may be dead or lack callers."""
+"""Processes that send to one cold upstream; a single one may have stopped or lack
+callers."""
 
 DISCOVERY_SECONDS = 0.5
-"""After its start a process has not heard of the others yet and sends nothing to
-bounded upstreams.  Longer would leave a fleet that starts with its upstreams idle."""
+"""Time after the start in which a process discovers the others and sends nothing to
+bounded upstreams.  A longer time would leave a fleet idle that starts together with
+its upstreams."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -41,13 +44,13 @@
     Attributes
     ----------
     per_second : float
-        Requests a second.
+        Requests per second.
     senders : int
-        Processes that share it where all are known.
-    saved_seconds : float
-        Of its share, what an idle sender saves up beyond one request.
+        Processes that share the rate once all are known.
+    burst_seconds : float
+        Seconds of its rate that an idle sender accumulates beyond one request.
     known_to_all : bool
-        Whether all processes know of the bound.
+        Whether all processes know the bound.
     """
 
     per_second: float
@@ -58,14 +61,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EqualShare:
-    """One of so many processes that each send as often."""
+    """Sharing among `processes` that each use the same fraction."""
 
     processes: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ChosenSenders:
-    """One of the processes `names`, of which a few send to an upstream."""
+    """Sharing among a few chosen senders; `own` is this process, `names` are all."""
 
     own: str
     names: frozenset[str]
@@ -82,9 +85,9 @@
     Parameters
     ----------
     others : frozenset of str
-        Names of all other processes that it has ever heard of.
-    holders : int
-        Processes that the ledgers show, starts that are gone among them.
+        Names of all other processes discovered since the start.
+    ledger_processes : int
+        Processes that the ledgers list, including stopped ones.
     """
     if len(others) + 1 < ledger_processes:
         return EqualShare(processes=ledger_processes)
@@ -102,7 +105,7 @@
 def rate_fraction(
     sharing: Sharing, upstream: str, *, senders: int = SENDERS_PER_UPSTREAM
 ) -> float:
-    """Return the part of the fleet's rate that this process has at an upstream."""
+    """Return the fraction of the fleet's rate that this process may use."""
     match sharing:
         case EqualShare(processes=processes):
             return 1 / max(1, processes)
@@ -113,7 +116,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _CachedFraction:
-    """A part of the rate, kept as long as what it was worked out from."""
+    """A fraction of the rate with the inputs it was computed from."""
 
     sharing: Sharing
     senders: int
@@ -127,14 +130,14 @@
 
 
 class FleetRates:
-    """The requests that this process may send to upstreams with a bound.
+    """Requests that this process may send to upstreams with a bound.
 
     Parameters
     ----------
     sharing : callable
-        Returns how the processes share a rate, as known now.
+        Returns how the processes currently share a rate.
     random : random.Random
-        Draws the level at which buckets start.
+        Source of the initial bucket levels.
     started : float
         Monotonic second at which the process started.
 
@@ -148,7 +151,7 @@
     False
     >>> alone.may_send("u1", rate, now=5.1)
     True
-    >>> alone.sent("u1")
+    >>> alone.record_sent("u1")
     >>> alone.may_send("u1", rate, now=5.1)
     False
     """
@@ -163,18 +166,18 @@
         self._cached_fraction_by_upstream: dict[str, _CachedFraction] = {}
 
     def own_rate(self, upstream: str, rate: FleetRate) -> float:
-        """Return this process's part of the rate, in requests a second."""
+        """Return the rate that this process may use, in requests per second."""
         sharing = self._sharing()
         if not rate.known_to_all:
             sharing = _equal_among_all(sharing)
         return rate.per_second * self._fraction(sharing, upstream, rate.senders)
 
     def may_send(self, upstream: str, rate: FleetRate, *, now: float) -> bool:
-        """Whether the upstream may be sent one more request now."""
+        """Return whether the upstream may receive one more request now."""
         return self.seconds_to_next(upstream, rate, now=now) <= 0.0
 
     def seconds_to_next(self, upstream: str, rate: FleetRate, *, now: float) -> float:
-        """Return when it may be sent one more; infinite for another's to send."""
+        """Return the seconds until the next request; infinite if not a sender."""
         if now < self._discovery_ends_at:
             return self._discovery_ends_at - now
         bucket = self._bucket_by_upstream.get(upstream)
@@ -190,7 +193,7 @@
         return (1.0 - bucket.level) / own_rate if own_rate else inf
 
     def _fraction(self, sharing: Sharing, upstream: str, senders: int) -> float:
-        # Ranking all processes of a large fleet for each request would be slow.
+        # Ranking all processes of a large fleet on each request would be slow.
         known = self._cached_fraction_by_upstream.get(upstream)
         if known is None or (known.sharing, known.senders) != (sharing, senders):
             part = rate_fraction(sharing, upstream, senders=senders)
@@ -199,15 +202,15 @@
         return known.fraction
 
     def record_sent(self, upstream: str) -> None:
-        """Note that a request goes to an upstream with a bound."""
+        """Record a request to an upstream with a bound."""
         self._bucket_by_upstream[upstream].level -= 1.0
 
     def remove(self, upstream: str) -> None:
-        """Drop what was counted for an upstream without a bound."""
+        """Remove an upstream that no longer has a bound."""
         self._bucket_by_upstream.pop(upstream, None)
         self._cached_fraction_by_upstream.pop(upstream, None)
 
     def retain(self, upstreams: Iterable[str]) -> None:
-        """Drop what was counted for upstreams that are gone."""
+        """Retain only these upstreams."""
         for name in self._bucket_by_upstream.keys() - set(upstreams):
             self.remove(name)
--- a/src/ragwortkeel/policy/limits.py
+++ b/src/ragwortkeel/policy/limits.py
@@ -1,77 +1,82 @@
-"""Adaptive concurrency limit of one upstream, kept by its sidecar.
-
-Pattern of load: saturation, and an upstream that is slower than its peers.  An
-engine that batches continuously takes ever more requests and serves each more
-slowly, until no answer is in time; a fixed limit is too high for a slow engine
-and too low for a fast one.
-
-Additive increase, multiplicative decrease: while the upstream keeps its
-promises and the limit is in use, it grows by a step a window; when too many
-requests of a window were slow, or found others queued in the upstream, it
-shrinks by `DECREASE_FACTOR`.  One step a window bounds the speed, so routers that
-follow the limit do not swing.
-
-What counts as slow is measured at the first token (the earliest sign) against
-what callers were promised, not against the best time seen.  The latter (tried:
-2.5 times the best seconds a token) takes the normal price of batching for
-overload, and refused up to half of the requests while the engines had room.
+"""Adaptive concurrency limit of one upstream, maintained by its sidecar.
+
+Load patterns: saturation, and an upstream that is slower than its peers.  An engine
+with continuous batching accepts ever more requests and serves each more slowly, until
+no answer is in time; a fixed limit is too high for a slow engine and too low for a
+fast one.
+
+The limit follows additive increase, multiplicative decrease.  While the upstream
+fulfils its promises and the limit is in use, it grows once per window.  If too many
+requests of a window were slow, or found others queued inside the upstream, it is
+multiplied by `DECREASE_FACTOR`.  One change per window bounds the speed, so that
+routers that follow the limit do not oscillate.
+
+A request is slow if its time to the first token, the earliest signal, exceeds its
+share of what the caller was promised.  A comparison with the best time observed (2.5
+times the best seconds per token) takes the normal cost of batching for overload, and
+refuses up to half of the requests while the engines have capacity.
 """
 
 from dataclasses import dataclass
 
 INITIAL_LIMIT_REQUESTS = 16
 MIN_LIMIT_REQUESTS = 2
-"""One running and one arriving: below, an upstream idles between requests."""
+"""One request running and one arriving; below, an upstream idles between requests."""
 
 MAX_LIMIT_REQUESTS = 1024
 
 WINDOW_SECONDS = 1.0
-"""Longer than most times to the first token, so each step sees its effect."""
+"""Window of one change; longer than most times to the first token, so that each change
+shows its effect."""
 
 MIN_WINDOW_SAMPLES = 15
-"""A window goes on until it has as many.  With four, one slow answer was a
-quarter, and limits crept down to a third of what the engines could carry."""
+"""Samples that a window needs before it ends.  With four samples one slow answer is a
+quarter of them, which lowers limits to a third of the engines' capacity."""
 
 MIN_SLOW_SAMPLES = 5
-"""Or until as many were slow: a slow upstream has few samples to give."""
+"""Slow samples that end a window early, because a slow upstream yields few samples."""
 
 MAX_SLOW_FRACTION = 0.25
-"""Promises are for 95 in 100, but a slow answer is often not the limit's doing
-(two long prompts came together): three of ten are."""
+"""Fraction of slow samples above which the limit decreases.  Promises are for 95% of
+the requests, but one slow answer often has another cause, such as two long prompts at
+once; three slow answers in ten point at the limit."""
 
 MAX_QUEUED_FRACTION = 0.5
-"""Half of the requests found others queued: the batch is full, not just once."""
+"""Fraction of samples that found others queued above which the limit decreases: the
+batch is full most of the time."""
 
 DECREASE_FACTOR = 0.93
-"""Gentle: a window of bad luck costs a place or two.  At 0.85 the limits of equal
-engines drifted to between 10 and 24, so that some idled and others crawled."""
+"""Factor of a decrease; an unlucky window costs one or two requests.  A factor of 0.85
+lets the limits of equal engines diverge to between 10 and 24 requests, which leaves
+some idle and others slow."""
 
 INCREASE_FRACTION = 0.1
-"""Growth of one in ten a window, at least by one: from the first limit to twice
-that in about ten windows.  Half as fast refused more in bursts, twice as fast
-served less on uneven engines."""
+"""Growth per window as a fraction of the limit, at least one request: the initial limit
+doubles in about ten windows.  Half that speed refuses more requests in bursts, twice
+that speed serves fewer on uneven engines."""
 
 IN_USE_FRACTION = 0.6
-"""A limit that is not reached teaches nothing, and must not grow unbounded.
-Below the share that batch work may take, or batch alone could not raise it."""
+"""Fraction of the limit that has to be in use for it to grow; otherwise it would grow
+without bound.  It is below `settings.BATCH_FRACTION`, so that batch work alone can
+raise the limit."""
 
 FIRST_TOKEN_FRACTION = 0.8
-"""Of its first-token promise a request may spend this much at the upstream; the
-rest is for the router's queue and the way."""
+"""Fraction of its first-token promise that a request may spend at the upstream; the
+rest is for the router's queue and the network."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Sample:
-    """How one request fared at the upstream until its first token.
+    """Measurements of one request at the upstream until its first token.
 
     Attributes
     ----------
     first_token_seconds, promised_seconds : float
         Time to the first token (of a plain service: to the answer), and the
-        profile's promise; a promise of zero means that none binds (batch).
+        profile's promise; zero means that no promise binds (batch).
     queued : bool
-        Whether requests wait inside the upstream: its batch is full, and more
-        at once would only wait longer.
+        Whether requests are queued inside the upstream: its batch is full, and
+        further requests would only wait longer.
     """
 
     first_token_seconds: float
@@ -80,11 +85,11 @@
 
 
 class AdaptiveLimit:
-    """The limit in requests, moved by what first tokens tell.
+    """Limit in requests, adjusted by the times to first tokens.
 
     Examples
     --------
-    >>> limit = AdaptiveLimit(first=8)
+    >>> limit = AdaptiveLimit(initial_limit=8)
     >>> slow = Sample(first_token_seconds=2.0, promised_seconds=1.5)
     >>> for _ in range(5):
     ...     limit.observe(slow, running=8, now=1.5)
@@ -99,11 +104,11 @@
 
     @property
     def limit(self) -> int:
-        """Requests that may run at once."""
+        """Number of requests that may run at once."""
         return int(self._limit)
 
     def observe(self, sample: Sample, *, running: int, now: float) -> None:
-        """Take in one first token; `running` counts its request too."""
+        """Record one sample; `running` includes its request."""
         self._samples += 1
         self._queued += sample.queued
         self._most_running = max(self._most_running, running)
@@ -120,7 +125,7 @@
     def _adjust(self) -> None:
         slow = self._slow > MAX_SLOW_FRACTION * self._promised
         if slow or self._queued > MAX_QUEUED_FRACTION * self._samples:
-            # From what was in use: cutting an unused limit would change nothing.
+            # Starts from the requests in use; lowering an unused limit has no effect.
             used = min(self._limit, float(self._most_running))
             self._limit = max(float(MIN_LIMIT_REQUESTS), used * DECREASE_FACTOR)
         elif self._most_running >= IN_USE_FRACTION * self._limit:
--- a/src/ragwortkeel/policy/quarantine.py
+++ b/src/ragwortkeel/policy/quarantine.py
@@ -1,18 +1,18 @@
 """Quarantine of requests that crash upstreams.
 
-Pattern of load: one request crashes each upstream that runs it, and its caller
-sends it again, often under a new key.  Without quarantine it takes down the
-fleet one upstream after another; with a naive one, every innocent request that
-ran beside it is refused too.
-
-A request is known by the fingerprint of its body.  Running at one crash proves
-nothing.  Running at `CRASHES_TO_ISOLATE` crashes, it runs alone at most once
-more: if it crashes the upstream alone, it is refused for good; if it ends, it
-was innocent and is cleared.  Innocents that shared a crashed upstream are thus
-never refused: at worst they wait for a run alone.
-
-What is told to the fleet are the crashes, each under an id of its own, so that
-hearing one twice or in another order changes nothing.
+Load pattern: one request crashes each upstream that runs it, and its caller retries
+it, often under a new key.  Without quarantine it crashes the upstreams of the fleet
+one after another; a simple quarantine also refuses every innocent request that ran
+beside it.
+
+A request is identified by the fingerprint of its body.  Running during one crash
+proves nothing.  After `CRASHES_TO_ISOLATE` crashes the request runs alone, at most
+once more: if the upstream crashes again, the request is refused for good; if the run
+ends, the request is cleared.  Innocent requests that shared a crashed upstream are
+thus never refused; at worst they wait for an isolated run.
+
+Processes exchange crashes, each under its own id, so that duplicates and reordering
+have no effect.
 """
 
 from collections import OrderedDict
@@ -21,28 +21,30 @@
 from hashlib import blake2b
 
 CRASHES_TO_ISOLATE = 2
-"""The chance of an innocent to share two crashes is small, and the cost of a
-false suspicion is one run alone, not a refusal."""
+"""Crashes after which a request runs alone.  An innocent request rarely shares two
+crashes, and a false suspicion costs one isolated run, not a refusal."""
 
 CRASHES_TO_REFUSE = 3
-"""The third was to be the run alone.  Counting it bounds a crashing request also
-where the router died before it could tell that the run was alone."""
+"""Crashes after which a request is refused.  The third was to be the isolated run.
+Counting it bounds a crashing request also if the router crashed before it reported
+that the run was isolated."""
 
 RETENTION_SECONDS = 24 * 3600.0
-"""Longer than callers keep sending one body again, shorter than the time until
-a mended engine version is out."""
+"""Time for which a crash is retained: longer than callers retry one body, shorter than
+the time until a fixed engine version is deployed."""
 
 MAX_FINGERPRINTS = 10_000
-"""Measured at 5.6 MB; the longest unseen are forgotten first."""
+"""Fingerprints retained, about 5.6 MB; the least recently reported are discarded
+first."""
 
 
 def fingerprint(body: bytes) -> str:
-    """Return the name of a body; equal bodies under different keys share it."""
+    """Return the fingerprint of a body; equal bodies under different keys share it."""
     return blake2b(body, digest_size=16).hexdigest()
 
 
 class Verdict(StrEnum):
-    """What may be done with a request."""
+    """How a request may be handled."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -52,17 +54,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Crash:
-    """An upstream crashed with these requests on it.
+    """A crash of an upstream that was running these requests.
 
     Attributes
     ----------
     crash_id : str
-        The same for all who report this crash: the sidecar's incarnation and
+        Identical for all reporters of this crash: the sidecar's incarnation and
         its count of upstream crashes.
     fingerprints : frozenset of str
-        What the reporter knows to have been running there.
+        Requests that the reporter knows to have been running there.
     alone : bool
-        Whether the one request was run alone.
+        Whether the one request ran alone.
     """
 
     crash_id: str
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Suspicion:
-    """What is known of one fingerprint."""
+    """Recorded crashes of one fingerprint."""
 
     crash_ids: frozenset[str] = frozenset()
     cleared_ids: frozenset[str] = frozenset()
@@ -81,12 +83,12 @@
 
 
 class Quarantine:
-    """Which bodies are under suspicion, from the crashes heard of so far.
+    """Bodies under suspicion, from the crashes reported so far.
 
     Parameters
     ----------
-    keep : int
-        Fingerprints remembered at the most.
+    max_fingerprints : int
+        Maximum number of fingerprints retained.
     """
 
     def __init__(self, *, max_fingerprints: int = MAX_FINGERPRINTS) -> None:
@@ -94,17 +96,20 @@
         self._suspicion_by_fingerprint: OrderedDict[str, Suspicion] = OrderedDict()
 
     def record_crash(self, crash: Crash, now: float) -> bool:
-        """Take in a crash, own or told; return whether it was news to pass on."""
+        """Record an own or a reported crash; return whether it is new to this process.
+
+        A new crash has to be forwarded.
+        """
         news = [name for name in crash.fingerprints if self._add(name, crash, now)]
         self._discard_old(now)
         return bool(news)
 
     def record_finish(self, name: str) -> bool:
-        """Clear a body that ran to its end; return whether it was suspected.
+        """Clear a body whose run completed; return whether it was suspected.
 
-        A request that crashes upstreams crashes each one that runs it, so one
-        whole answer proves it innocent.  Without clearing, a body that many
-        callers send at once would gather crashes that are not its doing.
+        A request that crashes upstreams crashes each one that runs it, so one complete
+        answer proves it innocent.  Without clearing, a body that many callers send at
+        once would accumulate crashes with other causes.
         """
         known = self._suspicion_by_fingerprint.get(name)
         if known is None or known.crashed_alone or not known.crash_ids:
@@ -117,7 +122,7 @@
         return True
 
     def verdict(self, name: str) -> Verdict:
-        """Return what may be done with a request of this fingerprint."""
+        """Return how to handle a request with this fingerprint."""
         known = self._suspicion_by_fingerprint.get(name)
         if known is None or not (known.crash_ids or known.crashed_alone):
             return Verdict.CLEAR
--- a/src/ragwortkeel/policy/queueing.py
+++ b/src/ragwortkeel/policy/queueing.py
@@ -1,21 +1,22 @@
-"""A short, bounded queue: service classes and customers' fair shares.
-
-Patterns of load: a burst; a customer that sends more than all others; long work
-among short.  One first-in-first-out line lets a large customer's burst delay
-every small one, keeps work that is already too late at its head, and puts an
-advisor's chat behind an archive's summaries.
-
-- Classes share equally, by tokens, so none starves.  What interactive work needs
-  beyond that it has from the places that batch work leaves free and from the
-  engines' priorities.
-- Customers of a class share equally, by tokens: ten long requests weigh as much
-  as a hundred short ones.  Inside a customer it is first come, first served.
-- A full class makes room by turning away the last request of the customer that
-  waits with the most, so that a flood turns away its own sender.
-- A request that can no longer make it leaves at that moment, with its answer.
-
-Weights for the classes and earliest deadline first inside a customer were tried
-and dropped: neither bought anything (docs/measurements/load.md).
+"""Bounded queue with service classes and fair shares for customers.
+
+Load patterns: a burst; a customer that sends more than all others; long requests among
+short ones.  A single first-in-first-out queue delays every small customer by a large
+customer's burst, holds requests at its head that are already too late, and orders
+interactive chats behind batch summaries.
+
+- Classes share equally, by tokens, so none starves.  Interactive work gets additional
+  capacity from the headroom that batch work leaves free and from the engines'
+  priorities.
+- Customers of a class share equally, by tokens: ten long requests weigh as much as a
+  hundred short ones.  The requests of one customer are served in order of arrival.
+- A full class displaces the last request of the customer with the most queued
+  requests, so that a flood displaces its own sender's requests.
+- A request that can't be served in time any more leaves the queue at that moment and
+  is refused.
+
+Weights for the classes and earliest-deadline-first order within a customer bring no
+improvement (docs/measurements/load.md).
 """
 
 from collections import deque
@@ -28,18 +29,18 @@
 from ragwortkeel.policy.facts import RequestFacts
 
 MAX_QUEUED_REQUESTS = 256
-"""Requests of a class that wait at one router.  The estimated wait bounds the
-queue long before, and keeps interactive lines to a few; this bounds the memory
-(16 MB for bodies of 64 KB).  With 64, trials with much batch work refused up to
-three requests in ten that had time to wait."""
+"""Queued requests of a class at one router.  The estimated wait bounds the queue much
+earlier, for interactive work at a few requests; this limit bounds the memory (16 MB
+for bodies of 64 KB).  A limit of 64 refuses up to 30% of the requests that have time
+to wait under heavy batch load."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class QueuedRequest:
-    """A request that is to be dispatched, by `latest_start` at the latest.
+    """A request that has to be dispatched by `latest_start`.
 
-    `tried` are the upstreams where earlier attempts failed, and `may_have_run`
-    tells whether any of those may have run it.
+    `tried_upstreams` are those where earlier attempts failed, and `may_have_run` is
+    whether any of these attempts may have run the request.
     """
 
     request: RequestFacts
@@ -51,7 +52,7 @@
 
 @dataclass(kw_only=True)
 class _Flow:
-    """One customer's requests of one class, and the tokens it was served."""
+    """One customer's requests of one class, and the tokens served to it."""
 
     served_tokens: float
     requests: deque[QueuedRequest] = field(default_factory=deque)
@@ -59,11 +60,11 @@
 
 @dataclass(kw_only=True)
 class _ClassQueue:
-    """One class: its customers' flows, and how far its service has come.
+    """The flows of one class, by customer, and the tokens served to the class.
 
-    `floor` is what the customer served last had been served: where one that was
-    idle joins.  Without it an idle customer would save up service, and then
-    take the queue for itself.
+    `floor_tokens` are the tokens that had been served to the customer served last.
+    A customer that was idle starts from there; otherwise it would accumulate credit
+    and then monopolise the queue.
     """
 
     served_tokens: float = 0.0
@@ -72,25 +73,25 @@
     flow_by_customer: dict[str, _Flow] = field(default_factory=dict)
 
     def flow(self, customer: str) -> _Flow:
-        """Return the customer's flow, new where it has none."""
+        """Return the customer's flow, creating it if needed."""
         return self.flow_by_customer.setdefault(
             customer, _Flow(served_tokens=self.floor_tokens)
         )
 
     def active_flows(self) -> list[_Flow]:
-        """Return the flows that have requests."""
+        """Return the flows with queued requests."""
         return [flow for flow in self.flow_by_customer.values() if flow.requests]
 
 
 class FairQueue:
-    """What waits for one set of back ends at one router.
+    """Requests queued for one set of back ends at one router.
 
     Parameters
     ----------
-    max_waiting : int
-        Requests of one class at the most.
+    max_requests : int
+        Maximum number of requests of one class.
     fair : bool
-        False only to measure what customers' shares buy.
+        False only to measure the effect of fair shares.
     """
 
     def __init__(
@@ -108,107 +109,113 @@
         return len(self._queued_by_id)
 
     def length(self, service: ServiceClass) -> int:
-        """Return how many of a class wait."""
+        """Return the number of queued requests of a class."""
         return self._queue_by_class[service].size
 
     def requests_ahead(self, request: RequestFacts) -> float:
-        """Return about how many of its class will go before a new request."""
+        """Return about how many requests of the class precede a new request."""
         flows = self._queue_by_class[request.service_class].flow_by_customer
         customer = self._customer(request)
         own = len(flows[customer].requests) if customer in flows else 0
         others = (flow for name, flow in flows.items() if name != customer)
         return float(own + sum(min(len(f.requests), own + 1) for f in others))
 
-    def push(self, waiting: QueuedRequest) -> QueuedRequest | None:
-        """Add a request; return the one turned away for it, if any.
+    def push(self, queued: QueuedRequest) -> QueuedRequest | None:
+        """Add a request; return the request displaced by it, if any.
 
-        The one turned away may be the new one itself.
+        The displaced request may be the new one.
         """
-        line = self._queue_by_class[waiting.request.service_class]
-        if line.size == 0:
-            line.served_tokens = max(line.served_tokens, self._floor_tokens)
-        line.flow(self._customer(waiting.request)).requests.append(waiting)
-        line.size += 1
-        self._queued_by_id[waiting.request.request_id] = waiting
-        entry = (waiting.latest_start, next(self._order), waiting)
+        class_queue = self._queue_by_class[queued.request.service_class]
+        if class_queue.size == 0:
+            class_queue.served_tokens = max(
+                class_queue.served_tokens, self._floor_tokens
+            )
+        class_queue.flow(self._customer(queued.request)).requests.append(queued)
+        class_queue.size += 1
+        self._queued_by_id[queued.request.request_id] = queued
+        entry = (queued.latest_start, next(self._order), queued)
         heappush(self._by_latest_start, entry)
-        if line.size <= self._max_requests:
+        if class_queue.size <= self._max_requests:
             return None
-        return self._displace(line)
+        return self._displace(class_queue)
 
     def peek(self, services: Collection[ServiceClass]) -> QueuedRequest | None:
         """Return the next request among these classes."""
-        lines = [self._queue_by_class[s] for s in services if self.length(s)]
-        if not lines:
+        class_queues = [self._queue_by_class[s] for s in services if self.length(s)]
+        if not class_queues:
             return None
-        line = min(lines, key=lambda each: each.served_tokens)
-        return min(line.active_flows(), key=lambda flow: flow.served_tokens).requests[0]
-
-    def pop(self, waiting: QueuedRequest) -> None:
-        """Take the request that `peek` returned out, and charge its customer."""
-        request = waiting.request
-        line = self._queue_by_class[request.service_class]
-        flow = line.flow(self._customer(request))
-        self._floor_tokens = max(self._floor_tokens, line.served_tokens)
-        line.floor_tokens = max(line.floor_tokens, flow.served_tokens)
-        line.served_tokens += request.cost
+        class_queue = min(class_queues, key=lambda each: each.served_tokens)
+        return min(
+            class_queue.active_flows(), key=lambda flow: flow.served_tokens
+        ).requests[0]
+
+    def pop(self, queued: QueuedRequest) -> None:
+        """Remove the request that `peek` returned, and charge its customer."""
+        request = queued.request
+        class_queue = self._queue_by_class[request.service_class]
+        flow = class_queue.flow(self._customer(request))
+        self._floor_tokens = max(self._floor_tokens, class_queue.served_tokens)
+        class_queue.floor_tokens = max(class_queue.floor_tokens, flow.served_tokens)
+        class_queue.served_tokens += request.cost
         flow.served_tokens += request.cost
-        self._remove(waiting)
+        self._remove(queued)
 
     def pop_expired(self, now: float) -> list[QueuedRequest]:
-        """Take out what can no longer make it."""
-        late: list[QueuedRequest] = []
+        """Remove and return the requests that can't be served in time any more."""
+        expired: list[QueuedRequest] = []
         while (first := self._first_to_expire()) and first.latest_start < now:
             self._remove(first)
-            late.append(first)
-        return late
+            expired.append(first)
+        return expired
 
     def next_expiry_at(self) -> float | None:
-        """Return when the first one has to start; None for an empty queue."""
+        """Return the earliest `latest_start`; None for an empty queue."""
         first = self._first_to_expire()
         return first.latest_start if first else None
 
     def remove(self, request_id: str) -> bool:
-        """Take one request out, whose caller left; return whether it waited."""
-        waiting = self._queued_by_id.get(request_id)
-        if waiting is None:
+        """Remove a request whose caller disconnected; return whether it was queued."""
+        queued = self._queued_by_id.get(request_id)
+        if queued is None:
             return False
-        self._remove(waiting)
+        self._remove(queued)
         return True
 
     def clear(self) -> list[QueuedRequest]:
-        """Take all out."""
-        everything = list(self._queued_by_id.values())
-        for waiting in everything:
-            self._remove(waiting)
-        return everything
+        """Remove and return all requests."""
+        removed = list(self._queued_by_id.values())
+        for queued in removed:
+            self._remove(queued)
+        return removed
 
     def _customer(self, request: RequestFacts) -> str:
         return request.customer if self._fair else ""
 
     def _first_to_expire(self) -> QueuedRequest | None:
         while self._by_latest_start:
-            waiting = self._by_latest_start[0][2]
-            if self._queued_by_id.get(waiting.request.request_id) is waiting:
-                return waiting
+            queued = self._by_latest_start[0][2]
+            if self._queued_by_id.get(queued.request.request_id) is queued:
+                return queued
             heappop(self._by_latest_start)
         return None
 
-    def _displace(self, line: _ClassQueue) -> QueuedRequest:
-        longest = max(line.active_flows(), key=lambda flow: len(flow.requests))
-        last = longest.requests[-1]
+    def _displace(self, class_queue: _ClassQueue) -> QueuedRequest:
+        longest_flow = max(
+            class_queue.active_flows(), key=lambda flow: len(flow.requests)
+        )
+        last = longest_flow.requests[-1]
         self._remove(last)
         return last
 
-    def _remove(self, waiting: QueuedRequest) -> None:
-        request = waiting.request
+    def _remove(self, queued: QueuedRequest) -> None:
+        request = queued.request
         del self._queued_by_id[request.request_id]
-        line = self._queue_by_class[request.service_class]
-        line.size -= 1
+        class_queue = self._queue_by_class[request.service_class]
+        class_queue.size -= 1
         customer = self._customer(request)
-        flow = line.flow_by_customer[customer]
-        flow.requests.remove(waiting)
-        if not flow.requests and flow.served_tokens <= line.floor_tokens:
-            del line.flow_by_customer[customer]
-        if line.size == 0:
-            line.flow_by_customer.clear()
+        flow = class_queue.flow_by_customer[customer]
+        flow.requests.remove(queued)
+        if not flow.requests and flow.served_tokens <= class_queue.floor_tokens:
+            del class_queue.flow_by_customer[customer]
+        if class_queue.size == 0:
+            class_queue.flow_by_customer.clear()
--- a/src/ragwortkeel/policy/retries.py
+++ b/src/ragwortkeel/policy/retries.py
@@ -1,43 +1,44 @@
-"""Retry budget: how much extra work failures may cause.
-
-Pattern of load: an upstream (or a zone) fails while the fleet is busy.  Without
-a budget each request is tried several times just when capacity is short; the
-retries push the rest over the edge, which causes more retries, and the overload
-outlives the failure.
-
-The budget is a share of first attempts.  A share adds up: when each router
-keeps retries under 10% of its own first attempts, so does the fleet, with no
-messages between them.  Each service has a budget of its own: a small one that fails
-would else get all retries that the requests for a large one have earned.  What must
-not repeat is never retried once it may have run.
-
-What counts is each arrival at an upstream beyond the first of its request, also one
-that it turned away: after a loss of power all processes would else send most requests
-on at once, from instance to instance that is no longer there.  A router's attempt that
-a sidecar turned away has not arrived at the upstream, and takes nothing.
+"""Retry budget: the extra work that failures may cause.
+
+Load pattern: an upstream or an availability zone fails while the fleet is busy.
+Without a budget each request is attempted several times just when capacity is short;
+the retries cause further failures and further retries, and the overload outlasts the
+failure.
+
+The budget is a fraction of the first attempts.  If each router keeps its retries
+under 10% of its own first attempts, so does the fleet, without any coordination.
+Each service has its own budget; otherwise a small service that fails would use the
+retries earned by a large one.  A request that must not repeat is never retried once it
+may have run.
+
+Each arrival at an upstream beyond the first of its request counts, also if the
+upstream turns it away: after a power failure all processes would otherwise send most
+requests to one instance after another that is no longer there.  An attempt that a
+sidecar turned away has not arrived at the upstream, and is free.
 """
 
 from collections.abc import Hashable
 
 RETRY_FRACTION = 0.1
-"""Ten retries to a hundred requests: losing one upstream of ten at once needs
-about as many, and the others can carry it at 90% load."""
+"""Retries per first attempt.  Losing one of ten upstreams takes about that many
+retries, and the other upstreams can serve them at 90% load."""
 
 RESERVE_RETRIES = 5.0
-"""Retries saved up at the most by a quiet router: the failure of one upstream
-leaves a handful of requests to run again."""
+"""Retries that a quiet router accumulates at most: the failure of one upstream leaves a
+handful of requests to run again."""
 
 INITIAL_RETRIES = 3.0
-"""Retries of a process that has just started: one upstream that fails is ejected after
-as many.  With a whole reserve a series of kills, or a fleet that starts at once, would
-send the reserves of all its starts together."""
+"""Retries of a process that has just started; as many failures eject one upstream.
+With a full reserve, repeated restarts or a simultaneous start of the fleet would spend
+the reserves of all starts together."""
 
 FLEET_RESERVE_RETRIES = 30.0
-"""Retries saved up at the most by all processes of a fleet together.  A fixed reserve
-of each adds up instead: 29 quiet processes with 6 would send 174 at once."""
+"""Retries that all processes of a fleet accumulate together at most.  Fixed reserves
+add up instead: 29 quiet processes with 6 retries each would send 174 at once."""
 
 MAX_ATTEMPTS = 3
-"""Three independent upstreams failing one request point at the request."""
+"""Attempts of one request; failures on three independent upstreams point at the
+request."""
 
 
 def process_reserve(*, processes: int, most: float = RESERVE_RETRIES) -> float:
@@ -46,31 +47,32 @@
     Parameters
     ----------
     processes : int
-        Of the fleet, those that are not heard just now too: in a cut each side would
-        else take the whole reserve.
+        Processes of the fleet, including unreachable ones; otherwise each side of
+        a partition would use the full reserve.
     most : float
-        What a process keeps in a small fleet.
+        Maximum reserve of a process, which applies in a small fleet.
     """
     return min(most, max(1.0, FLEET_RESERVE_RETRIES / processes))
 
 
 class RetryBudget:
-    """Tokens earned by first attempts and spent by retries.
+    """Retries earned by first attempts and spent by retries.
 
     Parameters
     ----------
     share : float
         Retries earned by one first attempt.
     reserve : float
-        Retries saved up at the most.
+        Maximum number of accumulated retries.
 
     Examples
     --------
     >>> budget = RetryBudget(share=0.5, reserve=1.0)
-    >>> budget.take(), budget.take()
+    >>> budget.try_spend(), budget.try_spend()
     (True, False)
-    >>> budget.earn(); budget.earn()
-    >>> budget.take()
+    >>> budget.record_first_attempt()
+    >>> budget.record_first_attempt()
+    >>> budget.try_spend()
     True
     """
 
@@ -83,22 +85,22 @@
 
     @property
     def available_retries(self) -> float:
-        """Retries that could be spent now; a part of one can't."""
+        """Retries that may be spent now; only integral retries can be spent."""
         return self._available_retries
 
     def record_first_attempt(self) -> None:
-        """Count one first attempt."""
+        """Record one first attempt."""
         self._available_retries = min(
             self._reserve, self._available_retries + self._share
         )
 
     def set_reserve(self, reserve: float) -> None:
-        """Change the reserve; what is saved up beyond it is lost."""
+        """Change the reserve; accumulated retries beyond it are lost."""
         self._reserve = reserve
         self._available_retries = min(self._reserve, self._available_retries)
 
     def try_spend(self) -> bool:
-        """Spend one retry if there is one."""
+        """Spend one retry; return whether one was available."""
         if self._available_retries < 1.0 - 1e-9:
             return False
         self._available_retries -= 1.0
@@ -106,14 +108,14 @@
 
 
 class RetryBudgets:
-    """A retry budget for each service, or whatever else requests are for.
+    """A retry budget per service, or per any other key of requests.
 
     Examples
     --------
     >>> budgets = RetryBudgets(share=0.5, reserve=1.0)
-    >>> budgets.of("chat").take(), budgets.of("chat").take()
+    >>> budgets.get("chat").try_spend(), budgets.get("chat").try_spend()
     (True, False)
-    >>> budgets.of("lookup").take()
+    >>> budgets.get("lookup").try_spend()
     True
     """
 
@@ -125,7 +127,7 @@
         self._budget_by_service: dict[Hashable, RetryBudget] = {}
 
     def get(self, service: Hashable) -> RetryBudget:
-        """Return the budget of a service."""
+        """Return the budget of a service, creating it if needed."""
         budget = self._budget_by_service.get(service)
         if budget is None:
             budget = RetryBudget(share=self._share, reserve=self._reserve)
--- a/src/ragwortkeel/policy/settings.py
+++ b/src/ragwortkeel/policy/settings.py
@@ -1,4 +1,4 @@
-"""The thresholds of the decisions in one place; each is explained in its module."""
+"""Thresholds of the decisions; the module of each default explains it."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -11,12 +11,13 @@
 from ragwortkeel.policy.slow_start import RISE_FRACTION_PER_SECOND
 
 BATCH_FRACTION = 0.7
-"""Batch work leaves three tenths of each upstream free, so that an interactive
-request finds a place within its first-token promise and not after a summary."""
+"""Fraction of each upstream's limit that batch work may use.  The rest stays free so
+that an interactive request meets its first-token promise without waiting for a batch
+run."""
 
 
 class Mechanism(StrEnum):
-    """What can be left out, to measure what it buys."""
+    """Mechanisms that can be disabled to measure their effect."""
 
     ESTIMATED_WAIT = "estimated_wait"
     FAIR_SHARES = "fair_shares"
@@ -32,9 +33,9 @@
     Attributes
     ----------
     report_lag_seconds : float
-        The age of a load report when it arrives.
-    without : frozenset of Mechanism
-        Empty but in measurements.
+        The age of a load report on arrival.
+    disabled : frozenset of Mechanism
+        Empty except in measurements.
     """
 
     candidate_count: int = CANDIDATE_COUNT
@@ -49,5 +50,5 @@
     disabled: frozenset[Mechanism] = frozenset()
 
     def uses(self, mechanism: Mechanism) -> bool:
-        """Tell whether the mechanism is in use."""
+        """Return whether the mechanism is enabled."""
         return mechanism not in self.disabled
--- a/src/ragwortkeel/policy/slow_start.py
+++ b/src/ragwortkeel/policy/slow_start.py
@@ -1,41 +1,43 @@
-"""Bounded speed of shifts: how fast an upstream's share of the work may grow.
+"""Slow start: bounded growth of the traffic to an upstream.
 
-Pattern of load: an upstream comes back, is added, or looks idle in a report,
-and every router turns to it at once.  Without a bound the whole fleet's work
-lands on a cold prefix cache, its first-token times jump, it is left again, and
-load swings between upstreams with the period of the reports.
+Load pattern: an upstream returns, is added, or looks idle in a report, and every
+router sends to it at once.  Without a bound the load of the fleet moves to a cold
+prefix cache, its first-token times rise, the routers move away again, and load
+oscillates between upstreams with the period of the reports.
 
-A share falls at once, since work sent to a failed upstream is lost, and rises
-by at most `RISE_FRACTION_PER_SECOND`.
+The traffic fraction drops at once, since work sent to a failed upstream is lost, and
+rises by at most `RISE_FRACTION_PER_SECOND`.
 """
 
 from dataclasses import dataclass
 
 RISE_FRACTION_PER_SECOND = 0.1
-"""Ten seconds to the full share: several times the age of a load report (about
-a second), so each step is seen in the reports before the next is taken."""
+"""Growth of the fraction per second, ten seconds to full traffic.  That is several
+times the age of a load report (about a second), so reports show each increase before
+the next."""
 
 START_FRACTION = 0.1
-"""Enough for one or two requests at once, the fewest that tell slow from fast."""
+"""Fraction after a start: one or two concurrent requests, the fewest that distinguish a
+slow upstream from a fast one."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class TrafficFraction:
-    """A share in 0..1 as it stood at `at` seconds."""
+    """A fraction between 0 and 1, as of `updated_at` seconds."""
 
     value: float
     updated_at: float
 
 
 class SlowStart:
-    """The shares of the upstreams, each rising at a bounded speed.
+    """The traffic fractions of the upstreams, each with bounded growth.
 
     Parameters
     ----------
     rise_per_second : float
-        By how much a share may grow in a second.
+        Growth of a fraction per second.
     start : float
-        TrafficFraction of an upstream that joins others already at work.
+        Fraction of an upstream that joins others in use.
     """
 
     def __init__(
@@ -49,10 +51,10 @@
         self._fraction_by_upstream: dict[str, TrafficFraction] = {}
 
     def retain(self, upstreams: set[str], now: float) -> None:
-        """Forget upstreams that left; let those that joined start low.
+        """Retain only these upstreams; add new ones at the start fraction.
 
-        Where none was known before, all start at the full share: there is no
-        work elsewhere to shift from, and a low start would only refuse.
+        If no upstream was known before, all begin at full traffic: there is no load to
+        move from other upstreams, and a low start would only cause refusals.
         """
         start = self._start if self._fraction_by_upstream else 1.0
         kept = {n: s for n, s in self._fraction_by_upstream.items() if n in upstreams}
@@ -61,14 +63,14 @@
         self._fraction_by_upstream = kept
 
     def reset(self, upstream: str, now: float) -> None:
-        """Let the share fall to the start value at once."""
+        """Reset the fraction to the start value."""
         if upstream in self._fraction_by_upstream:
             self._fraction_by_upstream[upstream] = TrafficFraction(
                 value=self._start, updated_at=now
             )
 
     def fraction(self, upstream: str, now: float) -> float:
-        """Return the share in 0..1 at `now`; 0 for an unknown upstream."""
+        """Return the fraction at `now`, 0 to 1; 0 for an unknown upstream."""
         share = self._fraction_by_upstream.get(upstream)
         if share is None:
             return 0.0
--- a/src/ragwortkeel/policy/timeouts.py
+++ b/src/ragwortkeel/policy/timeouts.py
@@ -1,39 +1,41 @@
-"""How long to wait for an answer, by how long answers took lately.
+"""Adaptive timeout from recent response times.
 
-Pattern of load: a service that answers in milliseconds is cut off.  The first call
-hangs until its timeout, and with it every caller who waits for what it brings; a
-fixed timeout has to bear the slowest hours and so is a hundred times too long in
-ordinary ones.
+Load pattern: a service that answers in milliseconds becomes unreachable.  The first
+call waits for its full timeout, and with it every caller that needs the result.  A
+fixed timeout has to allow for the slowest answers, and is a hundred times too long for
+usual ones.
 """
 
 MIN_TIMEOUT_SECONDS = 0.25
-"""A lost packet is sent again after 0.2 s; a call that takes longer is late anyway."""
+"""Lower bound: TCP retransmits a lost packet after 0.2 s, and a call that takes longer
+is late in any case."""
 
 MEAN_FACTOR = 6.0
-"""Times the mean: answers of a slow hour spread less than that around it."""
+"""Timeout as a multiple of the mean response time; response times of a slow service
+vary less than that."""
 
 NEWEST_WEIGHT = 0.2
-"""Of the newest answer in the mean; of some ten answers the mean is made."""
+"""Weight of the newest response time in the mean, which covers about ten answers."""
 
 
 class AnswerTimeout:
-    """A timeout that follows the service.
+    """A timeout that follows the response times of a service.
 
-    It doubles with each call that gets no answer, so that a service which has
-    become slow is found out after a call or two and not taken for gone.
+    The timeout doubles with each call without an answer, so that a service that has
+    become slow is recognised after one or two calls and not taken for failed.
 
     Parameters
     ----------
-    longest : float
-        Seconds that it never exceeds.
+    max_seconds : float
+        Upper bound of the timeout.
 
     Examples
     --------
-    >>> timeout = AnswerTimeout(longest=0.6)
-    >>> timeout.answered(0.004)
+    >>> timeout = AnswerTimeout(max_seconds=0.6)
+    >>> timeout.record_answer(0.004)
     >>> timeout.seconds
     0.25
-    >>> timeout.timed_out()
+    >>> timeout.record_timeout()
     >>> timeout.seconds
     0.5
     """
@@ -45,20 +47,20 @@
 
     @property
     def seconds(self) -> float:
-        """How long to wait for the next answer."""
+        """Timeout of the next call."""
         if self._mean_seconds is None:
             return self._max_seconds
         least = max(MIN_TIMEOUT_SECONDS, MEAN_FACTOR * self._mean_seconds)
         return min(self._max_seconds, least * self._backoff_factor)
 
     def record_answer(self, seconds: float) -> None:
-        """Take in how long an answer took."""
+        """Record the response time of a call."""
         known = seconds if self._mean_seconds is None else self._mean_seconds
         self._mean_seconds = known + (seconds - known) * NEWEST_WEIGHT
         self._backoff_factor = 1.0
 
     def record_timeout(self) -> None:
-        """Note a call without an answer."""
+        """Record a call without an answer."""
         self._backoff_factor = min(
             2 * self._backoff_factor, self._max_seconds / MIN_TIMEOUT_SECONDS
         )
--- a/src/ragwortkeel/policy/upstreams.py
+++ b/src/ragwortkeel/policy/upstreams.py
@@ -1,7 +1,7 @@
-"""What one router knows of its upstreams, and where it puts a request.
+"""State of the upstreams of one router, and the choice of one for a request.
 
-Ties `choice`, `ejection` and `shifting` together; the limits come from the
-sidecars' reports (see `limits`).
+Combines `choice`, `ejection` and `slow_start`; the limits come from the sidecars'
+reports (see `limits`).
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 class UpstreamTable:
-    """Load, limit, health and share of each upstream, by name."""
+    """Load, limit, health and traffic fraction of each upstream, by name."""
 
     def __init__(
         self, *, zone: str, random: Random, settings: SchedulerSettings
@@ -36,7 +36,7 @@
         self._slow_start = SlowStart(rise_per_second=settings.rise_per_second)
 
     def replace_upstreams(self, upstreams: Iterable[UpstreamFacts], now: float) -> None:
-        """Take over the upstreams that may be given new work from now on."""
+        """Replace the upstreams that may receive new requests."""
         self._facts_by_name = {facts.name: facts for facts in upstreams}
         self._names_by_pool.clear()
         self._full.clear()
@@ -51,7 +51,7 @@
             self._remove_if_idle(name)
 
     def record_load(self, report: LoadReport, now: float) -> None:
-        """Take in what a sidecar says of its upstream's load."""
+        """Record a sidecar's report of its upstream's load."""
         load = self._load_by_name.get(report.upstream)
         if load is None:
             return
@@ -77,12 +77,12 @@
         avoid: frozenset[str],
         now: float,
     ) -> str | None:
-        """Return where the request may run now, or None where there is no room.
+        """Return the upstream for a request, or None if none has headroom.
 
-        Upstreams in `avoid` are used only where no other is left.
+        Upstreams in `avoid` are used only if no other is left.
         """
-        # What found no room finds none until something ends or is reported;
-        # a saturated router asks many times in between.
+        # Without headroom, nothing changes until a request ends or a report arrives;
+        # a saturated router calls this many times in between.
         pool = (request.back_ends, request.service_class)
         if pool in self._full:
             return None
@@ -104,18 +104,20 @@
         )
         return chosen.name if chosen else None
 
-    def choose_idle_upstream(self, request: RequestFacts, now: float) -> str | None:
-        """Return where the request may run alone, or None.
+    def choose_for_isolation(self, request: RequestFacts, now: float) -> str | None:
+        """Return the upstream on which the request may run alone, or None.
 
-        One upstream of a back end at a time: a suspect must not be able to take
-        the back end away from everybody.
+        Only one upstream of a back end runs a suspect at a time, so that suspects can't
+        make the back end unavailable to all other requests.
         """
         pool = self.serving(request.back_ends)
         if any(name in self._isolated_request_by_name for name in pool):
             return None
         usable = self._ejections.usable(pool, now)
-        steady = [name for name, probe in usable.items() if not probe]
-        return min(steady, key=lambda name: self._load_by_name[name].load, default=None)
+        not_probed = [name for name, probe in usable.items() if not probe]
+        return min(
+            not_probed, key=lambda name: self._load_by_name[name].load, default=None
+        )
 
     def record_start(
         self, request_id: str, name: str, *, alone: bool, now: float
@@ -127,7 +129,7 @@
             self._isolated_request_by_name[name] = request_id
 
     def record_end(self, request_id: str, name: str, now: float) -> None:
-        """Count a request that runs there no more."""
+        """Count a request that no longer runs there."""
         self._full.clear()
         self._load_by_name[name].record_end(now)
         if self._isolated_request_by_name.get(name) == request_id:
@@ -136,18 +138,18 @@
             self._remove_if_idle(name)
 
     def record_success(self, name: str, now: float) -> None:
-        """Note an answer, or its first token."""
+        """Record an answer, or its first token."""
         if self._ejections.record_success(name):
             self._full.clear()
             self._slow_start.reset(name, now)
 
     def record_no_verdict(self, name: str, now: float) -> None:
-        """Note work that left without a verdict on the upstream."""
+        """Record a request that ended without a verdict on the upstream."""
         self._full.clear()
         self._ejections.record_no_verdict(name, now)
 
     def record_failure(self, name: str, failure: Failure, now: float) -> None:
-        """Note a failed attempt."""
+        """Record a failed attempt."""
         self._full.clear()
         if failure is Failure.OVERLOADED and name in self._load_by_name:
             self._load_by_name[name].assume_full(self._limit(name))
@@ -157,7 +159,7 @@
             self._slow_start.reset(name, now)
 
     def _open_upstreams(self, request: RequestFacts, now: float) -> list[str]:
-        """Return the usable upstreams; no probes with what must not repeat."""
+        """Return the usable upstreams; no probes if the request must not repeat."""
         pool = self.serving(request.back_ends)
         usable = self._ejections.usable(pool, now)
         names = [name for name in usable if name not in self._isolated_request_by_name]
@@ -169,17 +171,17 @@
         return float(self._limit_by_name.get(name, self._settings.initial_limit))
 
     def _candidate(self, name: str, service: ServiceClass, now: float) -> Candidate:
-        room = self._limit(name) * self._slow_start.fraction(name, now)
+        limit = self._limit(name) * self._slow_start.fraction(name, now)
         if service is ServiceClass.BATCH:
-            room *= self._settings.batch_fraction
-        room = max(1.0, room)
+            limit *= self._settings.batch_fraction
+        limit = max(1.0, limit)
         load = self._load_by_name[name]
         return Candidate(
             name=name,
             zone=self._facts_by_name[name].zone,
             load=load.load,
-            limit=room,
-            claimed=load.claimed_by_others(room) if self._subtracts_claims else 0.0,
+            limit=limit,
+            claimed=load.claimed_by_others(limit) if self._subtracts_claims else 0.0,
         )
 
     def _remove_if_idle(self, name: str) -> None:
