--- a/src/ragwortkeel/runs/assembly.py
+++ b/src/ragwortkeel/runs/assembly.py
@@ -1,14 +1,14 @@
-"""Putting an answer together from chunks that come late, twice or out of order.
+"""Assembly of an answer from chunks that arrive late, twice or out of order.
 
-The reader of a run (a router) gives every chunk to an `Assembly` and passes on
-only what it releases.  An answer is whole only when its end marker has come and
-every byte up to the marker's length has been released.
+The reader of a run (a router) adds every chunk to an `Assembly` and forwards only the
+bytes that it releases.  An answer is complete once its end marker has arrived and all
+bytes up to the marker's length have been released.
 """
 
 from ragwortkeel.exceptions import RunError
 
-MAX_WAITING_BYTES = 1024 * 1024
-"""Chunks ahead of a gap; beyond this it is cheaper to ask for a replay."""
+MAX_BUFFERED_BYTES = 1024 * 1024
+"""Maximum size of the chunks buffered behind a gap; beyond it a replay is cheaper."""
 
 
 class AnswerMismatch(RunError):
@@ -16,91 +16,98 @@
 
 
 class GapTooWide(RunError):
-    """Too much waits behind a gap; resume from `Assembly.length`."""
+    """Too many bytes are buffered behind a gap; resume from `Assembly.length`."""
 
 
 class Assembly:
-    """One answer as it comes together, in order and without repeats.
+    """One answer, assembled in order and without duplicates.
+
+    Parameters
+    ----------
+    max_buffered_bytes : int
+        Maximum size of the chunks buffered behind a gap.
 
     Attributes
     ----------
     length : int
-        Bytes released so far; where a `Resume` goes on.
+        Bytes released so far; the offset of a `Resume`.
     """
 
-    def __init__(self, *, max_waiting_bytes: int = MAX_WAITING_BYTES) -> None:
-        self._max_waiting_bytes = max_waiting_bytes
-        self._waiting_by_offset: dict[int, bytes] = {}
-        self._waiting_bytes = 0
+    def __init__(self, *, max_buffered_bytes: int = MAX_BUFFERED_BYTES) -> None:
+        self._max_buffered_bytes = max_buffered_bytes
+        self._buffered_by_offset: dict[int, bytes] = {}
+        self._buffered_bytes = 0
         self._end_offset: int | None = None
         self.length = 0
 
     @property
     def is_complete(self) -> bool:
-        """Whether everything up to the end marker has been released."""
+        """Whether all bytes up to the end marker have been released."""
         return self._end_offset is not None and self.length == self._end_offset
 
     @property
     def has_gap(self) -> bool:
-        """Whether bytes are missing that a replay would bring."""
-        if self._waiting_by_offset:
+        """Whether bytes are missing that a replay would deliver."""
+        if self._buffered_by_offset:
             return True
         return self._end_offset is not None and self.length < self._end_offset
 
     def add(self, offset: int, data: bytes) -> bytes:
-        """Take a chunk and return the bytes that are now next in order.
+        """Add a chunk and return the bytes that are next in order.
 
         Raises
         ------
         AnswerMismatch
-            The chunk reaches beyond the end marker.
+            The chunk extends beyond the end marker.
         GapTooWide
-            The chunk was not kept.
+            The buffer is full; the chunk was not stored.
         """
         if self._end_offset is not None and offset + len(data) > self._end_offset:
-            raise AnswerMismatch("a chunk lies beyond the end of the answer")
+            raise AnswerMismatch("a chunk ends after the end of the answer")
         if offset > self.length:
             self._buffer(offset, data)
             return b""
-        fresh = data[self.length - offset :]
-        self.length += len(fresh)
-        return fresh + self._release()
+        new_data = data[self.length - offset :]
+        self.length += len(new_data)
+        return new_data + self._release()
 
     def finish(self, length: int) -> None:
-        """Take the end marker.
+        """Record the end marker.
 
         Raises
         ------
         AnswerMismatch
-            More bytes than `length` have come, or another length was marked.
+            More bytes than `length` have arrived, or an earlier marker differs.
         """
         if self._end_offset not in (None, length):
-            raise AnswerMismatch("two end markers differ")
+            raise AnswerMismatch("two end markers differ in length")
         furthest = max(
-            (offset + len(data) for offset, data in self._waiting_by_offset.items()),
+            (offset + len(data) for offset, data in self._buffered_by_offset.items()),
             default=self.length,
         )
         if max(furthest, self.length) > length:
-            raise AnswerMismatch("the end marker lies before the end of the bytes")
+            raise AnswerMismatch(
+                "the end marker is before the end of the received bytes"
+            )
         self._end_offset = length
 
     def _buffer(self, offset: int, data: bytes) -> None:
-        known = self._waiting_by_offset.get(offset, b"")
+        known = self._buffered_by_offset.get(offset, b"")
         if len(known) >= len(data):
             return
-        if self._waiting_bytes + len(data) - len(known) > self._max_waiting_bytes:
-            raise GapTooWide(f"waiting for the bytes from {self.length} on")
-        self._waiting_by_offset[offset] = data
-        self._waiting_bytes += len(data) - len(known)
+        if self._buffered_bytes + len(data) - len(known) > self._max_buffered_bytes:
+            raise GapTooWide(f"gap at byte {self.length} is too wide to buffer")
+        self._buffered_by_offset[offset] = data
+        self._buffered_bytes += len(data) - len(known)
 
     def _release(self) -> bytes:
         released = []
-        for offset in sorted(self._waiting_by_offset):
+        for offset in sorted(self._buffered_by_offset):
             if offset > self.length:
                 break
-            data = self._waiting_by_offset.pop(offset)
-            self._waiting_bytes -= len(data)
-            fresh = data[self.length - offset :]
-            self.length += len(fresh)
-            released.append(fresh)
+            data = self._buffered_by_offset.pop(offset)
+            self._buffered_bytes -= len(data)
+            new_data = data[self.length - offset :]
+            self.length += len(new_data)
+            released.append(new_data)
         return b"".join(released)
--- a/src/ragwortkeel/runs/filing.py
+++ b/src/ragwortkeel/runs/filing.py
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadIntent:
-    """Read the intent under the key, then `on_read` or `on_unreadable`."""
+    """Read the intent under the key, then call `on_read` or `on_unreadable`."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class WriteNotRun:
-    """Replace the intent at `version` by this `NOT_RUN` one, then `on_release`."""
+    """Replace the intent at `version` by this `NOT_RUN` one, then call `on_release`."""
 
     intent: Intent
     version: int
@@ -57,7 +57,7 @@
 )
 
 FINAL_STEPS = (ResumeRun, ReturnOutcome, Refuse)
-"""Steps after which the filing has nothing left to decide."""
+"""Steps after which no decision is left."""
 
 
 class Filing:
@@ -65,17 +65,17 @@
 
     Parameters
     ----------
-    wanted
-        The intent of this attempt; its nonce is used by no other.
-    first
-        Whether no other attempt under this key can exist, as when the router
-        minted the key itself.
+    wanted : Intent
+        The intent of this attempt; its nonce is unique.
+    first : bool
+        Whether no other attempt under this key can exist, for example because the
+        router generated the key itself.
 
     Attributes
     ----------
     step : Step
-        What to do next.
-    held : StoredIntent or None
+        The next step to execute.
+    stored : StoredIntent or None
         The intent as last read or written.
     """
 
@@ -89,24 +89,24 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing is left to decide."""
+        """Whether no decision is left."""
         return isinstance(self.step, FINAL_STEPS)
 
-    def on_read(self, held: StoredIntent | None) -> None:
-        """Take what the platform holds under the key."""
-        self.stored = held
-        self._continue(after_read(self.wanted, held))
+    def on_read(self, stored: StoredIntent | None) -> None:
+        """Continue with the intent that the platform has under the key."""
+        self.stored = stored
+        self._continue(after_read(self.wanted, stored))
 
     def on_unreadable(self) -> None:
-        """Take it that the platform can't be read."""
+        """Continue without the platform, which can't be read."""
         self._continue(without_platform(first=self._first))
 
     def on_tombstone(self, state: RunState | None) -> None:
-        """Take the sidecar's answer, None where it is gone or out of reach."""
+        """Continue with the sidecar's answer; None if it stopped or is unreachable."""
         self._continue(after_tombstone(self.wanted, self.stored, state))
 
     def on_write(self, result: WriteResult, version: int = 0) -> None:
-        """Take how the write of the intent ended, and its new version."""
+        """Continue with the result of the intent's write, and its new version."""
         self._write_attempts += 1
         if result is WriteResult.WRITTEN:
             self.stored = StoredIntent(intent=self.wanted, version=version)
@@ -120,26 +120,25 @@
         )
 
     def on_sent(self) -> None:
-        """Take it that the dispatch goes out, for the first time or again."""
+        """Record that the dispatch is sent, for the first time or again."""
         self._dispatch_count += 1
         if self._dispatch_count > 1:
-            # An earlier copy may have run, so that only the platform can tell.
+            # An earlier copy may have run, so only the platform knows the outcome.
             self._first = False
 
     def on_refused(self, reason: RefusalReason, other: Intent | None) -> None:
-        """Take it that the sidecar refused the dispatch.
+        """Continue after the sidecar refused the dispatch.
 
         Parameters
         ----------
-        reason
+        reason : RefusalReason
             As in `Refused`.
-        other
-            An intent with a new nonce for another sidecar, or None where the
-            request is to be refused.
+        other : Intent or None
+            An intent with a new nonce for another sidecar; None to refuse the request.
         """
         if reason is RefusalReason.WRONG_INCARNATION and self._dispatch_count > 1:
-            # Failure: the first copy ran at a sidecar that restarted since, and
-            # its successor refuses the second; that proves nothing of the first.
+            # Failure: the first copy ran at a sidecar that has restarted since.  The
+            # new incarnation's refusal of the second proves nothing about the first.
             self._continue(after_tombstone(self.wanted, self.stored, None))
             return
         if other is None:
@@ -151,11 +150,11 @@
         self.step = TakeOver(intent=other, version=self.stored.version)
 
     def on_release(self, result: WriteResult) -> None:
-        """Take how the write of `NOT_RUN` ended.
+        """Continue with the result of the `NOT_RUN` write.
 
-        Failure: between the sidecar's refusal and our answer a retry takes the
-        intent over and runs, and `not_run` would be a lie.  Written over the
-        version that was ours, `NOT_RUN` shows that nobody did.
+        Failure: between the sidecar's refusal and the answer to the caller, a retry
+        takes the intent over and runs, so that `not_run` would be wrong.  A successful
+        write over the version of this attempt shows that no retry did so.
         """
         self._write_attempts += 1
         if result is WriteResult.CONFLICT and self._write_attempts < MAX_WRITE_ATTEMPTS:
@@ -169,14 +168,15 @@
         )
 
     def on_disconnected(self, wanted: Intent) -> None:
-        """Take it that the dispatched sidecar went silent without an answer.
+        """Continue after the dispatched sidecar disconnected without an answer.
 
-        `wanted` is an intent with a new nonce, in case the old one never ran.
+        `wanted` is an intent with a new nonce, in case the old nonce never ran.
         """
         lost = self.stored.intent
-        # Failure: it ran, its outcome is durable and the sidecar has let go of
-        # it, so it answers `TOMBSTONED`; with the platform gone by then,
-        # `not_run` would be a lie.  Only the conditional update tells.
+        # Failure: the request ran, its outcome is durable and the sidecar has
+        # discarded the run, so it answers `TOMBSTONED`.  If the platform is
+        # unavailable then, `not_run` would be wrong; only the conditional update
+        # decides.
         self._first = False
         self._replace_intent(wanted)
         self.step = AskSidecar(sidecar=lost.sidecar, nonce=lost.nonce)
--- a/src/ragwortkeel/runs/intent.py
+++ b/src/ragwortkeel/runs/intent.py
@@ -1,9 +1,9 @@
-"""Durable intents: what keeps a request that must not repeat to one run.
+"""Durable intents, which restrict a request that must not repeat to one run.
 
-Before such a request is dispatched, an `Intent` that names the attempt's nonce
-and sidecar is created in the platform; its outcome is written there after the
-run.  The decisions of a retry are pure functions here; docs/design/runs.md
-gives the ways weighed.
+Before such a request is dispatched, an `Intent` that names the attempt's nonce and
+sidecar is created in the platform; after the run the outcome is written to it.  The
+decisions of a retry are pure functions in this module; docs/design/runs.md describes
+the alternatives.
 """
 
 import hashlib
@@ -16,21 +16,22 @@
 from ragwortkeel.messages import RunState
 
 MAX_STORED_ANSWER_BYTES = 256 * 1024
-"""A quarter of the platform's value limit; confirmations are far smaller."""
+"""Maximum size of an answer stored in an intent, a quarter of the platform's value
+limit; confirmations are far smaller."""
 
 MAX_WRITE_ATTEMPTS = 4
-"""Writes lost to other retries of one key before the caller is told to return."""
+"""Writes that fail because of other retries of one key before the caller is refused."""
 
 SIDECAR_UNREACHABLE = "sidecar_gone"
 """Reason of an `UNRESOLVED` outcome that the sidecar itself may still settle."""
 
 
 class IntentUnreadable(RunError):
-    """The platform holds bytes under an intent's name that are no intent."""
+    """The platform has bytes under an intent's name that are not an intent."""
 
 
 class Verdict(StrEnum):
-    """What is durably known of how an intent ended."""
+    """Durable knowledge of how an intent ended."""
 
     ANSWERED = "answered"
     RAN = "ran"
@@ -39,11 +40,11 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True):
-    """How an attempt ended.
+    """Outcome of an attempt.
 
-    `ANSWERED` carries the whole answer; `RAN` says that it ran and the answer
-    is lost or too large to keep; `NOT_RUN` frees the key for another attempt;
-    `UNRESOLVED` waits for an operator.
+    `ANSWERED` includes the complete answer; `RAN` means that the request ran and the
+    answer is lost or too large to store; `NOT_RUN` releases the key for another
+    attempt; `UNRESOLVED` requires an operator.
     """
 
     verdict: Verdict
@@ -55,12 +56,12 @@
 
 
 class Intent(msgspec.Struct, frozen=True, kw_only=True):
-    """The one attempt that a must-not-repeat request may be running as.
+    """The one attempt as which a must-not-repeat request may be running.
 
-    `sidecar` is an incarnation, `upstream` the name that operators know.  `epoch`
-    is of that sidecar's last heartbeat before the intent was written, and goes
-    with the dispatch: taken any later, a router that was paused in between would
-    wake with a fresh epoch and run what a retry has taken over.
+    `sidecar` is an incarnation, `upstream` the name that operators know.  `epoch` is
+    from that sidecar's last heartbeat before the intent was written, and is sent with
+    the dispatch.  With a later epoch, a router that was paused in between would
+    continue with a current epoch and run a request that a retry has taken over.
     """
 
     profile: str
@@ -84,14 +85,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Create:
-    """Create this intent, then decide by `after_write`."""
+    """Create this intent, then continue with `after_write`."""
 
     intent: Intent
 
 
 @dataclass(frozen=True, kw_only=True)
 class TakeOver:
-    """Replace the intent at `version` by this one, then `after_write`."""
+    """Replace the intent at `version` by this one, then continue with `after_write`."""
 
     intent: Intent
     version: int
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AskSidecar:
-    """Send `Tombstone` for `nonce` to this incarnation, then `after_tombstone`."""
+    """Send `Tombstone` for `nonce` to this incarnation, then use `after_tombstone`."""
 
     sidecar: str
     nonce: str
@@ -107,14 +108,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DispatchRun:
-    """The intent is ours: dispatch under its nonce, once."""
+    """Dispatch under the nonce of this attempt's intent, once."""
 
     intent: Intent
 
 
 @dataclass(frozen=True, kw_only=True)
 class ResumeRun:
-    """It runs or ran there: `Resume` the nonce from offset 0."""
+    """Resume the nonce, which runs or ran at this sidecar, from offset 0."""
 
     sidecar: str
     nonce: str
@@ -122,7 +123,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReturnOutcome:
-    """Answer the caller from the outcome."""
+    """Answer the caller from the stored outcome."""
 
     outcome: Outcome
 
@@ -131,7 +132,7 @@
 class Refuse:
     """Refuse with this status, problem outcome and reason.
 
-    `list_for_operators` asks for the outcome `UNRESOLVED` in the intent.
+    `list_for_operators` requests the outcome `UNRESOLVED` in the intent.
     """
 
     status: int
@@ -142,7 +143,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadAgain:
-    """Another retry was faster, or the write's fate is open: read and decide."""
+    """Read and decide again after a lost race or an unknown write result."""
 
 
 Decision = (
@@ -158,7 +159,7 @@
 
 
 class WriteResult(StrEnum):
-    """How a write of an intent ended."""
+    """Result of writing an intent."""
 
     WRITTEN = "written"
     CONFLICT = "conflict"
@@ -167,86 +168,96 @@
 
 
 def object_name(profile: str, request_id: str) -> str:
-    """Return the object name; any key makes a legal name of bounded length."""
+    """Return the object name of an intent; legal and of bounded length for any key."""
     digest = hashlib.sha256(request_id.encode()).hexdigest()
     return f"{profile}.{digest}"
 
 
 def fingerprint_of(target: str, body: bytes) -> str:
-    """Return what tells two bodies under one key apart."""
+    """Return the fingerprint that distinguishes two bodies under one key."""
     return hashlib.sha256(target.encode() + b"\0" + body).hexdigest()
 
 
 def encode(intent: Intent) -> bytes:
-    """Return the stored form."""
+    """Return the stored form of an intent."""
     return msgspec.json.encode(intent)
 
 
 def decode(value: bytes) -> Intent:
-    """Return the intent; `IntentUnreadable` where it is none."""
+    """Return the intent of a stored form.
+
+    Raises
+    ------
+    IntentUnreadable
+        The value is not an intent.
+    """
     try:
         return msgspec.json.decode(value, type=Intent)
     except msgspec.DecodeError as exc:
         raise IntentUnreadable(str(exc)) from exc
 
 
-def after_read(wanted: Intent, held: StoredIntent | None) -> Decision:
-    """Decide from what the platform holds under the key.
+def after_read(wanted: Intent, stored: StoredIntent | None) -> Decision:
+    """Decide from the intent that the platform has under the key.
 
     Parameters
     ----------
-    wanted
-        The intent of this attempt, with a nonce of its own.
-    held
-        What was read, or None where there is nothing.
+    wanted : Intent
+        The intent of this attempt, with its own nonce.
+    stored : StoredIntent or None
+        The intent that was read; None if there is none.
     """
-    if held is None:
+    if stored is None:
         return Create(intent=wanted)
-    found = held.intent
+    found = stored.intent
     if found.fingerprint != wanted.fingerprint:
         return Refuse(status=422, outcome="not_run", reason="key_reused")
     if found.nonce == wanted.nonce and found.outcome is None:
-        # Our own write, whose answer was lost: the nonce is ours alone.
+        # This attempt's own write, whose response was lost: the nonce is unique.
         return DispatchRun(intent=found)
     if found.outcome is not None:
-        return _after_outcome(wanted, held)
+        return _after_outcome(wanted, stored)
     return AskSidecar(sidecar=found.sidecar, nonce=found.nonce)
 
 
-def _after_outcome(wanted: Intent, held: StoredIntent) -> Decision:
-    outcome = held.intent.outcome
+def _after_outcome(wanted: Intent, stored: StoredIntent) -> Decision:
+    outcome = stored.intent.outcome
     match outcome.verdict:
         case Verdict.ANSWERED:
             return ReturnOutcome(outcome=outcome)
         case Verdict.RAN:
             return Refuse(status=502, outcome="failed", reason="answer_lost")
         case Verdict.NOT_RUN:
-            return TakeOver(intent=wanted, version=held.version)
+            return TakeOver(intent=wanted, version=stored.version)
         case Verdict.UNRESOLVED if outcome.reason == SIDECAR_UNREACHABLE:
-            # It was perhaps only cut off; back in reach it knows the truth.
-            return AskSidecar(sidecar=held.intent.sidecar, nonce=held.intent.nonce)
+            # The sidecar may only have been unreachable and may know the outcome.
+            return AskSidecar(sidecar=stored.intent.sidecar, nonce=stored.intent.nonce)
         case Verdict.UNRESOLVED:
             return Refuse(status=409, outcome="unknown", reason="awaits_operator")
 
 
 def after_tombstone(
-    wanted: Intent, held: StoredIntent, state: RunState | None
+    wanted: Intent, stored: StoredIntent, state: RunState | None
 ) -> Decision:
     """Decide from the sidecar's answer to `Tombstone`.
 
     Parameters
     ----------
-    state
-        None where that incarnation is gone or can't be reached.
+    wanted : Intent
+        The intent of this attempt, with its own nonce.
+    stored : StoredIntent
+        The intent that names the sidecar.
+    state : RunState or None
+        None if that incarnation has stopped or is unreachable.
     """
-    found = held.intent
+    found = stored.intent
     match state:
         case RunState.RUNNING | RunState.FINISHED:
             return ResumeRun(sidecar=found.sidecar, nonce=found.nonce)
         case RunState.TOMBSTONED:
-            # Failure: two retries hold the promise and both run.  The update
-            # names the version read, so only one of them gets the intent.
-            return TakeOver(intent=wanted, version=held.version)
+            # Failure: two retries receive the promise and both run.  The update is
+            # conditional on the version read, so only one of them succeeds.
+            return TakeOver(intent=wanted, version=stored.version)
         case RunState.FAILED:
             reason = "run_failed"
         case _:
@@ -257,15 +268,19 @@
 def after_write(
     wanted: Intent, result: WriteResult, *, first: bool, write_attempts: int
 ) -> Decision:
-    """Decide from how the write of `wanted` ended.
+    """Decide from the result of writing `wanted`.
 
     Parameters
     ----------
-    first
-        Whether this is certainly the first attempt under the key, as when the
-        router minted the key itself.
-    rounds
-        Writes tried so far for this attempt.
+    wanted : Intent
+        The intent that was written.
+    result : WriteResult
+        The result of the write.
+    first : bool
+        Whether this is certainly the first attempt under the key, for example
+        because the router generated the key itself.
+    write_attempts : int
+        Number of writes of this attempt so far.
     """
     if result is WriteResult.WRITTEN:
         return DispatchRun(intent=wanted)
@@ -277,10 +292,11 @@
 
 
 def without_platform(*, first: bool) -> Refuse:
-    """Decide where the intent can be neither read nor written.
+    """Decide while the intent can be neither read nor written.
 
-    Failure: a filing ran, its router died, and the retry meets an outage; a
-    plain `not_run` would be a lie.  Only a first attempt is surely not run.
+    Failure: a request ran, its router crashed, and the retry coincides with an outage;
+    an unconditional `not_run` would be wrong.  Only a first attempt has certainly not
+    run.
     """
     return Refuse(
         status=503,
@@ -290,23 +306,23 @@
 
 
 def after_refusal(intent: Intent) -> Intent:
-    """Return the intent to write once its sidecar has refused the dispatch.
+    """Return the intent to write after its sidecar refused the dispatch.
 
-    The refusal is the sidecar's promise never to run the nonce, and the intent
-    let no other nonce run meanwhile, so `not_run` is certain.  Written down,
-    it spares the retry from asking a sidecar that may be gone by then.
+    The refusal is the sidecar's promise never to run the nonce, and the intent allowed
+    no other nonce to run meanwhile, so `not_run` is certain.  Stored, it saves the
+    retry from asking a sidecar that may have stopped by then.
     """
     return msgspec.structs.replace(intent, outcome=Outcome(verdict=Verdict.NOT_RUN))
 
 
-def unresolved(held: StoredIntent, reason: str) -> Intent:
-    """Return the intent to write at `held.version` to list it for operators."""
+def unresolved(stored: StoredIntent, reason: str) -> Intent:
+    """Return the intent to write at `stored.version` to list it for operators."""
     outcome = Outcome(verdict=Verdict.UNRESOLVED, reason=reason)
-    return msgspec.structs.replace(held.intent, outcome=outcome)
+    return msgspec.structs.replace(stored.intent, outcome=outcome)
 
 
 def may_settle(found: Intent, nonce: str) -> bool:
-    """Whether the sidecar that ran `nonce` may still write its outcome."""
+    """Return whether the sidecar that ran `nonce` may still write its outcome."""
     if found.nonce != nonce:
         return False
     outcome = found.outcome
@@ -316,7 +332,7 @@
 
 
 def with_outcome(intent: Intent, outcome: Outcome) -> Intent:
-    """Return the intent with how its run ended; large answers are left out."""
+    """Return the intent with the outcome of its run; large answers are left out."""
     if len(outcome.body) > MAX_STORED_ANSWER_BYTES:
         outcome = Outcome(verdict=Verdict.RAN, tokens=outcome.tokens)
     return msgspec.structs.replace(intent, outcome=outcome)
--- a/src/ragwortkeel/runs/journal.py
+++ b/src/ragwortkeel/runs/journal.py
@@ -1,8 +1,8 @@
-"""What one sidecar ran, by nonce; the memory that keeps runs from repeating.
+"""Journal of the runs of one sidecar by nonce, which prevents repeated runs.
 
-The journal answers three questions: may this nonce still run, what did a
-router incarnation spend here, and which receipts are not yet durable.
-docs/design/runs.md says how long each part is kept and why that is safe.
+The journal answers three questions: whether a nonce may still run, how much a router
+incarnation spent here, and which receipts are not yet durable.  docs/design/runs.md
+states how long each entry is retained and why that is safe.
 """
 
 from dataclasses import dataclass, field
@@ -13,25 +13,26 @@
 from ragwortkeel.messages import RunReceipt, RunState
 
 ACCEPTED_EPOCHS = 2
-"""Dispatches minted this many epochs ago are still taken, older ones never."""
+"""Number of previous epochs whose dispatches are still accepted."""
 
 MAX_ENDED_RUNS = 50_000
-"""Ended nonces remembered at once, about 30 MB; past it the floor moves up."""
+"""Ended nonces retained at once, about 30 MB; beyond that the floor rises."""
 
 MAX_PENDING_RECEIPTS = 200_000
-"""Receipts not yet durable; at a few runs a second half a day of outage."""
+"""Receipts that are not yet durable; at a few runs per second, half a day of outage."""
 
 MAX_UNDECIDED_RUNS = 2_000
-"""Must-not-repeat runs whose outcome no intent holds yet; their answers stay."""
+"""Must-not-repeat runs whose outcome is in no intent yet; their answers are
+retained."""
 
 
 class UnknownRun(RunError):
-    """The journal has no run of this nonce."""
+    """The journal has no run with this nonce."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Run:
-    """One attempt that was let in: whose it is and what it may cost."""
+    """One admitted attempt: its owner and its maximum cost."""
 
     nonce: str
     router: str
@@ -61,7 +62,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Entry:
-    """A nonce's place in the run chart; `run` is None for one that never ran."""
+    """The state of a nonce in the run chart; `run` is None if it never ran."""
 
     run: Run | None = None
     tokens: int = 0
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _PendingReceipt:
-    """A receipt that is not durable yet, and since when."""
+    """A receipt that is not yet durable, and when it was created."""
 
     receipt: RunReceipt
     created_at: float
@@ -86,14 +87,18 @@
 
     Parameters
     ----------
-    sidecar
+    sidecar : str
         Incarnation that signs the receipts.
+    max_ended : int
+        Maximum number of ended nonces to retain.
 
     Attributes
     ----------
     epoch : int
-        Handed to routers in heartbeats; every dispatch carries the one its
-        router last heard when it minted the nonce.
+        Sent to routers in heartbeats; every dispatch includes the last epoch that
+        its router had received when it generated the nonce.
+    floor : int
+        The oldest epoch whose dispatches are accepted.
     """
 
     def __init__(self, *, sidecar: str, max_ended: int = MAX_ENDED_RUNS) -> None:
@@ -117,11 +122,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether another receipt could not be kept.
+        """Whether there is no capacity for another receipt.
 
-        Failure: a long platform outage fills the memory, and a dropped
-        receipt is a request billed zero times.  So new work is refused
-        instead; nothing already run is forgotten.
+        Failure: a long platform outage exhausts the memory, and a dropped receipt is a
+        request that is never billed.  So new requests are refused instead; no receipt
+        of an earlier run is dropped.
         """
         return (
             len(self._pending_receipt_by_nonce) + self.running >= MAX_PENDING_RECEIPTS
@@ -129,19 +134,25 @@
         )
 
     def state(self, nonce: str) -> RunState:
-        """Return what is known of a nonce."""
+        """Return the state of a nonce."""
         entry = self._entry_by_nonce.get(nonce)
         return RunState.UNSEEN if entry is None else entry.state
 
     def run(self, nonce: str) -> Run:
-        """Return the run; `UnknownRun` where none was let in."""
+        """Return the admitted run of a nonce.
+
+        Raises
+        ------
+        UnknownRun
+            No run of this nonce was admitted.
+        """
         entry = self._entry_by_nonce.get(nonce)
         if entry is None or entry.run is None:
             raise UnknownRun(nonce)
         return entry.run
 
     def tokens(self, nonce: str) -> int:
-        """Return the tokens spent so far by a run."""
+        """Return the tokens that a run has spent so far."""
         entry = self._entry_by_nonce.get(nonce)
         return 0 if entry is None else entry.tokens
 
@@ -162,17 +173,17 @@
         )
 
     def begin(self, nonce: str) -> None:
-        """Record that the upstream answers: from here on it can't be retracted."""
+        """Record that the upstream answers, after which a run can't be retracted."""
         self._entry_by_nonce[nonce].lifecycle.fire("start")
 
     def cancel(self, nonce: str) -> None:
-        """Record that the upstream was told to stop."""
+        """Record that the upstream was asked to stop."""
         lifecycle = self._entry_by_nonce[nonce].lifecycle
         if lifecycle.state == "running":
             lifecycle.fire("cancel")
 
     def progress(self, nonce: str, tokens: int) -> bool:
-        """Record tokens so far; return whether the reservation is outrun."""
+        """Record the tokens so far; return whether they exceed the reservation."""
         entry = self._entry_by_nonce[nonce]
         entry.tokens = max(entry.tokens, tokens)
         return entry.tokens > entry.run.reservation
@@ -180,10 +191,10 @@
     def end(
         self, nonce: str, state: RunState, *, tokens: int, billable: bool, now: float
     ) -> RunReceipt | None:
-        """Record how a run ended; return its receipt, None if it had ended.
+        """Record how a run ended; return its receipt, None if it had already ended.
 
-        The charge never exceeds the reservation: that is all the budget has
-        set aside, and an engine that reports more is at fault.
+        The charge never exceeds the reservation: the budget has set aside no more, and
+        an engine that reports more is at fault.
         """
         entry = self._entry_by_nonce[nonce]
         if entry.state is not RunState.RUNNING:
@@ -210,18 +221,18 @@
         if run.idempotent:
             self._retain(nonce, entry)
         else:
-            # Failure: a must-not-repeat run is forgotten before its intent has
-            # the outcome; a retry asks, reads "never ran", and runs it again.
+            # Failure: a must-not-repeat run is discarded before its intent has the
+            # outcome; a retry asks, gets `TOMBSTONED`, and runs it again.
             self._undecided_since_by_nonce[nonce] = now
         return receipt
 
     def retract(self, nonce: str) -> None:
-        """Record that a run, though let in, certainly did not happen.
+        """Record that an admitted run certainly did not happen.
 
         Raises
         ------
         LifecycleError
-            The upstream had begun to answer it.
+            The upstream had begun to answer.
         """
         entry = self._entry_by_nonce[nonce]
         entry.lifecycle.fire("refuse")
@@ -231,12 +242,11 @@
         self._retain(nonce, entry)
 
     def tombstone(self, nonce: str) -> RunState:
-        """Promise never to run an unseen nonce; return what is now known of it.
+        """Promise never to run an unseen nonce; return the resulting state.
 
-        Failure: a dispatch that was under way when its router died comes after
-        a retry has taken the request over, and both run.  The promise holds
-        because a dispatch of a tombstoned nonce is refused for as long as its
-        epoch would be accepted at all.
+        Failure: a dispatch that was in transit when its router crashed arrives after a
+        retry has taken the request over, and both run.  The promise holds because a
+        dispatch of a tombstoned nonce is refused for as long as its epoch is accepted.
         """
         if self.state(nonce) is RunState.UNSEEN:
             entry = _Entry()
@@ -246,22 +256,22 @@
         return self.state(nonce)
 
     def seal(self, router: str) -> SealReport:
-        """Refuse a router incarnation from now on, and report what it ran.
+        """Refuse a router incarnation from now on, and report what it spent.
 
-        May be repeated.  What runs ends as it would; nothing more is let in, so
-        that what ran and what runs together can only fall.
+        Sealing may be repeated.  Running requests continue and no new ones are
+        admitted, so the sum of ended and running spend can only fall.
         """
         return self._accounts.seal(router)
 
     def is_sealed(self, router: str) -> bool:
-        """Whether a router incarnation is refused."""
+        """Return whether a router incarnation is refused."""
         return not self._accounts.admits(router)
 
     def record_durable_outcome(self, nonce: str) -> None:
-        """Let go of a must-not-repeat run whose intent holds its outcome.
+        """Stop protecting a must-not-repeat run whose intent has its outcome.
 
-        A retry that read the intent before that and gets a tombstone now still
-        can't run: its conditional update names a version that has passed.
+        A retry that read the intent before that and gets a tombstone now still can't
+        run: its conditional update names an outdated version.
         """
         if self._undecided_since_by_nonce.pop(nonce, None) is not None:
             self._retain(nonce, self._entry_by_nonce[nonce])
@@ -275,46 +285,46 @@
         )
 
     def receipts_for_router(self, router: str) -> tuple[RunReceipt, ...]:
-        """Return a router's receipts that are not durable yet."""
-        owed = self._pending_receipt_by_nonce.values()
-        return tuple(o.receipt for o in owed if o.receipt.router == router)
+        """Return a router's receipts that are not yet durable."""
+        pending = self._pending_receipt_by_nonce.values()
+        return tuple(each.receipt for each in pending if each.receipt.router == router)
 
     def receipts_before(self, since: float, limit: int) -> tuple[RunReceipt, ...]:
-        """Return up to `limit` receipts owed since `since` or longer."""
-        due = []
-        for owed in self._pending_receipt_by_nonce.values():
-            if owed.created_at > since or len(due) == limit:
+        """Return up to `limit` receipts created at `since` or earlier."""
+        receipts = []
+        for pending in self._pending_receipt_by_nonce.values():
+            if pending.created_at > since or len(receipts) == limit:
                 break
-            due.append(owed.receipt)
-        return tuple(due)
+            receipts.append(pending.receipt)
+        return tuple(receipts)
 
     @property
     def undecided_runs(self) -> int:
-        """Number of must-not-repeat runs whose outcome is not durable yet."""
+        """Number of must-not-repeat runs whose outcome is not yet durable."""
         return len(self._undecided_since_by_nonce)
 
     @property
     def pending_receipts(self) -> int:
-        """Number of receipts that are not durable yet."""
+        """Number of receipts that are not yet durable."""
         return len(self._pending_receipt_by_nonce)
 
     def discard_receipts(self, nonces: tuple[str, ...]) -> None:
-        """Drop receipts that are durable."""
+        """Discard receipts that are durable."""
         for nonce in nonces:
             self._pending_receipt_by_nonce.pop(nonce, None)
 
     def accepts_epoch(self, epoch: int) -> bool:
-        """Whether a dispatch minted in `epoch` may still be let in.
+        """Return whether a dispatch generated in `epoch` may still be admitted.
 
-        Failure: a router is paused with a dispatch in hand and wakes hours
-        later, when its nonce has been forgotten here; the dispatch looks new
-        and runs a second time.  Its epoch is below the floor then, because
-        nothing at or above the floor is ever forgotten.
+        Failure: a router is paused with an unsent dispatch and resumes hours later,
+        when the journal has discarded its nonce; the dispatch looks new and runs a
+        second time.  Its epoch is below the floor then, because no nonce at or above
+        the floor is ever discarded.
         """
         return epoch >= self.floor
 
     def next_epoch(self) -> list[str]:
-        """Begin the next epoch; return the nonces that were forgotten."""
+        """Begin the next epoch; return the nonces that were discarded."""
         self.epoch += 1
         self.floor = max(self.floor, self.epoch - ACCEPTED_EPOCHS)
         return self._discard_below_floor()
@@ -324,29 +334,29 @@
         self._ended[nonce] = None
 
     def evict_ended(self) -> list[str]:
-        """Move the floor up while too much is remembered; return what went."""
-        forgotten = []
+        """Raise the floor while too many ended runs exist; return discarded nonces."""
+        discarded = []
         while len(self._ended) > self._max_ended:
             oldest = self._entry_by_nonce[next(iter(self._ended))]
             if oldest.ended_epoch >= self.epoch:
                 self.epoch = oldest.ended_epoch + 1
             self.floor = oldest.ended_epoch + 1
-            forgotten += self._discard_below_floor()
-        return forgotten
+            discarded += self._discard_below_floor()
+        return discarded
 
     def _discard_below_floor(self) -> list[str]:
-        forgotten = []
+        discarded = []
         for nonce in self._ended:
             entry = self._entry_by_nonce[nonce]
             if entry.ended_epoch >= self.floor:
                 break
-            forgotten.append(nonce)
-        for nonce in forgotten:
+            discarded.append(nonce)
+        for nonce in discarded:
             del self._ended[nonce]
             entry = self._entry_by_nonce.pop(nonce)
             if entry.run is not None:
                 self._remove_request(nonce, entry.run)
-        return forgotten
+        return discarded
 
     def _remove_request(self, nonce: str, run: Run) -> None:
         key = (run.profile, run.request_id)
--- a/tests/runs/test_assembly.py
+++ b/tests/runs/test_assembly.py
@@ -68,7 +68,7 @@
             assembly.add(1, b"bc")
 
     def test_wide_gap_is_bounded(self):
-        assembly = Assembly(max_waiting_bytes=4)
+        assembly = Assembly(max_buffered_bytes=4)
         assembly.add(10, b"abc")
         with pytest.raises(GapTooWide):
             assembly.add(20, b"de")
