--- a/src/ragwortkeel/router/attempt.py
+++ b/src/ragwortkeel/router/attempt.py
@@ -31,7 +31,7 @@
 from ragwortkeel.router.sidecars import SidecarPool, Subscription
 from ragwortkeel.runs.assembly import Assembly, GapTooWide
 
-RELINK_SECONDS = 8.0
+RELINK_WAIT_SECONDS = 8.0
 """Two silences found and one reconnection; then the sidecar counts as lost."""
 
 
@@ -82,7 +82,7 @@
     pool
         The links to send through and to hear from.
     emit
-        Awaited with each piece of the answer, in order and without gaps.
+        Awaited with each chunk of the answer, in order and without gaps.
 
     Attributes
     ----------
@@ -101,20 +101,20 @@
         self.assembly = Assembly()
         self._pool = pool
         self._emit = emit
-        self._heard = False
-        self._reader: Subscription | None = None
+        self._run_confirmed = False
+        self._subscription: Subscription | None = None
         self.status = 0
         self.content_type = ""
 
     @property
-    def may_go_on(self) -> bool:
+    def may_continue(self) -> bool:
         """Whether the sidecar that had the run may still be there."""
         view = self._pool.views_by_upstream.get(self.upstream)
         return view is not None and view.incarnation == self.sidecar
 
     async def open(self, first: AnyMessage) -> bool:
         """Send `first` (a dispatch or a resume); False if it never left."""
-        self._reader = self._pool.subscribe(self.nonce, self.upstream)
+        self._subscription = self._pool.subscribe(self.nonce, self.upstream)
         try:
             await self._pool.send(self.upstream, first)
         except LinkLost:
@@ -123,22 +123,22 @@
         return True
 
     async def follow(
-        self, *, patience: Callable[[], float] = lambda: RELINK_SECONDS
+        self, *, link_wait_seconds: Callable[[], float] = lambda: RELINK_WAIT_SECONDS
     ) -> AttemptEnd:
         """Follow to the end; may be cancelled and called again.
 
         Parameters
         ----------
-        patience
+        link_wait_seconds
             Returns the seconds to wait for a lost link, asked when it is lost.
         """
         while True:
-            event = await self._reader.queue.get()
+            event = await self._subscription.queue.get()
             if isinstance(event, LinkDown):
-                event = await self._await_link(patience())
-            if event is None or not self.may_go_on:
+                event = await self._await_link(link_wait_seconds())
+            if event is None or not self.may_continue:
                 return Lost()
-            end = await self._take(event)
+            end = await self._handle_event(event)
             if end is not None:
                 return end
 
@@ -150,22 +150,22 @@
 
     def close(self) -> None:
         """Stop hearing of the run, if it was ever opened."""
-        if self._reader is not None:
-            self._pool.unsubscribe(self._reader)
+        if self._subscription is not None:
+            self._pool.unsubscribe(self._subscription)
 
-    async def _take(self, event) -> AttemptEnd | None:
+    async def _handle_event(self, event) -> AttemptEnd | None:
         match event:
             case LinkUp():
-                await self._ask_again()
+                await self._query_run()
             case Started(status=status, content_type=content_type):
-                self._heard = True
+                self._run_confirmed = True
                 self.status = status
                 self.content_type = content_type
             case Chunk(offset=offset, data=data):
-                self._heard = True
-                await self._add(offset, data)
+                self._run_confirmed = True
+                await self._add_chunk(offset, data)
             case Finished():
-                self._heard = True
+                self._run_confirmed = True
                 return await self._finish(event)
             case Refused(reason=reason, retry_after_seconds=after):
                 return Declined(reason=reason, retry_after_seconds=after, refused=event)
@@ -175,14 +175,14 @@
                 return await self._after_tombstone(state)
         return None
 
-    async def _add(self, offset: int, data: bytes) -> None:
+    async def _add_chunk(self, offset: int, data: bytes) -> None:
         try:
-            piece = self.assembly.add(offset, data)
+            chunk = self.assembly.add(offset, data)
         except GapTooWide:
             await self._resume()
             return
-        if piece:
-            await self._emit(piece)
+        if chunk:
+            await self._emit(chunk)
 
     async def _finish(self, finished: Finished) -> AttemptEnd | None:
         self.assembly.finish(finished.length)
@@ -202,20 +202,20 @@
         try:
             async with curio.timeout_after(seconds):
                 while True:
-                    event = await self._reader.queue.get()
+                    event = await self._subscription.queue.get()
                     if isinstance(event, LinkUp):
                         return event
         except curio.TaskTimeout:
             return None
 
-    async def _ask_again(self) -> None:
+    async def _query_run(self) -> None:
         """Resume, or settle that a dispatch nobody confirmed will never run."""
-        if self._heard:
+        if self._run_confirmed:
             await self._resume()
             return
         with suppress(LinkLost):
-            question = Tombstone(nonce=self.nonce, sidecar=self.sidecar)
-            await self._pool.send(self.upstream, question)
+            tombstone = Tombstone(nonce=self.nonce, sidecar=self.sidecar)
+            await self._pool.send(self.upstream, tombstone)
 
     async def _resume(self) -> None:
         message = Resume(nonce=self.nonce, offset=self.assembly.length)
@@ -228,7 +228,7 @@
         if state is RunState.UNSEEN:
             # Another incarnation answered, which can promise nothing.
             return Lost()
-        self._heard = True
+        self._run_confirmed = True
         await self._resume()
         return None
 
--- a/src/ragwortkeel/router/budget_account.py
+++ b/src/ragwortkeel/router/budget_account.py
@@ -37,7 +37,7 @@
 )
 from ragwortkeel.platform import Platform
 
-ATTEMPTS = 8
+MAX_WRITE_ATTEMPTS = 8
 """Lost races in one refresh: routers of a busy profile write at the same time."""
 
 EXHAUSTED_RETRY_SECONDS = 60.0
@@ -62,7 +62,9 @@
     largest_request: int
 
 
-_GONE = BudgetTerms(spread=Spread.NARROW, ride_out_seconds=1.0, largest_request=0)
+_UNCONFIGURED_TERMS = BudgetTerms(
+    spread=Spread.NARROW, ride_out_seconds=1.0, largest_request=0
+)
 """Of a profile that is not configured any more: hold nothing for it."""
 
 
@@ -112,7 +114,7 @@
         self.profile = profile
         self.refresh = SliceRefresh(slice_=Slice(profile=profile, router=router))
         self.meter = DemandMeter()
-        self.waiting: list[Waiter] = []
+        self.waiters: list[Waiter] = []
         self.loans: list[Loan] = []
         self.ledger = Ledger()
         self.reachable = True
@@ -130,20 +132,20 @@
 
     def need(self) -> SliceNeed:
         """Return what slice sizes are worked out from."""
-        terms = self._terms() or _GONE
+        terms = self._terms() or _UNCONFIGURED_TERMS
         # A request above what the terms expect raises the cap while it waits.
-        waiting = [waiter.tokens for waiter in self.waiting]
+        waiting_tokens = [waiter.tokens for waiter in self.waiters]
         return SliceNeed(
             holding=self.slice.free + self.slice.reserved,
             demand=self.meter.rate(now=self._clock()),
-            largest_request=max([terms.largest_request, *waiting]),
-            waiting=sum(waiting),
-            lacking=self._lacking(),
+            largest_request=max([terms.largest_request, *waiting_tokens]),
+            waiting=sum(waiting_tokens),
+            lacking=self._lacking_tokens(),
             ride_out_seconds=terms.ride_out_seconds,
             spread=terms.spread,
         )
 
-    def worth_writing(self) -> bool:
+    def needs_write(self) -> bool:
         """Whether a write to the ledger would change anything that matters."""
         slice_, router = self.slice, self.slice.router
         if slice_.pending or slice_.unsettled or self.loans:
@@ -155,32 +157,32 @@
             return True
         take = tokens_to_take(self.ledger, router=router, need=need)
         # A slice well below its target is worth a write, a few tokens are not.
-        return take > (0 if self.waiting else need.holding // 4)
+        return take > (0 if self.waiters else need.holding // 4)
 
-    def hopeless(self, waiter: Waiter) -> bool:
+    def cannot_be_served(self, waiter: Waiter) -> bool:
         """Whether waiting longer can't help."""
         if not self.reachable:
             return True
         return waiter.tokens > self.ledger.prepaid - self.ledger.total_spent
 
     async def renew(self) -> list[Loan]:
-        """Bring slice and ledger in step; return the loans that were granted.
+        """Bring slice and ledger in step; return the loans that were lent.
 
         Raises
         ------
         RouterSealed
             The router has to go on under another incarnation.
         """
-        granted: list[Loan] = []
-        for _ in range(ATTEMPTS):
+        lent: list[Loan] = []
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
-                if await self._renew_once(granted):
+                if await self._renew_once(lent):
                     self.reachable = True
                     break
             except PlatformUnavailable:
                 self.reachable = False
                 break
-        return granted
+        return lent
 
     async def close(self) -> bool:
         """Settle everything and end the grant; return whether that is done.
@@ -189,7 +191,7 @@
         """
         if self.slice.open_by_id:
             return False
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 if await self._close_once():
                     return True
@@ -200,32 +202,32 @@
                 return True
         return False
 
-    def serve_waiting(self) -> list[Waiter]:
+    def serve_waiters(self) -> list[Waiter]:
         """Reserve for all waiters that fit now and return them."""
-        served = [waiter for waiter in self.waiting if self._fits(waiter)]
-        self.waiting = [one for one in self.waiting if one.reservation is None]
+        served = [waiter for waiter in self.waiters if self._try_reserve(waiter)]
+        self.waiters = [other for other in self.waiters if other.reservation is None]
         return served
 
-    def refusal(self, found: BudgetRefused, *, tokens: int) -> BudgetRefused:
+    def refusal(self, refused: BudgetRefused, *, tokens: int) -> BudgetRefused:
         """Return what to tell a caller whom the slice has refused these tokens."""
         spent = tokens > self.ledger.prepaid - self.ledger.total_spent
         if not self.reachable:
             kind, seconds = BudgetUnreachable, OUTAGE_RETRY_SECONDS
-        elif spent or isinstance(found, BudgetExhausted):
+        elif spent or isinstance(refused, BudgetExhausted):
             kind, seconds = BudgetExhausted, EXHAUSTED_RETRY_SECONDS
         else:
-            return found
+            return refused
         return kind(
             profile=self.profile,
-            tokens_left=found.tokens_left,
+            tokens_left=refused.tokens_left,
             retry_after_seconds=seconds,
         )
 
-    def _lacking(self) -> int:
-        smallest = min((waiter.tokens for waiter in self.waiting), default=0)
+    def _lacking_tokens(self) -> int:
+        smallest = min((waiter.tokens for waiter in self.waiters), default=0)
         return max(0, smallest - max(0, self.slice.free))
 
-    def _fits(self, waiter: Waiter) -> bool:
+    def _try_reserve(self, waiter: Waiter) -> bool:
         try:
             waiter.reservation = self.slice.reserve(
                 sidecar=waiter.sidecar, tokens=waiter.tokens
@@ -235,18 +237,18 @@
             return False
         return True
 
-    async def _renew_once(self, granted: list[Loan]) -> bool:
+    async def _renew_once(self, lent: list[Loan]) -> bool:
         version = await self._read()
-        if version is None or not self.worth_writing():
+        if version is None or not self.needs_write():
             return True
-        renewal = self._propose(granted)
+        renewal = self._propose(lent)
         try:
             ledger = self.ledger.renew(renewal)
         except LedgerError:
             self.refresh.record_refused()
             raise
         if not await self._write(ledger, version):
-            granted.clear()
+            lent.clear()
             return False
         self.ledger = ledger
         self.refresh.record_written(ledger)
@@ -295,13 +297,13 @@
             return False
         return True
 
-    def _propose(self, granted: list[Loan]) -> Renewal:
+    def _propose(self, lent: list[Loan]) -> Renewal:
         need, router = self.need(), self.slice.router
-        loan = self._lend(need)
+        loan = self._next_loan(need)
         give_back = tokens_to_give_back(self.ledger, router=router, need=need)
         want = tokens_to_take(self.ledger, router=router, need=need)
         if loan is not None:
-            granted.append(loan)
+            lent.append(loan)
             give_back, want = loan.tokens, 0
         sidecars = self._sidecars()
         cap = exposure_cap(
@@ -317,7 +319,7 @@
             demand=need.demand,
         )
 
-    def _lend(self, need: SliceNeed) -> Loan | None:
+    def _next_loan(self, need: SliceNeed) -> Loan | None:
         while self.loans and self.slice.pending is None:
             loan = self.loans.pop(0)
             grant = self.ledger.grants.get(loan.router)
--- a/src/ragwortkeel/router/budget_keeper.py
+++ b/src/ragwortkeel/router/budget_keeper.py
@@ -24,16 +24,16 @@
 from ragwortkeel.platform import Platform
 from ragwortkeel.router.budget_account import Account, BudgetTerms, Loan, Waiter
 
-REFRESH_SECONDS = 1.0
+REFRESH_INTERVAL_SECONDS = 1.0
 """Settled spend and demand reach the other routers within this time."""
 
-LOOK_SECONDS = 5.0
+IDLE_READ_INTERVAL_SECONDS = 5.0
 """An idle account still reads its ledger: a recall, a retirement, a top-up."""
 
-WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 """A refill takes milliseconds, a loan some more; a caller waits no longer."""
 
-AGAIN_SECONDS = 0.2
+WAITING_REFRESH_INTERVAL_SECONDS = 0.2
 """Between two tries to find tokens while callers wait."""
 
 
@@ -65,7 +65,7 @@
         Called once this incarnation is found sealed; returns the next one, under
         which the router sends from then on.  It must not suspend: reservations
         of one incarnation may not be sent under another.
-    tell : async callable
+    send : async callable
         Sends a message to another router by its incarnation; may raise
         `LinkLost`.
     clock : callable
@@ -89,31 +89,31 @@
         terms: Callable[[str], BudgetTerms | None],
         sidecars: Callable[[str], tuple[str, ...]],
         reincarnate: Callable[[], Awaitable[str]],
-        tell: Callable[[str, SliceRequest | SliceTransfer], Awaitable[None]],
+        send: Callable[[str, SliceRequest | SliceTransfer], Awaitable[None]],
         clock: Callable[[], float],
         observe: Callable[[str], None] = lambda outcome: None,
-        wait_seconds: float = WAIT_SECONDS,
+        wait_seconds: float = MAX_WAIT_SECONDS,
     ) -> None:
         self.incarnation = incarnation
         self._platform = platform
         self._terms = terms
         self._sidecars = sidecars
         self._reincarnate = reincarnate
-        self._tell = tell
+        self._send = send
         self._clock = clock
         self._observe = observe
         self._wait_seconds = wait_seconds
         self._accounts_by_profile: dict[str, Account] = {}
-        self._new: curio.Queue = curio.Queue()
-        self._sealed: curio.Queue = curio.Queue()
+        self._new_accounts: curio.Queue = curio.Queue()
+        self._sealed_incarnations: curio.Queue = curio.Queue()
 
     async def run(self) -> None:
         """Keep all accounts filled until cancelled."""
         async with curio.TaskGroup(wait=None) as group:
-            await group.spawn(self._change_incarnations)
+            await group.spawn(self._replace_sealed_incarnations)
             while True:
-                account = await self._new.get()
-                await group.spawn(self._keep, account)
+                account = await self._new_accounts.get()
+                await group.spawn(self._run_account, account)
 
     async def reserve(self, profile: str, tokens: int, sidecar: str) -> Reservation:
         """Set tokens aside for one attempt through a sidecar incarnation.
@@ -123,7 +123,7 @@
         BudgetExhausted, BudgetUnreachable, ExposureFull, SidecarNotNamed
             Nothing is set aside; `retry_after_seconds` says when to come back.
         """
-        account = await self._account(profile)
+        account = await self._get_account(profile)
         account.meter.add(tokens=tokens, now=self._clock())
         try:
             return account.slice.reserve(sidecar=sidecar, tokens=tokens)
@@ -131,7 +131,7 @@
             if not account.reachable:
                 raise account.refusal(exc, tokens=tokens) from exc
             waiter = Waiter(tokens=tokens, sidecar=sidecar, refusal=exc)
-        return await self._wait(account, waiter)
+        return await self._wait_for_tokens(account, waiter)
 
     async def settle(self, reservation: Reservation, spent: int) -> None:
         """Replace a reservation by what it cost; on evidence only.
@@ -143,22 +143,22 @@
         if account is None or account.slice.router != reservation.router:
             return
         account.slice.settle(reservation, spent=spent)
-        for waiter in account.serve_waiting():
+        for waiter in account.serve_waiters():
             await waiter.done.set()
 
-    def forget_sidecar(self, sidecar: str) -> None:
+    def remove_sidecar(self, sidecar: str) -> None:
         """Name a sidecar that is gone for good no more."""
         for account in self._accounts_by_profile.values():
             account.slice.drop(sidecar)
 
-    async def asked(self, router: str, request: SliceRequest) -> None:
+    async def receive_slice_request(self, router: str, request: SliceRequest) -> None:
         """Take another router's wish for tokens; the answer is a transfer."""
         account = self._accounts_by_profile.get(request.profile)
         if account is not None:
             account.loans.append(Loan(router=router, tokens=request.tokens))
             await account.wake.set()
 
-    async def lent(self, transfer: SliceTransfer) -> SliceTransferred:
+    async def receive_slice_transfer(self, transfer: SliceTransfer) -> SliceTransferred:
         """Hear that tokens are in this router's grant; the ledger has them.
 
         The transfer itself is one update of the ledger, so this message is a
@@ -169,7 +169,7 @@
             await account.wake.set()
         return SliceTransferred(transfer_id=transfer.transfer_id)
 
-    async def returned_on_stop(self) -> bool:
+    async def return_slices(self) -> bool:
         """Settle and give back everything; return whether all went back.
 
         Call it once no attempt is open and `run` is cancelled.  What does not
@@ -185,11 +185,11 @@
         """Return all accounts for metrics."""
         return [_row(account) for account in self._accounts_by_profile.values()]
 
-    async def _account(self, profile: str) -> Account:
+    async def _get_account(self, profile: str) -> Account:
         account = self._accounts_by_profile.get(profile)
         if account is None:
             account = self._new_account(profile)
-            await self._new.put(account)
+            await self._new_accounts.put(account)
         return account
 
     def _new_account(self, profile: str) -> Account:
@@ -205,45 +205,51 @@
         self._accounts_by_profile[profile] = account
         return account
 
-    async def _wait(self, account: Account, waiter: Waiter) -> Reservation:
-        account.waiting.append(waiter)
+    async def _wait_for_tokens(self, account: Account, waiter: Waiter) -> Reservation:
+        account.waiters.append(waiter)
         await account.wake.set()
-        taken = False
+        accepted = False
         try:
             async with curio.ignore_after(self._wait_seconds):
                 await waiter.done.wait()
-            taken = waiter.reservation is not None
+            accepted = waiter.reservation is not None
         finally:
             # The account may be another by now, under the next incarnation.
             account = self._accounts_by_profile.get(account.profile, account)
-            account.waiting = [one for one in account.waiting if one is not waiter]
-            if waiter.reservation is not None and not taken:
+            account.waiters = [
+                other for other in account.waiters if other is not waiter
+            ]
+            if waiter.reservation is not None and not accepted:
                 # Its caller left in the moment the tokens came.
                 await self.settle(waiter.reservation, 0)
-        if not taken:
+        if not accepted:
             raise account.refusal(waiter.refusal, tokens=waiter.tokens)
         return waiter.reservation
 
-    async def _keep(self, account: Account) -> None:
-        looked_at = self._clock()
+    async def _run_account(self, account: Account) -> None:
+        last_read_at = self._clock()
         while account is self._accounts_by_profile.get(account.profile):
-            pause = AGAIN_SECONDS if account.waiting else REFRESH_SECONDS
-            async with curio.ignore_after(pause):
+            interval = (
+                WAITING_REFRESH_INTERVAL_SECONDS
+                if account.waiters
+                else REFRESH_INTERVAL_SECONDS
+            )
+            async with curio.ignore_after(interval):
                 await account.wake.wait()
             account.wake.clear()
-            overdue = self._clock() - looked_at >= LOOK_SECONDS
-            if not (account.waiting or overdue or account.worth_writing()):
+            overdue = self._clock() - last_read_at >= IDLE_READ_INTERVAL_SECONDS
+            if not (account.waiters or overdue or account.needs_write()):
                 continue
-            looked_at = self._clock()
+            last_read_at = self._clock()
             await self._renew(account)
 
     async def _renew(self, account: Account) -> None:
-        granted: list[Loan] = []
+        lent: list[Loan] = []
         try:
-            granted = await account.renew()
+            lent = await account.renew()
         except RouterSealed:
             self._observe("sealed")
-            await self._sealed.put(account.slice.router)
+            await self._sealed_incarnations.put(account.slice.router)
             return
         except LedgerError as exc:
             # A full or broken ledger: what is out stays valid, callers wait for
@@ -252,23 +258,23 @@
             log_warning("ledger_refused", profile=account.profile, error=str(exc))
         else:
             self._observe("written" if account.reachable else "unreachable")
-        for waiter in account.serve_waiting():
+        for waiter in account.serve_waiters():
             await waiter.done.set()
-        for waiter in account.waiting:
-            if account.hopeless(waiter):
+        for waiter in account.waiters:
+            if account.cannot_be_served(waiter):
                 await waiter.done.set()
-        await self._answer(account, granted)
-        if account.waiting and account.reachable:
-            await self._ask(account)
+        await self._announce_loans(account, lent)
+        if account.waiters and account.reachable:
+            await self._request_tokens(account)
 
-    async def _answer(self, account: Account, granted: list[Loan]) -> None:
-        for loan in granted:
+    async def _announce_loans(self, account: Account, lent: list[Loan]) -> None:
+        for loan in lent:
             transfer = SliceTransfer(
                 profile=account.profile, tokens=loan.tokens, transfer_id=uuid4().hex
             )
-            await self._say(loan.router, transfer)
+            await self._try_send(loan.router, transfer)
 
-    async def _ask(self, account: Account) -> None:
+    async def _request_tokens(self, account: Account) -> None:
         router, lacking = account.slice.router, account.need().lacking
         if not lacking:
             return
@@ -278,18 +284,20 @@
                 tokens=lacking,
                 transfer_id=uuid4().hex,
             )
-            await self._say(giver, request)
+            await self._try_send(giver, request)
 
-    async def _say(self, router: str, message: SliceRequest | SliceTransfer) -> None:
+    async def _try_send(
+        self, router: str, message: SliceRequest | SliceTransfer
+    ) -> None:
         try:
-            await self._tell(router, message)
+            await self._send(router, message)
         except LinkLost:
             # Asked again while callers wait; a lost hint costs a short delay.
             return
 
-    async def _change_incarnations(self) -> None:
+    async def _replace_sealed_incarnations(self) -> None:
         while True:
-            sealed = await self._sealed.get()
+            sealed = await self._sealed_incarnations.get()
             if sealed != self.incarnation:
                 continue
             # No account may go on under the sealed name: in the eyes of the seal
@@ -297,15 +305,15 @@
             self.incarnation = await self._reincarnate()
             old, self._accounts_by_profile = self._accounts_by_profile, {}
             for account in old.values():
-                await self._move(account)
+                await self._move_to_new_incarnation(account)
 
-    async def _move(self, old: Account) -> None:
+    async def _move_to_new_incarnation(self, old: Account) -> None:
         account = self._accounts_by_profile.get(old.profile)
         if account is None:
             account = self._new_account(old.profile)
-            await self._new.put(account)
+            await self._new_accounts.put(account)
         account.meter = old.meter
-        account.waiting += old.waiting
+        account.waiters += old.waiters
         await account.wake.set()
 
 
--- a/src/ragwortkeel/router/budgeting.py
+++ b/src/ragwortkeel/router/budgeting.py
@@ -29,7 +29,7 @@
 from ragwortkeel.router.sidecars import SidecarPool
 from ragwortkeel.tasks import run_together
 
-PROMPT_ALLOWANCE = 4096
+PROMPT_ALLOWANCE_BYTES = 4096
 """Bytes of an ordinary prompt; a larger one raises the cap when it comes."""
 
 
@@ -71,7 +71,7 @@
             terms=self._terms,
             sidecars=self._sidecars,
             reincarnate=reincarnate,
-            tell=self._tell,
+            send=self._send_to_router,
             clock=monotonic,
             observe=observer.slice_renewed,
         )
@@ -81,10 +81,10 @@
         self._reaper = Reaper(
             platform=platform,
             incarnation=incarnation,
-            dead=self._dead_routers,
+            dead=self._failed_routers,
             responsible=self._responsible,
-            gone=self._gone_for_good,
-            ask=self._ask,
+            gone=self._is_superseded,
+            ask=self._request_seal,
             clock=monotonic,
         )
         self._janitor = Janitor(
@@ -93,34 +93,34 @@
             incarnation=incarnation,
             clock=monotonic,
         )
-        self._keeping: curio.Task | None = None
+        self._keeper_task: curio.Task | None = None
 
     async def run(self) -> None:
         """Work until cancelled."""
-        self._keeping = await curio.spawn(self.keeper.run, daemon=True)
+        self._keeper_task = await curio.spawn(self.keeper.run, daemon=True)
         await run_together(
             self._watch_keeper,
             self.receipts.run,
             self._reaper.run,
             self._janitor.run,
-            self._tell_durable,
+            self._send_durable_receipts,
         )
 
     async def close(self) -> int:
         """Make receipts durable and give slices back; return what stays undone."""
         await self.receipts.flush()
         undone = self.receipts.held
-        if self._keeping is not None:
-            await self._keeping.cancel()
-        return undone + (not await self.keeper.returned_on_stop())
+        if self._keeper_task is not None:
+            await self._keeper_task.cancel()
+        return undone + (not await self.keeper.return_slices())
 
-    async def take(self, peer: str, sender: str, message: AnyMessage) -> bool:
+    async def receive(self, peer: str, sender: str, message: AnyMessage) -> bool:
         """Take a router's message about slices; return whether it was one."""
         match message:
             case SliceRequest():
-                await self.keeper.asked(sender, message)
+                await self.keeper.receive_slice_request(sender, message)
             case SliceTransfer():
-                answer = await self.keeper.lent(message)
+                answer = await self.keeper.receive_slice_transfer(message)
                 with suppress(LinkLost):
                     await self._peers.send(peer, answer)
             case _:
@@ -128,9 +128,9 @@
         return True
 
     async def _watch_keeper(self) -> None:
-        await self._keeping.wait()
-        if self._keeping.exception is not None and not self._keeping.cancelled:
-            raise self._keeping.exception
+        await self._keeper_task.wait()
+        if self._keeper_task.exception is not None and not self._keeper_task.cancelled:
+            raise self._keeper_task.exception
         # Cancelled by `close`: a planned stop goes on without it.
         await curio.Event().wait()
 
@@ -149,19 +149,21 @@
             if self._pool.is_up(one)
         )
 
-    async def _tell(self, router: str, message: SliceRequest | SliceTransfer) -> None:
+    async def _send_to_router(
+        self, router: str, message: SliceRequest | SliceTransfer
+    ) -> None:
         node = self._membership.node(router)
         if node is None:
             raise LinkLost(f"{router} is not known")
         await self._peers.send(node.address, message)
 
-    async def _ask(self, node: Node, seal: Seal) -> Sealed:
+    async def _request_seal(self, node: Node, seal: Seal) -> Sealed:
         upstream = self._pool.upstream_of(node.incarnation)
         if upstream is None:
             raise LinkLost(f"{node.incarnation} is not connected")
         return await self._pool.seal(upstream, seal)
 
-    def _dead_routers(self) -> list[str]:
+    def _failed_routers(self) -> list[str]:
         dead = self._membership.nodes(monotonic(), Liveness.DEAD)
         return [
             node.incarnation
@@ -172,7 +174,7 @@
     def _responsible(self, router: str) -> bool:
         return self._membership.responsible(router, monotonic(), self._incarnation())
 
-    def _gone_for_good(self, sidecar: str) -> bool:
+    def _is_superseded(self, sidecar: str) -> bool:
         """Whether a sidecar died and its upstream is retired or has another."""
         now = monotonic()
         if self._membership.liveness(sidecar, now) is not Liveness.DEAD:
@@ -184,7 +186,7 @@
         successor = self._pool.views_by_upstream.get(upstream)
         return successor is not None and successor.incarnation not in ("", sidecar)
 
-    async def _tell_durable(self) -> None:
+    async def _send_durable_receipts(self) -> None:
         """Tell sidecars which receipts they may drop."""
         while True:
             durable = await self.receipts.durable.get()
@@ -201,6 +203,6 @@
         spread=profile.spread,
         ride_out_seconds=profile.ride_out_seconds,
         largest_request=max(
-            profile.call_tokens, profile.max_output_tokens + PROMPT_ALLOWANCE
+            profile.call_tokens, profile.max_output_tokens + PROMPT_ALLOWANCE_BYTES
         ),
     )
--- a/src/ragwortkeel/router/calls.py
+++ b/src/ragwortkeel/router/calls.py
@@ -17,7 +17,7 @@
 SERVICE_TARGET = "/calls"
 
 KEY_HEADER = "idempotency-key"
-MAX_KEY_LENGTH = 200
+MAX_KEY_CHARACTERS = 200
 
 PREFIX_BYTES = 2048
 """Conversations that share this much of their prompt share cached prefixes."""
@@ -61,7 +61,7 @@
         Whether the caller named the request and so may send it again.
     target, body
         What the upstream is sent.
-    bound : int
+    bound_tokens : int
         Most tokens the run can cost: prompt bound and output limit.
     fingerprint : str
         Digest of the body; one key with two bodies is a caller's mistake.
@@ -74,7 +74,7 @@
     target: str
     body: bytes
     stream: bool
-    bound: int
+    bound_tokens: int
     fingerprint: str
     traceparent: str
 
@@ -92,13 +92,13 @@
 
 def parse_call(request: Request, profile: Profile) -> Call:
     """Return the checked call; `BadRequest` where the caller must change it."""
-    request_id, key_given = _request_id(request)
+    request_id, key_given = _parse_request_id(request)
     if request.path == CHAT_PATH:
-        kind, body, stream, bound = _chat(request, profile)
+        kind, body, stream, bound_tokens = _parse_chat(request, profile)
         target = CHAT_PATH
     else:
         _decode_object(request.body)
-        kind, body, stream, bound = (
+        kind, body, stream, bound_tokens = (
             ServiceCall(),
             request.body,
             False,
@@ -113,7 +113,7 @@
         target=target,
         body=body,
         stream=stream,
-        bound=bound,
+        bound_tokens=bound_tokens,
         fingerprint=blake2b(request.body, digest_size=16).hexdigest(),
         traceparent=request.headers.get("traceparent", ""),
     )
@@ -130,15 +130,15 @@
         )
 
 
-def _request_id(request: Request) -> tuple[str, bool]:
+def _parse_request_id(request: Request) -> tuple[str, bool]:
     key = request.headers.get(KEY_HEADER, "")
     if not key:
         return uuid4().hex, False
-    if len(key) > MAX_KEY_LENGTH or not key.isascii() or not key.isprintable():
+    if len(key) > MAX_KEY_CHARACTERS or not key.isascii() or not key.isprintable():
         raise BadRequest(
             status=400,
             reason="bad_idempotency_key",
-            detail=f"at most {MAX_KEY_LENGTH} printable ASCII characters",
+            detail=f"at most {MAX_KEY_CHARACTERS} printable ASCII characters",
         )
     return key, True
 
@@ -157,7 +157,9 @@
         raise BadRequest(status=400, reason="bad_body", detail=str(exc)) from exc
 
 
-def _chat(request: Request, profile: Profile) -> tuple[ChatCall, bytes, bool, int]:
+def _parse_chat(
+    request: Request, profile: Profile
+) -> tuple[ChatCall, bytes, bool, int]:
     chat = _decode_chat(request.body)
     limit = min(chat.max_tokens or profile.max_output_tokens, profile.max_output_tokens)
     fields = _decode_object(request.body)
--- a/src/ragwortkeel/router/closing.py
+++ b/src/ragwortkeel/router/closing.py
@@ -76,7 +76,7 @@
         self, reservation: Reservation, attempt: Attempt, call: Call
     ) -> None:
         try:
-            end = await attempt.follow(patience=lambda: inf)
+            end = await attempt.follow(link_wait_seconds=lambda: inf)
             await self.settle(reservation, attempt, end, call)
         finally:
             self.open_runs -= 1
--- a/src/ragwortkeel/router/parts.py
+++ b/src/ragwortkeel/router/components.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Parts:
+class Components:
     """The shared parts of a router.
 
     Attributes
--- a/src/ragwortkeel/router/dispatches.py
+++ b/src/ragwortkeel/router/dispatches.py
@@ -6,9 +6,9 @@
 from ragwortkeel.policy.facts import RequestFacts
 from ragwortkeel.router.attempt import Attempt
 from ragwortkeel.router.calls import Call
-from ragwortkeel.router.parts import Parts
+from ragwortkeel.router.components import Components
 
-PRIORITIES = {
+PRIORITY_BY_SERVICE_CLASS = {
     ServiceClass.INTERACTIVE: 0,
     ServiceClass.MUST_NOT_REPEAT: 1,
     ServiceClass.BATCH: 2,
@@ -25,12 +25,12 @@
     facts: RequestFacts,
     attempt: Attempt,
     reservation: Reservation,
-    parts: Parts,
+    components: Components,
     traceparent: str,
     alone: bool,
 ) -> Dispatch:
     """Return the order to run `call` as `attempt` within `reservation`."""
-    _, upstream_version = parts.directory.upstream(attempt.upstream)
+    _, upstream_version = components.directory.upstream(attempt.upstream)
     return Dispatch(
         request_id=call.request_id,
         nonce=attempt.nonce,
@@ -43,19 +43,19 @@
         target=call.target,
         body=body,
         stream=call.stream,
-        budget_seconds=max(facts.deadline - parts.clock(), 0.0),
-        priority=PRIORITIES[facts.service_class],
+        budget_seconds=max(facts.deadline - components.clock(), 0.0),
+        priority=PRIORITY_BY_SERVICE_CLASS[facts.service_class],
         traceparent=traceparent,
         prefix=facts.prefix,
         alone=alone,
-        promised_seconds=_promise(facts),
+        promised_seconds=_promised_seconds(facts),
         fingerprint=call.fingerprint,
         replayable=body is call.body,
-        epoch=parts.pool.views_by_upstream[attempt.upstream].load.epoch,
+        epoch=components.pool.views_by_upstream[attempt.upstream].load.epoch,
     )
 
 
-def _promise(facts: RequestFacts) -> float:
+def _promised_seconds(facts: RequestFacts) -> float:
     """Return the promise of the first token, which binds interactive work only."""
     if facts.service_class is not ServiceClass.INTERACTIVE:
         return 0.0
--- a/src/ragwortkeel/router/exchange.py
+++ b/src/ragwortkeel/router/exchange.py
@@ -22,7 +22,7 @@
 from ragwortkeel.policy.facts import Assignment, Failure, RequestFacts
 from ragwortkeel.policy.facts import Refusal as PolicyRefusal
 from ragwortkeel.router.attempt import (
-    RELINK_SECONDS,
+    RELINK_WAIT_SECONDS,
     Attempt,
     AttemptEnd,
     Broken,
@@ -31,8 +31,8 @@
     Lost,
 )
 from ragwortkeel.router.calls import Call
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.dispatches import build_dispatch
-from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.refusals import Outcome, Reason, Refusal
 from ragwortkeel.router.sinks import Sink
 from ragwortkeel.traces import traceparent_of
@@ -42,14 +42,14 @@
     """The idempotency key names an earlier request with another body."""
 
 
-RERUN_SECONDS = 1.0
+RERUN_WAIT_SECONDS = 1.0
 """A caller that has nothing yet is served elsewhere rather than wait for a link
 that was silent for seconds already; the first run is cancelled when it is found."""
 
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 """From here on an answer blames the upstream, and another may do better."""
 
-LOCATE_LIMIT = 16
+MAX_LOCATE_SIDECARS = 16
 """Sidecars asked for an earlier run; more than either deployment of today has."""
 
 
@@ -67,17 +67,17 @@
         call: Call,
         version: int,
         facts: RequestFacts,
-        parts: Parts,
+        components: Components,
         sink: Sink,
     ) -> None:
         self._call = call
         self._version = version
         self._facts = facts
-        self._parts = parts
+        self._components = components
         self._sink = sink
         self.may_have_run = False
         self.tokens = 0
-        self._heard_first = False
+        self._first_token_received = False
 
     async def run(self) -> Refusal | None:
         """Serve the call."""
@@ -90,7 +90,7 @@
             return await self._run_until_done()
         finally:
             # A no-op for a request that has ended.
-            await self._parts.dispatcher.left(self._facts.request_id)
+            await self._components.dispatcher.record_disconnect(self._facts.request_id)
 
     async def _replay(self) -> bool:
         """Answer from a run that an earlier attempt of the caller started."""
@@ -113,12 +113,12 @@
         return True
 
     async def _find_run(self) -> tuple[str, str] | None:
-        names = self._parts.directory.upstreams_of(self._facts.back_ends)
-        asked = [name for name in names if self._parts.pool.is_up(name)]
+        names = self._components.directory.upstreams_of(self._facts.back_ends)
+        asked = [name for name in names if self._components.pool.is_up(name)]
         async with curio.TaskGroup(wait=all) as group:
-            for name in asked[:LOCATE_LIMIT]:
+            for name in asked[:MAX_LOCATE_SIDECARS]:
                 await group.spawn(
-                    self._parts.pool.locate,
+                    self._components.pool.locate,
                     name,
                     self._call.profile,
                     self._call.request_id,
@@ -133,20 +133,20 @@
         return None
 
     async def _run_until_done(self) -> Refusal | None:
-        decision = await self._parts.dispatcher.admit(self._facts)
+        decision = await self._components.dispatcher.admit(self._facts)
         while isinstance(decision, Assignment):
-            if self._sink.begun and not self._can_go_on(decision.upstream):
+            if self._sink.begun and not self._can_resume(decision.upstream):
                 # From its start again, the answer would follow what was sent.
-                return _BROKEN_OFF
+                return _INTERRUPTED
             try:
                 end = await self._attempt(decision)
             except BudgetRefused as exc:
                 return self._budget_refusal(exc)
-            if isinstance(end, Completed) and end.status < SERVER_ERROR:
+            if isinstance(end, Completed) and end.status < MIN_SERVER_ERROR_STATUS:
                 await self._finish(end)
                 return None
             self._sink.restart()
-            decision = await self._parts.dispatcher.retry(
+            decision = await self._components.dispatcher.retry(
                 self._facts.request_id, failure_of(end)
             )
         if decision is None:
@@ -155,20 +155,20 @@
 
     async def _finish(self, end: Completed) -> None:
         self.tokens = end.tokens
-        await self._parts.dispatcher.finished(self._facts.request_id)
+        await self._components.dispatcher.record_finish(self._facts.request_id)
         await self._sink.finish(end.status, end.content_type)
 
     async def _attempt(self, assignment: Assignment) -> AttemptEnd:
         upstream = assignment.upstream
-        view = self._parts.pool.views_by_upstream.get(upstream)
+        view = self._components.pool.views_by_upstream.get(upstream)
         if view is None or not view.link.up:
             return Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
         attempt = self._new_attempt(upstream, uuid4().hex)
-        self._heard_first = False
-        reservation = await self._parts.budgets.reserve(
-            self._call.profile, self._call.bound, attempt.sidecar
+        self._first_token_received = False
+        reservation = await self._components.budgets.reserve(
+            self._call.profile, self._call.bound_tokens, attempt.sidecar
         )
-        with self._parts.tracing.span(
+        with self._components.tracing.span(
             "dispatch", parent=self._call.traceparent, upstream=upstream
         ) as span:
             order = build_dispatch(
@@ -179,7 +179,7 @@
                 facts=self._facts,
                 attempt=attempt,
                 reservation=reservation,
-                parts=self._parts,
+                components=self._components,
                 traceparent=traceparent_of(span),
                 alone=assignment.alone,
             )
@@ -188,48 +188,50 @@
     async def _run_attempt(
         self, attempt: Attempt, reservation: Reservation, order: Dispatch
     ) -> AttemptEnd:
-        current = self._parts.is_current(reservation)
+        current = self._components.is_current(reservation)
         if not current or not await attempt.open(order):
-            await self._parts.budgets.settle(reservation, 0)
+            await self._components.budgets.settle(reservation, 0)
             return Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
         ran_before, self.may_have_run = self.may_have_run, True
         end: AttemptEnd | None = None
         try:
-            end = await attempt.follow(patience=self._patience)
+            end = await attempt.follow(link_wait_seconds=self._link_wait_seconds)
         finally:
             await self._close(reservation, attempt, end)
         if isinstance(end, Declined):
             self.may_have_run = ran_before
         return end
 
-    def _patience(self) -> float:
-        return RELINK_SECONDS if self._sink.begun else RERUN_SECONDS
+    def _link_wait_seconds(self) -> float:
+        return RELINK_WAIT_SECONDS if self._sink.begun else RERUN_WAIT_SECONDS
 
     async def _close(
         self, reservation: Reservation, attempt: Attempt, end: AttemptEnd | None
     ) -> None:
-        if end is None or (isinstance(end, Lost) and attempt.may_go_on):
+        if end is None or (isinstance(end, Lost) and attempt.may_continue):
             # Given up on, or cut off while the sidecar may still be running it.
             stop = not self._call.key_given
-            await self._parts.closing.abandon(
+            await self._components.closing.abandon(
                 reservation, attempt, self._call, cancel=stop
             )
             return
-        await self._parts.closing.settle(reservation, attempt, end, self._call)
+        await self._components.closing.settle(reservation, attempt, end, self._call)
 
     def _new_attempt(self, upstream: str, nonce: str) -> Attempt:
         async def emit(data: bytes) -> None:
-            if not self._heard_first:
-                self._heard_first = True
-                await self._parts.dispatcher.first_token(self._facts.request_id)
-            if rv.status < SERVER_ERROR:
+            if not self._first_token_received:
+                self._first_token_received = True
+                await self._components.dispatcher.record_first_token(
+                    self._facts.request_id
+                )
+            if rv.status < MIN_SERVER_ERROR_STATUS:
                 await self._sink.write(data, rv.content_type)
 
         rv = Attempt(
             nonce=nonce,
             upstream=upstream,
-            sidecar=self._parts.pool.views_by_upstream[upstream].incarnation,
-            pool=self._parts.pool,
+            sidecar=self._components.pool.views_by_upstream[upstream].incarnation,
+            pool=self._components.pool,
             emit=emit,
         )
         return rv
@@ -241,8 +243,8 @@
         fields["resume_from_tokens"] = self._sink.tokens
         return msgspec.json.encode(fields)
 
-    def _can_go_on(self, upstream: str) -> bool:
-        found = self._parts.directory.upstream(upstream)
+    def _can_resume(self, upstream: str) -> bool:
+        found = self._components.directory.upstream(upstream)
         return found is not None and found[0].resumes
 
     def _budget_refusal(self, exc: BudgetRefused) -> Refusal:
@@ -253,7 +255,7 @@
         )
 
 
-_BROKEN_OFF = Refusal(
+_INTERRUPTED = Refusal(
     outcome=Outcome.FAILED,
     reason=Reason.UPSTREAM_FAILED,
     detail="the answer broke off and cannot be continued",
--- a/src/ragwortkeel/router/filing_runs.py
+++ b/src/ragwortkeel/router/filing_runs.py
@@ -30,8 +30,8 @@
     Lost,
 )
 from ragwortkeel.router.calls import Call
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.dispatches import build_dispatch
-from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.sinks import WholeSink
 from ragwortkeel.runs.intent import (
     AskSidecar,
@@ -56,7 +56,7 @@
         call: Call,
         version: int,
         facts: RequestFacts,
-        parts: Parts,
+        parts: Components,
         sink: WholeSink,
     ) -> None:
         self._call = call
@@ -123,7 +123,7 @@
                 facts=self._facts,
                 attempt=attempt,
                 reservation=reservation,
-                parts=self._parts,
+                components=self._parts,
                 traceparent=traceparent_of(span),
                 alone=alone,
             )
@@ -143,7 +143,7 @@
         end = Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
         if self._parts.is_current(reservation) and await attempt.open(order):
             end = await attempt.follow()
-        if isinstance(end, Lost) and attempt.may_go_on:
+        if isinstance(end, Lost) and attempt.may_continue:
             await self._parts.closing.abandon(
                 reservation, attempt, self._call, cancel=False
             )
--- a/src/ragwortkeel/router/filings.py
+++ b/src/ragwortkeel/router/filings.py
@@ -25,9 +25,9 @@
     Lost,
 )
 from ragwortkeel.router.calls import Call
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.exchange import failure_of, refusal_of
 from ragwortkeel.router.filing_runs import FilingRuns
-from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.refusals import Outcome as CallerOutcome
 from ragwortkeel.router.refusals import Reason, Refusal
 from ragwortkeel.router.sinks import WholeSink
@@ -79,7 +79,7 @@
         call: Call,
         version: int,
         facts: RequestFacts,
-        parts: Parts,
+        parts: Components,
         sink: WholeSink,
     ) -> None:
         self.may_have_run = call.key_given
@@ -110,7 +110,7 @@
         finally:
             if self._reservation is not None:
                 await self._parts.budgets.settle(self._reservation, 0)
-            await self._parts.dispatcher.left(self._facts.request_id)
+            await self._parts.dispatcher.record_disconnect(self._facts.request_id)
 
     async def _decide(self) -> Refusal | None:
         while True:
@@ -233,7 +233,7 @@
             return _not_run(Reason.NO_UPSTREAM, SOON_SECONDS)
         try:
             self._reservation = await self._parts.budgets.reserve(
-                self._call.profile, self._call.bound, view.incarnation
+                self._call.profile, self._call.bound_tokens, view.incarnation
             )
         except BudgetRefused as exc:
             return _not_run(Reason(exc.reason), exc.retry_after_seconds)
@@ -250,7 +250,7 @@
 
     async def _finish(self, end: Completed) -> None:
         self.tokens = end.tokens
-        await self._parts.dispatcher.finished(self._facts.request_id)
+        await self._parts.dispatcher.record_finish(self._facts.request_id)
         await self._sink.finish(end.status, end.content_type)
 
     async def _after(self, end: Declined | Broken | Lost) -> Refusal | None:
--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -12,10 +12,10 @@
 from ragwortkeel.logs import log_error
 from ragwortkeel.policy.facts import RequestFacts
 from ragwortkeel.router.calls import KEY_HEADER, Call, ChatCall, parse_call, profile_of
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.exchange import Exchange
 from ragwortkeel.router.filings import FilingExchange
 from ragwortkeel.router.observer import Observed
-from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.refusals import Outcome, Reason, Refusal
 from ragwortkeel.router.sinks import Sink, StreamSink, WholeSink
 from ragwortkeel.traces import traceparent_of
@@ -48,35 +48,35 @@
     def __init__(
         self,
         *,
-        parts: Parts,
+        components: Components,
         observe: Callable[[Observed], None],
         refresh: Callable[[str, str], Awaitable[bool]],
     ) -> None:
         self.stopping = False
-        self._parts = parts
+        self._components = components
         self._observe = observe
         self._refresh = refresh
         self._serials = count(1)
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one request; the handler of an `HttpServer`."""
-        started = self._parts.clock()
+        started = self._components.clock()
         try:
-            found = await self._find(request)
+            found = await self._parse(request)
         except BadRequest as exc:
-            refusal = _refusal_of_bad(exc)
+            refusal = _malformed_refusal(exc)
             await WholeSink(responder=responder, request_id="").refuse(refusal)
             return
         if isinstance(found, Refusal):
             await WholeSink(responder=responder, request_id="").refuse(found)
             return
         call, profile, version = found
-        with self._parts.tracing.span("request", parent=call.traceparent) as span:
+        with self._components.tracing.span("request", parent=call.traceparent) as span:
             call = replace(call, traceparent=traceparent_of(span))
             facts = self._facts(call, profile)
             sink = self._new_sink(call, facts, responder)
-            served = self._new_server(call, version, facts, sink)
-            refusal = await self._serve(served, profile, responder)
+            exchange = self._new_exchange(call, version, facts, sink)
+            refusal = await self._serve(exchange, profile, responder)
             if refusal is not None:
                 await sink.refuse(refusal)
         self._observe(
@@ -84,25 +84,27 @@
                 call=call,
                 profile=profile,
                 refusal=refusal,
-                seconds=self._parts.clock() - started,
-                tokens=served.tokens,
+                seconds=self._components.clock() - started,
+                tokens=exchange.tokens,
                 first_token_seconds=sink.begun_at and sink.begun_at - started,
             )
         )
 
-    async def _find(self, request: Request) -> tuple[Call, Profile, int] | Refusal:
+    async def _parse(self, request: Request) -> tuple[Call, Profile, int] | Refusal:
         name = profile_of(request)
-        found = self._parts.directory.profile(name)
+        found = self._components.directory.profile(name)
         if found is None and await self._refresh(PROFILES, name):
             # Created a moment ago, and its change is still on its way here.
-            found = self._parts.directory.profile(name)
+            found = self._components.directory.profile(name)
         if found is None:
             return Refusal(outcome=Outcome.NOT_RUN, reason=Reason.UNKNOWN_PROFILE)
         profile, version = found
         if self.stopping:
-            return _turn_away(request, profile, Reason.STOPPING, STOPPING_RETRY_SECONDS)
+            return _unread_refusal(
+                request, profile, Reason.STOPPING, STOPPING_RETRY_SECONDS
+            )
         if profile.retired:
-            return _turn_away(request, profile, Reason.RETIRED_PROFILE)
+            return _unread_refusal(request, profile, Reason.RETIRED_PROFILE)
         return parse_call(request, profile), profile, version
 
     def _new_sink(self, call: Call, facts: RequestFacts, responder: Responder) -> Sink:
@@ -113,22 +115,30 @@
             responder=responder,
             request_id=call.request_id,
             traceparent=call.traceparent,
-            clock=self._parts.clock,
+            clock=self._components.clock,
         )
 
-    def _new_server(
+    def _new_exchange(
         self, call: Call, version: int, facts: RequestFacts, sink: Sink
     ) -> Exchange | FilingExchange:
         if not facts.repeatable:
             return FilingExchange(
-                call=call, version=version, facts=facts, parts=self._parts, sink=sink
+                call=call,
+                version=version,
+                facts=facts,
+                parts=self._components,
+                sink=sink,
             )
         return Exchange(
-            call=call, version=version, facts=facts, parts=self._parts, sink=sink
+            call=call,
+            version=version,
+            facts=facts,
+            components=self._components,
+            sink=sink,
         )
 
     def _facts(self, call: Call, profile: Profile) -> RequestFacts:
-        now = self._parts.clock()
+        now = self._components.clock()
         return RequestFacts(
             request_id=f"{call.request_id}#{next(self._serials)}",
             profile=profile.name,
@@ -137,14 +147,17 @@
             back_ends=profile.back_ends,
             deadline=now + profile.deadline_seconds,
             first_token_deadline=now + profile.first_token_seconds,
-            cost=call.bound,
+            cost=call.bound_tokens,
             prefix=call.kind.prefix if isinstance(call.kind, ChatCall) else "",
             fingerprint=call.fingerprint,
             promised_first_token_seconds=profile.first_token_seconds,
         )
 
     async def _serve(
-        self, served: Exchange | FilingExchange, profile: Profile, responder: Responder
+        self,
+        exchange: Exchange | FilingExchange,
+        profile: Profile,
+        responder: Responder,
     ) -> Refusal | None:
         """Run the request until it ends, its deadline passes or its caller leaves."""
         try:
@@ -152,19 +165,19 @@
                 curio.timeout_after(profile.deadline_seconds),
                 curio.TaskGroup(wait=any) as group,
             ):
-                serving = await group.spawn(served.run)
+                serving = await group.spawn(exchange.run)
                 await group.spawn(responder.gone.wait)
         except curio.TaskTimeout:
-            return _stopped(served, Reason.DEADLINE)
+            return _interrupted_refusal(exchange, Reason.DEADLINE)
         if group.completed is not serving:
             return None
         if serving.exception is not None:
             log_error("request_broke", error=repr(serving.exception))
-            return _stopped(served, Reason.INTERNAL)
+            return _interrupted_refusal(exchange, Reason.INTERNAL)
         return serving.result
 
 
-def _turn_away(
+def _unread_refusal(
     request: Request,
     profile: Profile,
     reason: Reason,
@@ -176,21 +189,23 @@
     was retired since; `not_run` would be a lie, as its intent was not read.
     """
     must_not_repeat = profile.service is ServiceClass.MUST_NOT_REPEAT
-    unsure = must_not_repeat and KEY_HEADER in request.headers
+    may_have_run = must_not_repeat and KEY_HEADER in request.headers
     return Refusal(
-        outcome=Outcome.UNKNOWN if unsure else Outcome.NOT_RUN,
+        outcome=Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN,
         reason=reason,
         retry_after_seconds=retry_after_seconds,
     )
 
 
-def _stopped(served: Exchange | FilingExchange, reason: Reason) -> Refusal:
+def _interrupted_refusal(
+    exchange: Exchange | FilingExchange, reason: Reason
+) -> Refusal:
     """Return the refusal of a request that was cut short while it was served."""
-    outcome = Outcome.UNKNOWN if served.may_have_run else Outcome.NOT_RUN
+    outcome = Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
     return Refusal(outcome=outcome, reason=reason, retry_after_seconds=1.0)
 
 
-def _refusal_of_bad(exc: BadRequest) -> Refusal:
+def _malformed_refusal(exc: BadRequest) -> Refusal:
     return Refusal(
         outcome=Outcome.NOT_RUN,
         reason=Reason.BAD_REQUEST,
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -26,6 +26,7 @@
 from ragwortkeel.policy.scheduler import Scheduler
 from ragwortkeel.router.budgeting import Budgeting
 from ragwortkeel.router.closing import Closing
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.directory import Directory
 from ragwortkeel.router.dispatcher import Dispatcher
 from ragwortkeel.router.gateway import Gateway
@@ -34,7 +35,6 @@
     upstreams_to_link,
 )
 from ragwortkeel.router.observer import Gauges, Observer
-from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.peers import PeerLinks
 from ragwortkeel.router.sidecars import SidecarPool
 from ragwortkeel.settings import Address, RouterSettings
@@ -131,7 +131,7 @@
         )
         budgets, receipts = self.budgeting.keeper, self.budgeting.receipts
         self.closing = Closing(budgets=budgets, receipts=receipts)
-        self.parts = Parts(
+        self.parts = Components(
             incarnation=lambda: self.incarnation,
             clock=monotonic,
             intents=IntentStore(platform=platform),
@@ -144,7 +144,7 @@
             tracing=tracing,
         )
         self.gateway = Gateway(
-            parts=self.parts,
+            components=self.parts,
             observe=observer.request_ended,
             refresh=self.gossip.refresh,
         )
@@ -167,7 +167,7 @@
         return Gauges(
             revision=self.store.revision,
             running=self._server.open_exchanges,
-            queued=self.dispatcher.queued,
+            queued=self.dispatcher.queued_count,
             slice_tokens=sum(row.free for row in rows),
         )
 
@@ -274,7 +274,7 @@
                         name=name, back_end=upstream.back_end, zone=upstream.zone
                     )
                 )
-        await self.dispatcher.upstreams_changed(usable)
+        await self.dispatcher.set_upstreams(usable)
 
     async def _read_sidecars(self) -> None:
         while True:
@@ -307,7 +307,7 @@
             fingerprints=frozenset(seen.fingerprints),
             alone=seen.alone,
         )
-        if await self.dispatcher.crashed(crash):
+        if await self.dispatcher.record_crash(crash):
             self._observer.upstream_crashed(crash)
             await self.peers.send_all(seen)
 
@@ -318,7 +318,7 @@
             self._state_by_upstream[upstream] = state
             if known is not None and known[0] != sender:
                 # Another process answers at its address: it carries nothing more.
-                self.budgeting.keeper.forget_sidecar(known[0])
+                self.budgeting.keeper.remove_sidecar(known[0])
             await self._offer_upstreams()
         report = LoadReport(
             upstream=upstream,
@@ -327,7 +327,7 @@
             limit=load.limit,
         )
         self._observer.upstream_load(report)
-        await self.dispatcher.report(report)
+        await self.dispatcher.record_load(report)
 
     async def _read_peers(self) -> None:
         while True:
@@ -344,7 +344,7 @@
             if isinstance(message, CrashSeen):
                 await self._take_crash(message)
                 continue
-            if await self.budgeting.take(event.peer, envelope.sender, message):
+            if await self.budgeting.receive(event.peer, envelope.sender, message):
                 continue
             await self._to_gossip(event.peer, envelope.revision, message)
 
--- a/tests/router/test_budget_keeper.py
+++ b/tests/router/test_budget_keeper.py
@@ -34,12 +34,14 @@
             self.by_incarnation[renamed] = keeper
             return renamed
 
-        async def tell(router, message):
+        async def send(router, message):
             match message:
                 case SliceRequest():
-                    await self.by_incarnation[router].asked(keeper.incarnation, message)
+                    await self.by_incarnation[router].receive_slice_request(
+                        keeper.incarnation, message
+                    )
                 case SliceTransfer():
-                    await self.by_incarnation[router].lent(message)
+                    await self.by_incarnation[router].receive_slice_transfer(message)
 
         keeper = BudgetKeeper(
             platform=self.platform,
@@ -47,7 +49,7 @@
             terms=lambda profile: TERMS,
             sidecars=lambda profile: self.sidecars,
             reincarnate=reincarnate,
-            tell=tell,
+            send=send,
             clock=monotonic,
         )
         self.by_incarnation[name] = keeper
@@ -89,7 +91,7 @@
             reservation = await keeper.reserve("p", 10, "s1")
             assert fleet.ledger.held >= 10
             await settle(keeper, reservation, 4)
-            assert await keeper.returned_on_stop()
+            assert await keeper.return_slices()
             assert (fleet.ledger.spent, fleet.ledger.held) == (4, 4)
 
         play(scenario)
@@ -97,7 +99,7 @@
     def test_stop_with_an_open_attempt_keeps_the_grant(self):
         async def scenario(fleet, keeper):
             await keeper.reserve("p", 10, "s1")
-            assert not await keeper.returned_on_stop()
+            assert not await keeper.return_slices()
             assert fleet.ledger.held >= 10
 
         play(scenario)
@@ -181,7 +183,7 @@
             fleet.platform.switches.lost_answers = lost
             reservation = await keeper.reserve("p", 10, "s1")
             await settle(keeper, reservation, 10)
-            assert await keeper.returned_on_stop()
+            assert await keeper.return_slices()
             assert fleet.ledger.held == 10
 
         play(scenario)
@@ -190,7 +192,7 @@
         async def scenario(fleet, keeper):
             await settle(keeper, await keeper.reserve("p", 10, "s1"), 7)
             fleet.platform.switches.lost_answers = 1
-            assert await keeper.returned_on_stop()
+            assert await keeper.return_slices()
             assert (fleet.ledger.spent, fleet.ledger.held) == (7, 7)
 
         play(scenario)
--- a/tests/router/test_calls.py
+++ b/tests/router/test_calls.py
@@ -64,7 +64,7 @@
     def test_the_bound_covers_prompt_bytes_and_output_limit(self):
         call = parse_call(post(CHAT_PATH, CHAT), PROFILE)
         assert isinstance(call.kind, ChatCall)
-        assert call.bound == len(call.body) + 100
+        assert call.bound_tokens == len(call.body) + 100
 
     @pytest.mark.parametrize(
         ("asked", "sent"), [(None, 100), (5, 5), (100, 100), (5_000, 100)]
@@ -78,7 +78,7 @@
         thai = "\u0e01" * 50
         body = msgspec.json.encode(CHAT).replace(b"hola", b"\\u0e01" * 50)
         call = parse_call(post(CHAT_PATH, body), PROFILE)
-        assert call.bound >= len(thai.encode()) + 100
+        assert call.bound_tokens >= len(thai.encode()) + 100
 
     def test_a_stream_asks_for_its_usage(self):
         call = parse_call(post(CHAT_PATH, CHAT | {"stream": True}), PROFILE)
@@ -89,7 +89,7 @@
     def test_a_service_call_costs_what_the_profile_says(self):
         call = parse_call(post("/v1/profiles/advisor-chat/calls", {"a": 1}), PROFILE)
         assert isinstance(call.kind, ServiceCall)
-        assert call.bound == 7
+        assert call.bound_tokens == 7
 
     def test_without_a_key_one_is_minted(self):
         first, second = (parse_call(post(CHAT_PATH, CHAT), PROFILE) for _ in "ab")
--- a/tests/router/test_filings.py
+++ b/tests/router/test_filings.py
@@ -10,9 +10,9 @@
 from ragwortkeel.policy.facts import Assignment, RequestFacts
 from ragwortkeel.router.calls import Call, ServiceCall
 from ragwortkeel.router.closing import Closing
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.filings import FilingExchange
 from ragwortkeel.router.intents import IntentStore
-from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.sinks import WholeSink
 from ragwortkeel.sidecar.admission import Admission
 from ragwortkeel.sidecar.core import SidecarCore
@@ -34,7 +34,7 @@
     target="/calls",
     body=b"{}",
     stream=False,
-    bound=1,
+    bound_tokens=1,
     fingerprint="",
     traceparent="",
 )
@@ -142,10 +142,10 @@
     async def retry(self, request_id, failure):
         return None
 
-    async def left(self, request_id):
+    async def record_disconnect(self, request_id):
         return None
 
-    finished = left
+    record_finish = record_disconnect
 
 
 class Budgets:
@@ -178,7 +178,7 @@
 
 def exchange(router, upstream, sidecars, platform, caller):
     budgets = Budgets(router)
-    parts = Parts(
+    parts = Components(
         incarnation=lambda: router,
         clock=lambda: 0.0,
         intents=IntentStore(platform=platform),
--- a/tests/router/test_path.py
+++ b/tests/router/test_path.py
@@ -284,7 +284,7 @@
                 reserved.append(await reserve(*asked))
                 if len(reserved) == 1:
                     await fleet.top_up(CHAT, 10 * PREPAID)
-                    await keeper._sealed.put(keeper.incarnation)
+                    await keeper._sealed_incarnations.put(keeper.incarnation)
                     before = keeper.incarnation
                     await until(lambda: keeper.incarnation != before)
                 return reserved[-1]
