--- a/src/ragwortkeel/router/attempt.py
+++ b/src/ragwortkeel/router/attempt.py
@@ -1,9 +1,9 @@
 """One run of a request at one sidecar, followed to its end.
 
-The link under a run may go silent and be replaced in the middle of an answer;
-the run goes on at the sidecar meanwhile, so the attempt resumes from the first
-byte it misses.  How it ended is one of the `AttemptEnd` classes, each of which
-says whether anything can have run.
+The link to the sidecar may be lost and replaced in the middle of an answer.  The run
+continues at the sidecar meanwhile, and the attempt resumes from the first missing byte.
+The result is one of the `AttemptEnd` classes, each of which determines whether anything
+can have run.
 """
 
 from collections.abc import Awaitable, Callable
@@ -32,12 +32,15 @@
 from ragwortkeel.runs.assembly import Assembly, GapTooWide
 
 RELINK_WAIT_SECONDS = 8.0
-"""Two silences found and one reconnection; then the sidecar counts as lost."""
+"""Time to wait for a lost link before the run counts as lost.
+
+It covers two detections of a silent link and one reconnection.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Completed:
-    """The answer is whole."""
+    """The run ended with a complete answer."""
 
     status: int
     content_type: str
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Declined:
-    """The run did not happen and never will under this nonce."""
+    """Nothing ran, and nothing will ever run under this nonce."""
 
     reason: RefusalReason
     retry_after_seconds: float = 0.0
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Broken:
-    """The run ended without a whole answer after `tokens` were spent."""
+    """The run ended without a complete answer after it spent `tokens`."""
 
     reason: str
     tokens: int
@@ -64,7 +67,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Lost:
-    """Nothing more is known of the run; it may have happened or go on."""
+    """The outcome of the run is unknown; it may have ended or may continue."""
 
 
 AttemptEnd = Completed | Declined | Broken | Lost
@@ -73,23 +76,27 @@
 
 
 class Attempt:
-    """Follows one nonce at one sidecar.
+    """Follows the run of one nonce at one sidecar.
 
     Parameters
     ----------
-    nonce, upstream, sidecar
-        The run, where it is, and the incarnation expected there.
-    pool
-        The links to send through and to hear from.
-    emit
-        Awaited with each chunk of the answer, in order and without gaps.
+    nonce : str
+        Identifies the run.
+    upstream : str
+        The upstream where it runs.
+    sidecar : str
+        The expected incarnation of the upstream's sidecar.
+    pool : SidecarPool
+        The links to the sidecars.
+    emit : async callable
+        Called with each chunk of the answer, in order and without gaps.
 
     Attributes
     ----------
     status : int
-        Of the answer, once it has begun; 0 before.
+        HTTP status of the answer; 0 until the answer begins.
     content_type : str
-        Of the answer, once it has begun.
+        Content type of the answer; empty until the answer begins.
     """
 
     def __init__(
@@ -108,12 +115,12 @@
 
     @property
     def may_continue(self) -> bool:
-        """Whether the sidecar that had the run may still be there."""
+        """Whether the sidecar incarnation that received the run may still be live."""
         view = self._pool.views_by_upstream.get(self.upstream)
         return view is not None and view.incarnation == self.sidecar
 
     async def open(self, first: AnyMessage) -> bool:
-        """Send `first` (a dispatch or a resume); False if it never left."""
+        """Send `first`, a dispatch or a resume; return False if it was not sent."""
         self._subscription = self._pool.subscribe(self.nonce, self.upstream)
         try:
             await self._pool.send(self.upstream, first)
@@ -125,12 +132,12 @@
     async def follow(
         self, *, link_wait_seconds: Callable[[], float] = lambda: RELINK_WAIT_SECONDS
     ) -> AttemptEnd:
-        """Follow to the end; may be cancelled and called again.
+        """Follow the run and return its end; may be cancelled and called again.
 
         Parameters
         ----------
-        link_wait_seconds
-            Returns the seconds to wait for a lost link, asked when it is lost.
+        link_wait_seconds : callable, optional
+            Called when the link is lost; returns the seconds to wait for it.
         """
         while True:
             event = await self._subscription.queue.get()
@@ -143,13 +150,13 @@
                 return end
 
     async def cancel(self) -> None:
-        """Ask the sidecar to stop the run; its end still arrives."""
+        """Request the sidecar to stop the run; its end is still received."""
         self._emit = _discard
         with suppress(LinkLost):
             await self._pool.send(self.upstream, Cancel(nonce=self.nonce))
 
     def close(self) -> None:
-        """Stop hearing of the run, if it was ever opened."""
+        """Stop receiving messages of the run; does nothing if it was not opened."""
         if self._subscription is not None:
             self._pool.unsubscribe(self._subscription)
 
@@ -186,8 +193,8 @@
 
     async def _finish(self, finished: Finished) -> AttemptEnd | None:
         self.assembly.finish(finished.length)
-        # An answer is whole by its length, not by its end message: pieces may
-        # have been lost with a replaced connection.
+        # An answer is complete only at its full length: chunks before the end message
+        # may have been lost with a replaced connection.
         if not self.assembly.is_complete:
             await self._resume()
             return None
@@ -198,7 +205,7 @@
         )
 
     async def _await_link(self, seconds: float) -> LinkUp | None:
-        """Wait for the link to come back; None when it stays away."""
+        """Wait for the link; return None if it is not restored in time."""
         try:
             async with curio.timeout_after(seconds):
                 while True:
@@ -209,7 +216,7 @@
             return None
 
     async def _query_run(self) -> None:
-        """Resume, or settle that a dispatch nobody confirmed will never run."""
+        """Resume the run, or ensure that an unconfirmed dispatch never runs."""
         if self._run_confirmed:
             await self._resume()
             return
@@ -226,7 +233,8 @@
         if state is RunState.TOMBSTONED:
             return Declined(reason=RefusalReason.TOMBSTONED)
         if state is RunState.UNSEEN:
-            # Another incarnation answered, which can promise nothing.
+            # Another incarnation of the sidecar answered.  It cannot exclude that the
+            # earlier one ran the request.
             return Lost()
         self._run_confirmed = True
         await self._resume()
@@ -234,4 +242,4 @@
 
 
 async def _discard(_data: bytes) -> None:
-    """Drop an answer that nobody waits for any more."""
+    """Discard a chunk of an answer that no caller waits for any longer."""
--- a/src/ragwortkeel/router/budget_account.py
+++ b/src/ragwortkeel/router/budget_account.py
@@ -1,7 +1,7 @@
-"""One profile's budget at one router: its slice, its waiting callers, its refills.
+"""One profile's budget at one router: its slice, waiting callers and renewals.
 
-An account's state is touched only between two awaits of its one task, except
-for `try_reserve` and `settle`, which await nothing.
+One task renews an account.  Other tasks change it only between two awaits of that
+task: they reserve, settle, and add or remove waiters and loans.
 """
 
 from collections.abc import Callable
@@ -38,23 +38,32 @@
 from ragwortkeel.platform import Platform
 
 MAX_WRITE_ATTEMPTS = 8
-"""Lost races in one refresh: routers of a busy profile write at the same time."""
+"""Greatest number of attempts to write the ledger in one renewal.
+
+Routers of a busy profile write at the same time, and only one of these writes succeeds.
+"""
 
 EXHAUSTED_RETRY_SECONDS = 60.0
-"""A spent budget changes by an operator's top-up, not by waiting."""
+"""Delay that a refused caller is asked for when the budget is spent.
+
+Only an operator's top-up changes that, so that early retries are useless.
+"""
 
 OUTAGE_RETRY_SECONDS = 5.0
-"""An outage is over in seconds or in minutes; this finds the short ones."""
+"""Delay that a refused caller is asked for while the platform is unreachable.
+
+Outages last seconds or minutes; the delay suits the short ones.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class BudgetTerms:
-    """What the keeper has to know of a profile.
+    """The settings of a profile that determine the size of its slices.
 
     Attributes
     ----------
     largest_request : int
-        Tokens of the largest reservation to expect.
+        Tokens of the largest expected reservation.
     """
 
     spread: Spread
@@ -65,12 +74,12 @@
 _UNCONFIGURED_TERMS = BudgetTerms(
     spread=Spread.NARROW, ride_out_seconds=1.0, largest_request=0
 )
-"""Of a profile that is not configured any more: hold nothing for it."""
+"""Terms of a profile that is no longer configured: its slice should be empty."""
 
 
 @dataclass(kw_only=True)
 class Waiter:
-    """A caller that waits for a refill; `done` says that its answer is there."""
+    """A caller that waits for tokens; `done` is set once it is served or refused."""
 
     tokens: int
     sidecar: str
@@ -81,23 +90,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Loan:
-    """Another router's wish for the tokens that it lacks."""
+    """Tokens that another router requests, or that it is lent."""
 
     router: str
     tokens: int
 
 
 class Account:
-    """A profile's slice with all that keeps it filled.
+    """A profile's slice, its waiting callers, and the writes that renew it.
 
     Parameters
     ----------
     terms : callable
-        Returns the profile's `BudgetTerms` as they are now.
+        Returns the profile's current `BudgetTerms`, or None if it is not configured.
     sidecars : callable
         Returns the sidecar incarnations that the profile may use now.
     nonce : callable
-        Returns a string that no other write carries.
+        Returns a string that is unique to one write.
     """
 
     def __init__(
@@ -127,13 +136,13 @@
 
     @property
     def slice(self) -> Slice:
-        """The slice itself."""
+        """The slice from which requests reserve tokens."""
         return self.refresh.slice
 
     def need(self) -> SliceNeed:
-        """Return what slice sizes are worked out from."""
+        """Return the figures from which slice sizes are computed."""
         terms = self._terms() or _UNCONFIGURED_TERMS
-        # A request above what the terms expect raises the cap while it waits.
+        # A request larger than the terms expect raises the cap while it waits.
         waiting_tokens = [waiter.tokens for waiter in self.waiters]
         return SliceNeed(
             holding=self.slice.free + self.slice.reserved,
@@ -146,7 +155,7 @@
         )
 
     def needs_write(self) -> bool:
-        """Whether a write to the ledger would change anything that matters."""
+        """Return whether the ledger has to be written."""
         slice_, router = self.slice, self.slice.router
         if slice_.pending or slice_.unsettled or self.loans:
             return True
@@ -156,22 +165,24 @@
         if tokens_to_give_back(self.ledger, router=router, need=need):
             return True
         take = tokens_to_take(self.ledger, router=router, need=need)
-        # A slice well below its target is worth a write, a few tokens are not.
+        # Without waiting callers, a write has to add over a quarter of the slice.
         return take > (0 if self.waiters else need.holding // 4)
 
     def cannot_be_served(self, waiter: Waiter) -> bool:
-        """Whether waiting longer can't help."""
+        """Return whether more waiting cannot provide the waiter's tokens."""
         if not self.reachable:
             return True
         return waiter.tokens > self.ledger.prepaid - self.ledger.total_spent
 
     async def renew(self) -> list[Loan]:
-        """Bring slice and ledger in step; return the loans that were lent.
+        """Synchronize the slice with the ledger; return the loans made to peers.
 
         Raises
         ------
         RouterSealed
-            The router has to go on under another incarnation.
+            The router needs another incarnation.
+        LedgerError
+            The ledger is unreadable or rejects the renewal.
         """
         lent: list[Loan] = []
         for _ in range(MAX_WRITE_ATTEMPTS):
@@ -185,9 +196,9 @@
         return lent
 
     async def close(self) -> bool:
-        """Settle everything and end the grant; return whether that is done.
+        """Settle all spend and end the grant; return whether the grant has ended.
 
-        A slice with open attempts stays: it ends by a seal.
+        The grant of a slice with open attempts stays until a seal ends it.
         """
         if self.slice.open_by_id:
             return False
@@ -198,28 +209,28 @@
             except PlatformUnavailable:
                 return False
             except RouterSealed:
-                # Sealed, or closed by a write of ours whose answer was lost.
+                # Sealed, or closed by an earlier write whose answer was lost.
                 return True
         return False
 
     def serve_waiters(self) -> list[Waiter]:
-        """Reserve for all waiters that fit now and return them."""
+        """Reserve tokens for all waiters that the slice can serve; return them."""
         served = [waiter for waiter in self.waiters if self._try_reserve(waiter)]
         self.waiters = [other for other in self.waiters if other.reservation is None]
         return served
 
-    def refusal(self, refused: BudgetRefused, *, tokens: int) -> BudgetRefused:
-        """Return what to tell a caller whom the slice has refused these tokens."""
+    def refusal(self, slice_refusal: BudgetRefused, *, tokens: int) -> BudgetRefused:
+        """Return the error for a caller that the slice refused these tokens."""
         spent = tokens > self.ledger.prepaid - self.ledger.total_spent
         if not self.reachable:
             kind, seconds = BudgetUnreachable, OUTAGE_RETRY_SECONDS
-        elif spent or isinstance(refused, BudgetExhausted):
+        elif spent or isinstance(slice_refusal, BudgetExhausted):
             kind, seconds = BudgetExhausted, EXHAUSTED_RETRY_SECONDS
         else:
-            return refused
+            return slice_refusal
         return kind(
             profile=self.profile,
-            tokens_left=refused.tokens_left,
+            tokens_left=slice_refusal.tokens_left,
             retry_after_seconds=seconds,
         )
 
@@ -289,8 +300,8 @@
             self.refresh.record_refused()
             raise
         except (OutcomeUnknown, curio.CancelledError) as exc:
-            # It may land even now: the next read tells, and until then nothing
-            # of what it gives back is spent.
+            # The write may still take effect.  The next read shows whether it did;
+            # until then the tokens that it returns are not spent.
             self.refresh.record_unknown(version=version)
             if isinstance(exc, curio.CancelledError):
                 raise
--- a/src/ragwortkeel/router/budget_keeper.py
+++ b/src/ragwortkeel/router/budget_keeper.py
@@ -1,8 +1,9 @@
-"""The router's budgets: reserves at once where it can, refills in the background.
+"""Reservation and settlement of requests' tokens from a router's slices.
 
-Requests call `reserve` and `settle`; one task for each profile in use settles,
-renews and lends in single conditional updates of its ledger.  An outage of the
-platform stops refills, not admission: slices are sized to ride it out.
+Requests call `reserve` and `settle`.  For each profile in use, one task settles,
+renews and lends tokens in the background, by single conditional updates of the
+profile's ledger.  An outage of the platform stops renewals but not admission: slices
+are sized to last through it.
 """
 
 from collections.abc import Awaitable, Callable
@@ -25,21 +26,30 @@
 from ragwortkeel.router.budget_account import Account, BudgetTerms, Loan, Waiter
 
 REFRESH_INTERVAL_SECONDS = 1.0
-"""Settled spend and demand reach the other routers within this time."""
+"""Interval between two checks whether an account needs a write to its ledger.
+
+It bounds the delay after which the ledger shows settled spend to the other routers.
+"""
 
 IDLE_READ_INTERVAL_SECONDS = 5.0
-"""An idle account still reads its ledger: a recall, a retirement, a top-up."""
+"""Time after which an idle account reads its ledger again.
+
+The ledger may contain a recall, a retirement or a top-up.
+"""
 
 MAX_WAIT_SECONDS = 1.0
-"""A refill takes milliseconds, a loan some more; a caller waits no longer."""
+"""Longest time that a caller waits for tokens.
+
+A renewal takes milliseconds, a loan somewhat longer.
+"""
 
 WAITING_REFRESH_INTERVAL_SECONDS = 0.2
-"""Between two tries to find tokens while callers wait."""
+"""Interval between two attempts to obtain tokens while callers wait."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class AccountRow:
-    """An account as metrics and status show it, in tokens."""
+    """State of an account for metrics and status; amounts are in tokens."""
 
     profile: str
     free: int
@@ -50,28 +60,30 @@
 
 
 class BudgetKeeper:
-    """All budgets of one router.
+    """Reserves and settles the tokens of all profiles at one router.
 
     Parameters
     ----------
     platform : Platform
-        Where the ledgers are.
+        Stores the ledgers.
     incarnation : str
         The router's incarnation; replaced after a seal.
-    terms, sidecars : callable
-        Return the `BudgetTerms` of a profile, or None where there is none, and
-        the sidecar incarnations it may use now.
+    terms : callable
+        Returns the `BudgetTerms` of a profile, or None if it is not configured.
+    sidecars : callable
+        Returns the sidecar incarnations that a profile may use now.
     reincarnate : async callable
-        Called once this incarnation is found sealed; returns the next one, under
-        which the router sends from then on.  It must not suspend: reservations
-        of one incarnation may not be sent under another.
+        Called after this incarnation was sealed; returns the next one, under which
+        the router sends from then on.  It must not suspend: reservations of one
+        incarnation must not be sent under another.
     send : async callable
-        Sends a message to another router by its incarnation; may raise
-        `LinkLost`.
+        Sends a message to the router of an incarnation; may raise `LinkLost`.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     observe : callable, optional
-        Called with how each renewal ended, for metrics.
+        Called with the outcome of each renewal, for metrics.
+    wait_seconds : float, optional
+        Longest time that `reserve` waits for tokens.
 
     Examples
     --------
@@ -108,7 +120,7 @@
         self._sealed_incarnations: curio.Queue = curio.Queue()
 
     async def run(self) -> None:
-        """Keep all accounts filled until cancelled."""
+        """Renew all accounts until cancelled."""
         async with curio.TaskGroup(wait=None) as group:
             await group.spawn(self._replace_sealed_incarnations)
             while True:
@@ -116,12 +128,15 @@
                 await group.spawn(self._run_account, account)
 
     async def reserve(self, profile: str, tokens: int, sidecar: str) -> Reservation:
-        """Set tokens aside for one attempt through a sidecar incarnation.
+        """Reserve tokens for one attempt through a sidecar incarnation.
+
+        Waits for a renewal or a loan if the slice has too few tokens.
 
         Raises
         ------
         BudgetExhausted, BudgetUnreachable, ExposureFull, SidecarNotNamed
-            Nothing is set aside; `retry_after_seconds` says when to come back.
+            No tokens are reserved; `retry_after_seconds` holds the delay after
+            which a retry may succeed.
         """
         account = await self._get_account(profile)
         account.meter.add(tokens=tokens, now=self._clock())
@@ -134,10 +149,10 @@
         return await self._wait_for_tokens(account, waiter)
 
     async def settle(self, reservation: Reservation, spent: int) -> None:
-        """Replace a reservation by what it cost; on evidence only.
+        """Replace a reservation with the tokens that its attempt spent.
 
-        One of a sealed incarnation is dropped: the seal collects its cost from
-        the sidecars.
+        Call it only once the spend is certain.  A reservation of a sealed incarnation
+        is ignored: the seal collects its spend from the sidecars.
         """
         account = self._accounts_by_profile.get(reservation.profile)
         if account is None or account.slice.router != reservation.router:
@@ -147,22 +162,23 @@
             await waiter.done.set()
 
     def remove_sidecar(self, sidecar: str) -> None:
-        """Name a sidecar that is gone for good no more."""
+        """Exclude a permanently stopped sidecar from all slices."""
         for account in self._accounts_by_profile.values():
             account.slice.drop(sidecar)
 
     async def receive_slice_request(self, router: str, request: SliceRequest) -> None:
-        """Take another router's wish for tokens; the answer is a transfer."""
+        """Queue another router's request for tokens; a transfer answers it."""
         account = self._accounts_by_profile.get(request.profile)
         if account is not None:
             account.loans.append(Loan(router=router, tokens=request.tokens))
             await account.wake.set()
 
     async def receive_slice_transfer(self, transfer: SliceTransfer) -> SliceTransferred:
-        """Hear that tokens are in this router's grant; the ledger has them.
+        """Read the ledger soon, and return the acknowledgment of the transfer.
 
-        The transfer itself is one update of the ledger, so this message is a
-        hint to read it sooner, and losing it loses nothing.
+        The ledger already has the tokens in this router's grant, by a single update.
+        The message only makes the router read it sooner, so that no tokens are lost
+        with a lost message.
         """
         account = self._accounts_by_profile.get(transfer.profile)
         if account is not None:
@@ -170,10 +186,10 @@
         return SliceTransferred(transfer_id=transfer.transfer_id)
 
     async def return_slices(self) -> bool:
-        """Settle and give back everything; return whether all went back.
+        """Settle and return all slices; return whether all were returned.
 
-        Call it once no attempt is open and `run` is cancelled.  What does not
-        go back is held until another router seals this one.
+        Call it when no attempt is open and `run` is cancelled.  A slice that is not
+        returned stays granted until another router seals this one.
         """
         accounts = list(self._accounts_by_profile.values())
         try:
@@ -214,20 +230,20 @@
                 await waiter.done.wait()
             accepted = waiter.reservation is not None
         finally:
-            # The account may be another by now, under the next incarnation.
+            # After a seal the waiter belongs to the next incarnation's account.
             account = self._accounts_by_profile.get(account.profile, account)
             account.waiters = [
                 other for other in account.waiters if other is not waiter
             ]
             if waiter.reservation is not None and not accepted:
-                # Its caller left in the moment the tokens came.
+                # The caller was cancelled just after its tokens were reserved.
                 await self.settle(waiter.reservation, 0)
         if not accepted:
             raise account.refusal(waiter.refusal, tokens=waiter.tokens)
         return waiter.reservation
 
     async def _run_account(self, account: Account) -> None:
-        last_read_at = self._clock()
+        last_renewal_at = self._clock()
         while account is self._accounts_by_profile.get(account.profile):
             interval = (
                 WAITING_REFRESH_INTERVAL_SECONDS
@@ -237,10 +253,10 @@
             async with curio.ignore_after(interval):
                 await account.wake.wait()
             account.wake.clear()
-            overdue = self._clock() - last_read_at >= IDLE_READ_INTERVAL_SECONDS
+            overdue = self._clock() - last_renewal_at >= IDLE_READ_INTERVAL_SECONDS
             if not (account.waiters or overdue or account.needs_write()):
                 continue
-            last_read_at = self._clock()
+            last_renewal_at = self._clock()
             await self._renew(account)
 
     async def _renew(self, account: Account) -> None:
@@ -252,8 +268,8 @@
             await self._sealed_incarnations.put(account.slice.router)
             return
         except LedgerError as exc:
-            # A full or broken ledger: what is out stays valid, callers wait for
-            # their refusal, and the next round tries again.
+            # The ledger is full or unreadable.  The slice stays valid, the waiters
+            # are refused later, and the next renewal retries.
             self._observe("refused")
             log_warning("ledger_refused", profile=account.profile, error=str(exc))
         else:
@@ -292,7 +308,8 @@
         try:
             await self._send(router, message)
         except LinkLost:
-            # Asked again while callers wait; a lost hint costs a short delay.
+            # Requests are repeated while callers wait.  A lost transfer message
+            # only delays the next read of the ledger at the borrower.
             return
 
     async def _replace_sealed_incarnations(self) -> None:
@@ -300,8 +317,8 @@
             sealed = await self._sealed_incarnations.get()
             if sealed != self.incarnation:
                 continue
-            # No account may go on under the sealed name: in the eyes of the seal
-            # what it holds is spent or given back already.
+            # No account may use the sealed incarnation any longer: the seal treats
+            # all its tokens as spent or returned.
             self.incarnation = await self._reincarnate()
             old, self._accounts_by_profile = self._accounts_by_profile, {}
             for account in old.values():
--- a/src/ragwortkeel/router/budgeting.py
+++ b/src/ragwortkeel/router/budgeting.py
@@ -1,4 +1,4 @@
-"""A router's budgets, receipts and seals, tied to its links and configuration."""
+"""Tasks that run a router's budgets, receipts and seals, over its links."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
@@ -30,20 +30,23 @@
 from ragwortkeel.tasks import run_together
 
 PROMPT_ALLOWANCE_BYTES = 4096
-"""Bytes of an ordinary prompt; a larger one raises the cap when it comes."""
+"""Bytes of an ordinary prompt, each counted as a token.
+
+A request with a larger prompt raises the exposure cap while it waits for tokens.
+"""
 
 
 class Budgeting:
-    """Keeps the slices, writes the receipts and takes back what the dead held.
+    """Runs budgets, receipts, and the settlement of failed routers' tokens.
 
     Parameters
     ----------
-    incarnation
+    incarnation : callable
         Returns the router's incarnation.
-    reincarnate
-        Replaces it once it is sealed, and returns the new one.
-    observer
-        Told how renewals end.
+    reincarnate : async callable
+        Replaces a sealed incarnation and returns the new one.
+    observer : Observer
+        Receives the outcomes of renewals.
 
     .. versionadded:: 0.1
     """
@@ -96,7 +99,7 @@
         self._keeper_task: curio.Task | None = None
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run all tasks until cancelled."""
         self._keeper_task = await curio.spawn(self.keeper.run, daemon=True)
         await run_together(
             self._watch_keeper,
@@ -107,7 +110,13 @@
         )
 
     async def close(self) -> int:
-        """Make receipts durable and give slices back; return what stays undone."""
+        """Make receipts durable and return all slices; return the unfinished work.
+
+        Returns
+        -------
+        int
+            Receipts that are not durable, plus 1 if a slice could not be returned.
+        """
         await self.receipts.flush()
         undone = self.receipts.held
         if self._keeper_task is not None:
@@ -115,7 +124,7 @@
         return undone + (not await self.keeper.return_slices())
 
     async def receive(self, peer: str, sender: str, message: AnyMessage) -> bool:
-        """Take a router's message about slices; return whether it was one."""
+        """Handle a router's message about slices; return whether it was one."""
         match message:
             case SliceRequest():
                 await self.keeper.receive_slice_request(sender, message)
@@ -131,7 +140,7 @@
         await self._keeper_task.wait()
         if self._keeper_task.exception is not None and not self._keeper_task.cancelled:
             raise self._keeper_task.exception
-        # Cancelled by `close`: a planned stop goes on without it.
+        # `close` cancelled it; the other tasks continue during a planned stop.
         await curio.Event().wait()
 
     def _terms(self, name: str) -> BudgetTerms | None:
@@ -144,9 +153,9 @@
             return ()
         names = self._directory.upstreams_of(found[0].back_ends)
         return tuple(
-            self._pool.views_by_upstream[one].incarnation
-            for one in names
-            if self._pool.is_up(one)
+            self._pool.views_by_upstream[upstream].incarnation
+            for upstream in names
+            if self._pool.is_up(upstream)
         )
 
     async def _send_to_router(
@@ -154,20 +163,22 @@
     ) -> None:
         node = self._membership.node(router)
         if node is None:
-            raise LinkLost(f"{router} is not known")
+            raise LinkLost(
+                f"cannot send to router {router}: not in the membership list"
+            )
         await self._peers.send(node.address, message)
 
     async def _request_seal(self, node: Node, seal: Seal) -> Sealed:
         upstream = self._pool.upstream_of(node.incarnation)
         if upstream is None:
-            raise LinkLost(f"{node.incarnation} is not connected")
+            raise LinkLost(f"cannot seal at sidecar {node.incarnation}: not connected")
         return await self._pool.seal(upstream, seal)
 
     def _failed_routers(self) -> list[str]:
-        dead = self._membership.nodes(monotonic(), Liveness.DEAD)
+        failed = self._membership.nodes(monotonic(), Liveness.DEAD)
         return [
             node.incarnation
-            for node in dead
+            for node in failed
             if node.role == Role.ROUTER and self._responsible(node.incarnation)
         ]
 
@@ -175,7 +186,10 @@
         return self._membership.responsible(router, monotonic(), self._incarnation())
 
     def _is_superseded(self, sidecar: str) -> bool:
-        """Whether a sidecar died and its upstream is retired or has another."""
+        """Return whether a sidecar failed and its upstream does not need it again.
+
+        The upstream was removed or retired, or has another sidecar.
+        """
         now = monotonic()
         if self._membership.liveness(sidecar, now) is not Liveness.DEAD:
             return False
@@ -187,7 +201,7 @@
         return successor is not None and successor.incarnation not in ("", sidecar)
 
     async def _send_durable_receipts(self) -> None:
-        """Tell sidecars which receipts they may drop."""
+        """Report durable receipts to the sidecars, which may then discard them."""
         while True:
             durable = await self.receipts.durable.get()
             upstream = self._pool.upstream_of(durable.sidecar)
--- a/src/ragwortkeel/router/calls.py
+++ b/src/ragwortkeel/router/calls.py
@@ -1,4 +1,4 @@
-"""What callers ask for: an HTTP request turned into a checked `Call`."""
+"""Validation of callers' HTTP requests, which become `Call` objects."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
@@ -20,7 +20,10 @@
 MAX_KEY_CHARACTERS = 200
 
 PREFIX_BYTES = 2048
-"""Conversations that share this much of their prompt share cached prefixes."""
+"""Length of the beginning of the messages that determines a call's prefix.
+
+Prompts that agree this far share cached prefixes at an engine.
+"""
 
 
 class _ChatMessage(msgspec.Struct, frozen=True, kw_only=True):
@@ -29,7 +32,7 @@
 
 
 class _ChatBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The fields of a chat request that the router itself needs."""
+    """The fields of a chat request that the router reads."""
 
     model: str
     messages: Annotated[list[_ChatMessage], msgspec.Meta(min_length=1)]
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ChatCall:
-    """A call of a model; `prefix` groups calls whose prompts begin alike."""
+    """A call of a model; calls whose prompts begin alike have the same `prefix`."""
 
     prefix: str
 
@@ -51,20 +54,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Call:
-    """One caller's request, checked and bounded.
+    """A caller's validated request, with a bound on its tokens.
 
     Attributes
     ----------
     request_id : str
-        The caller's idempotency key, or one minted here.
+        The caller's idempotency key, or a generated one.
     key_given : bool
-        Whether the caller named the request and so may send it again.
-    target, body
-        What the upstream is sent.
+        Whether the caller sent the key, and so can retry the request.
+    target : str
+        Path of the request to the upstream.
+    body : bytes
+        Body of the request to the upstream.
     bound_tokens : int
-        Most tokens the run can cost: prompt bound and output limit.
+        Greatest number of tokens that a run can spend: the prompt's bound plus the
+        output limit, or the profile's `call_tokens` for a service.
     fingerprint : str
-        Digest of the body; one key with two bodies is a caller's mistake.
+        Digest of the caller's body; a key that is reused with another body is refused.
     """
 
     kind: ChatCall | ServiceCall
@@ -80,7 +86,13 @@
 
 
 def profile_of(request: Request) -> str:
-    """Return the profile a request names; `BadRequest` for other requests."""
+    """Return the name of the profile that a request names.
+
+    Raises
+    ------
+    BadRequest
+        The request names no profile, or its path or method is not supported.
+    """
     if request.path == CHAT_PATH:
         _require_post(request)
         return _decode_chat(request.body).model
@@ -91,7 +103,13 @@
 
 
 def parse_call(request: Request, profile: Profile) -> Call:
-    """Return the checked call; `BadRequest` where the caller must change it."""
+    """Return the validated call.
+
+    Raises
+    ------
+    BadRequest
+        The caller has to change the request.
+    """
     request_id, key_given = _parse_request_id(request)
     if request.path == CHAT_PATH:
         kind, body, stream, bound_tokens = _parse_chat(request, profile)
@@ -169,7 +187,7 @@
     body = msgspec.json.encode(fields)
     first = msgspec.json.encode(chat.messages)[:PREFIX_BYTES]
     prefix = blake2b(first, digest_size=8).hexdigest()
-    # A token is at least one byte of the prompt, and the JSON around each
-    # message is longer than any chat template's own tokens, so the length of
-    # the body bounds the prompt.
+    # The length of the body bounds the tokens of the prompt: a token takes at least
+    # one byte, and the JSON around a message is longer than the tokens that a chat
+    # template adds.
     return ChatCall(prefix=prefix), body, chat.stream, len(body) + limit
--- a/src/ragwortkeel/router/components.py
+++ b/src/ragwortkeel/router/components.py
@@ -1,4 +1,4 @@
-"""What the requests of one router share."""
+"""Components that all requests of a router share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Components:
-    """The shared parts of a router.
+    """Components that all requests of a router share.
 
     Attributes
     ----------
-    incarnation
-        Returns the router's incarnation, which changes once it is sealed.
-    clock
-        Monotonic seconds.
+    incarnation : callable
+        Returns the router's incarnation, which changes after a seal.
+    clock : callable
+        Returns monotonic seconds.
     """
 
     incarnation: Callable[[], str]
@@ -36,10 +36,10 @@
     tracing: Tracing
 
     def is_current(self, reservation: Reservation) -> bool:
-        """Whether a reservation may still be sent.
+        """Return whether a reservation may still be sent.
 
-        Failure: the router is sealed and goes on under a new incarnation between
-        a reservation and its dispatch; the run would be accounted to the new
-        one, which never set its tokens aside, and be spent twice.
+        The router may be sealed and change its incarnation between a reservation and
+        its dispatch.  The run would then count for the new incarnation, which did not
+        reserve its tokens, and the tokens would be spent twice.
         """
         return reservation.router == self.incarnation()
--- a/src/ragwortkeel/router/dispatcher.py
+++ b/src/ragwortkeel/router/dispatcher.py
@@ -1,7 +1,8 @@
-"""The task side of the scheduler: requests wait here for their turn.
+"""Admission of requests to upstreams: delivers the scheduler's decisions.
 
-The scheduler decides and never waits; the dispatcher hands its decisions to the
-requests they are about, and calls it again when the next decision is due.
+The scheduler decides without waiting.  The dispatcher holds the queued requests,
+delivers each decision to its request, and calls the scheduler again when the next
+decision is due.
 """
 
 from collections.abc import Callable
@@ -24,7 +25,7 @@
 from ragwortkeel.router.observer import Observer
 
 IDLE_WAKE_SECONDS = 1.0
-"""Looks for decisions at least this often, in case none was announced."""
+"""Longest time between two queries for due decisions."""
 
 
 class Dispatcher:
@@ -32,12 +33,12 @@
 
     Parameters
     ----------
-    scheduler
-        The decisions; used by this object alone.
-    observer
-        Told of each assignment or refusal and of each failed attempt.
-    clock
-        Monotonic seconds.
+    scheduler : Scheduler
+        Makes the decisions; nothing else may use it.
+    observer : Observer
+        Records each assignment, refusal and failed attempt.
+    clock : callable
+        Returns monotonic seconds.
 
     .. versionadded:: 0.1
     """
@@ -56,48 +57,54 @@
         self._queued_changed = curio.Event()
 
     async def admit(self, facts: RequestFacts) -> Assignment | Refusal:
-        """Return where to run the request, or its final refusal."""
+        """Return the request's assignment to an upstream, or its final refusal."""
         return await self._resolve(self._scheduler.offer(facts, self._clock()))
 
     async def retry(
         self, request_id: str, failure: Failure
     ) -> Assignment | Refusal | None:
-        """Return where to run the request after a failed attempt, if at all."""
+        """Record a failed attempt; return the next assignment or final refusal.
+
+        Returns
+        -------
+        Assignment or Refusal or None
+            None if the scheduler no longer knows the request as running.
+        """
         self._observer.attempt_failed(request_id, failure)
         decision = self._scheduler.record_failure(request_id, failure, self._clock())
         return None if decision is None else await self._resolve(decision)
 
     async def record_first_token(self, request_id: str) -> None:
-        """Note that a request's answer has begun."""
+        """Record that a request's answer has begun."""
         self._scheduler.record_first_token(request_id, self._clock())
 
     async def record_finish(self, request_id: str) -> None:
-        """Note that a request got its whole answer."""
+        """Record that a request received its complete answer."""
         self._scheduler.record_finish(request_id, self._clock())
         await self._deliver_decisions()
 
     async def record_disconnect(self, request_id: str) -> None:
-        """Note that a request is of no more interest."""
+        """Remove a request whose caller left; does nothing for an ended one."""
         self._queue_by_request_id.pop(request_id, None)
         self._scheduler.record_disconnect(request_id, self._clock())
         await self._deliver_decisions()
 
     async def record_crash(self, crash: Crash) -> bool:
-        """Note an upstream's crash; return whether it was news."""
+        """Record an upstream's crash; return whether it was unknown before."""
         return self._scheduler.record_crash(crash, self._clock())
 
     async def set_upstreams(self, upstreams: list[UpstreamFacts]) -> None:
-        """Note which upstreams may be given work."""
+        """Set the upstreams that may receive requests."""
         self._scheduler.set_upstreams(upstreams, self._clock())
         await self._deliver_decisions()
 
     async def record_load(self, report: LoadReport) -> None:
-        """Note a sidecar's load."""
+        """Record the load that a sidecar reports."""
         self._scheduler.record_load(report, self._clock())
         await self._deliver_decisions()
 
     async def run(self) -> None:
-        """Make due decisions until cancelled."""
+        """Deliver due decisions until cancelled."""
         while True:
             await self._deliver_decisions()
             wake_at = self._scheduler.next_wake_at()
@@ -113,14 +120,14 @@
 
     @property
     def queued_count(self) -> int:
-        """How many requests wait."""
+        """Number of queued requests."""
         return len(self._queue_by_request_id)
 
     async def _resolve(self, decision: Decision) -> Assignment | Refusal:
-        started = self._clock()
+        started_at = self._clock()
         if isinstance(decision, Queued):
             decision = await self._wait_for_decision(decision)
-        self._observer.decided(decision, self._clock() - started)
+        self._observer.decided(decision, self._clock() - started_at)
         return decision
 
     async def _wait_for_decision(self, decision: Queued) -> Assignment | Refusal:
--- a/src/ragwortkeel/router/dispatches.py
+++ b/src/ragwortkeel/router/dispatches.py
@@ -1,4 +1,4 @@
-"""The message that has a sidecar run a call."""
+"""The `Dispatch` message, which makes a sidecar run a call."""
 
 from ragwortkeel.budget.slice import Reservation
 from ragwortkeel.configuration import ServiceClass
@@ -13,7 +13,7 @@
     ServiceClass.MUST_NOT_REPEAT: 1,
     ServiceClass.BATCH: 2,
 }
-"""Engines serve smaller numbers first."""
+"""Priorities that are sent to the engines, which serve lower numbers first."""
 
 
 def build_dispatch(
@@ -29,7 +29,7 @@
     traceparent: str,
     alone: bool,
 ) -> Dispatch:
-    """Return the order to run `call` as `attempt` within `reservation`."""
+    """Return the message that runs `call` as `attempt` within `reservation`."""
     _, upstream_version = components.directory.upstream(attempt.upstream)
     return Dispatch(
         request_id=call.request_id,
@@ -56,7 +56,7 @@
 
 
 def _promised_seconds(facts: RequestFacts) -> float:
-    """Return the promise of the first token, which binds interactive work only."""
+    """Return the promised seconds to the first token; 0.0 unless interactive."""
     if facts.service_class is not ServiceClass.INTERACTIVE:
         return 0.0
     return facts.promised_first_token_seconds
--- a/src/ragwortkeel/router/exchange.py
+++ b/src/ragwortkeel/router/exchange.py
@@ -1,8 +1,9 @@
-"""One idempotent request on its way, from admission to its whole answer.
+"""Processing of one idempotent request, from admission to its complete answer.
 
-Stages: find a run that an earlier router started, be admitted, reserve, run,
-and on a failure run again elsewhere.  A stream that broke off goes on where it
-stopped, if the upstream can do that; otherwise it ends with an error event.
+A request with an idempotency key is first answered from an earlier run, if a sidecar
+has one.  Otherwise the request is admitted, reserves tokens and is run; after a failure
+it is run again, at another upstream if possible.  An interrupted stream is resumed if
+the next upstream supports that, and otherwise ends with an error event.
 """
 
 from uuid import uuid4
@@ -43,22 +44,37 @@
 
 
 RERUN_WAIT_SECONDS = 1.0
-"""A caller that has nothing yet is served elsewhere rather than wait for a link
-that was silent for seconds already; the first run is cancelled when it is found."""
+"""Time to wait for a lost link while the caller has received nothing.
+
+The link was silent for seconds before it counted as lost, so a run elsewhere is faster.
+The first run is followed in the background, and cancelled if its request has no
+idempotency key.
+"""
 
 MIN_SERVER_ERROR_STATUS = 500
-"""From here on an answer blames the upstream, and another may do better."""
+"""Lowest HTTP status that marks an upstream's failure; another may succeed."""
 
 MAX_LOCATE_SIDECARS = 16
-"""Sidecars asked for an earlier run; more than either deployment of today has."""
+"""Greatest number of sidecars that are asked for an earlier run.
+
+Both current deployments have fewer sidecars.
+"""
 
 
 class Exchange:
     """Serves one idempotent call into a sink.
 
-    `run` returns None once the answer is whole, else the final refusal, which
-    the owner sends.  Cancelling `run` follows the open run to its end in the
-    background and, where nobody can come back for it, stops it.
+    `run` returns None once the answer is complete, or else the final refusal, which
+    the caller of `run` sends.  If `run` is cancelled, the open run is followed to its
+    end in the background; without an idempotency key no retry can use its answer, and
+    it is cancelled at the sidecar.
+
+    Attributes
+    ----------
+    may_have_run : bool
+        Whether an upstream may have run the call.
+    tokens : int
+        Tokens spent by the run that gave the complete answer.
     """
 
     def __init__(
@@ -80,7 +96,7 @@
         self._first_token_received = False
 
     async def run(self) -> Refusal | None:
-        """Serve the call."""
+        """Serve the call; return its refusal, or None if it was answered."""
         try:
             if self._call.key_given and await self._replay():
                 return None
@@ -89,11 +105,11 @@
         try:
             return await self._run_until_done()
         finally:
-            # A no-op for a request that has ended.
+            # Has no effect on a request that has ended.
             await self._components.dispatcher.record_disconnect(self._facts.request_id)
 
     async def _replay(self) -> bool:
-        """Answer from a run that an earlier attempt of the caller started."""
+        """Answer from an earlier run of the request; return whether it was complete."""
         found = await self._find_run()
         if found is None:
             return False
@@ -136,7 +152,7 @@
         decision = await self._components.dispatcher.admit(self._facts)
         while isinstance(decision, Assignment):
             if self._sink.begun and not self._can_resume(decision.upstream):
-                # From its start again, the answer would follow what was sent.
+                # A run from the start would repeat what the caller already received.
                 return _INTERRUPTED
             try:
                 end = await self._attempt(decision)
@@ -209,7 +225,7 @@
         self, reservation: Reservation, attempt: Attempt, end: AttemptEnd | None
     ) -> None:
         if end is None or (isinstance(end, Lost) and attempt.may_continue):
-            # Given up on, or cut off while the sidecar may still be running it.
+            # Abandoned, or disconnected while the sidecar may still be running it.
             stop = not self._call.key_given
             await self._components.closing.abandon(
                 reservation, attempt, self._call, cancel=stop
@@ -264,7 +280,7 @@
 
 
 def failure_of(end: AttemptEnd) -> Failure:
-    """Return how the scheduler counts an attempt without a usable answer."""
+    """Return the scheduler's failure class of an attempt without a usable answer."""
     match end:
         case Declined(reason=RefusalReason.OVERLOADED):
             return Failure.OVERLOADED
@@ -281,7 +297,7 @@
 
 
 def refusal_of(decision: PolicyRefusal, *, may_have_run: bool) -> Refusal:
-    """Return the caller's refusal for the scheduler's."""
+    """Return the caller's refusal for a refusal of the scheduler."""
     ran = may_have_run or decision.may_have_run
     return Refusal(
         outcome=Outcome.FAILED if ran else Outcome.NOT_RUN,
--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -1,4 +1,4 @@
-"""The callers' side: HTTP requests in, whole answers or refusals out."""
+"""Callers' HTTP requests: receives each and sends its answer or refusal."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -21,7 +21,10 @@
 from ragwortkeel.traces import traceparent_of
 
 STOPPING_RETRY_SECONDS = 1.0
-"""The balancer has another entry instance; it need only be asked again."""
+"""Delay that callers are asked for during a planned stop.
+
+The balancer sends the retry to another entry instance.
+"""
 
 
 class Gateway:
@@ -29,18 +32,18 @@
 
     Parameters
     ----------
-    parts
-        What the requests share.
-    observe
-        Called with each `Observed`.
-    refresh
-        Looks for something newer of one object, by kind and name; returns
-        whether it was asked for.
+    components : Components
+        What all requests share.
+    observe : callable
+        Called with an `Observed` for each ended request.
+    refresh : async callable
+        Fetches the newest version of an object, by kind and name, if its rate limit
+        allows; returns whether it tried.
 
     Attributes
     ----------
     stopping : bool
-        Set on a planned stop; requests on kept connections are then refused.
+        Set during a planned stop; requests on open connections are then refused.
 
     .. versionadded:: 0.1
     """
@@ -59,7 +62,7 @@
         self._serials = count(1)
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one request; the handler of an `HttpServer`."""
+        """Answer one request; this is the handler of an `HttpServer`."""
         started = self._components.clock()
         try:
             found = await self._parse(request)
@@ -94,7 +97,7 @@
         name = profile_of(request)
         found = self._components.directory.profile(name)
         if found is None and await self._refresh(PROFILES, name):
-            # Created a moment ago, and its change is still on its way here.
+            # The profile is new, and its change had not reached this router.
             found = self._components.directory.profile(name)
         if found is None:
             return Refusal(outcome=Outcome.NOT_RUN, reason=Reason.UNKNOWN_PROFILE)
@@ -108,7 +111,7 @@
         return parse_call(request, profile), profile, version
 
     def _new_sink(self, call: Call, facts: RequestFacts, responder: Responder) -> Sink:
-        # The answer of a filing is recorded whole before anything else.
+        # A filing's complete answer is recorded before any of it is sent.
         streams = call.stream and facts.repeatable
         cls = StreamSink if streams else WholeSink
         return cls(
@@ -159,7 +162,13 @@
         profile: Profile,
         responder: Responder,
     ) -> Refusal | None:
-        """Run the request until it ends, its deadline passes or its caller leaves."""
+        """Run the request until it ends, its deadline passes or its caller leaves.
+
+        Returns
+        -------
+        Refusal or None
+            None if the request was answered or its caller left.
+        """
         try:
             async with (
                 curio.timeout_after(profile.deadline_seconds),
@@ -183,10 +192,11 @@
     reason: Reason,
     retry_after_seconds: float = 0.0,
 ) -> Refusal:
-    """Return the refusal of a request that is not looked into.
+    """Return the refusal of a request whose intent is not read.
 
-    Failure: a filing ran, and its retry meets a stopping router or a profile that
-    was retired since; `not_run` would be a lie, as its intent was not read.
+    A keyed request that must not repeat may have run before the router began to stop
+    or its profile was retired.  Its intent would show that, so the outcome of this
+    retry is `unknown`, not `not_run`.
     """
     must_not_repeat = profile.service is ServiceClass.MUST_NOT_REPEAT
     may_have_run = must_not_repeat and KEY_HEADER in request.headers
@@ -200,7 +210,7 @@
 def _interrupted_refusal(
     exchange: Exchange | FilingExchange, reason: Reason
 ) -> Refusal:
-    """Return the refusal of a request that was cut short while it was served."""
+    """Return the refusal of a request that was interrupted while it was served."""
     outcome = Outcome.UNKNOWN if exchange.may_have_run else Outcome.NOT_RUN
     return Refusal(outcome=outcome, reason=reason, retry_after_seconds=1.0)
 
--- a/src/ragwortkeel/router/interfaces.py
+++ b/src/ragwortkeel/router/interfaces.py
@@ -1,4 +1,4 @@
-"""What requests need of the parts they share, so that tests can stand in for them."""
+"""Protocols of the components that requests share; tests implement them as well."""
 
 from typing import Protocol
 
@@ -8,27 +8,27 @@
 
 
 class Budgets(Protocol):
-    """What requests need of the budget keeper."""
+    """The methods of the budget keeper that requests use."""
 
     async def reserve(self, profile: str, tokens: int, sidecar: str) -> Reservation:
-        """Set tokens aside; a `BudgetRefused` says when to come back."""
+        """Reserve tokens, or raise `BudgetRefused` with the delay before a retry."""
 
     async def settle(self, reservation: Reservation, spent: int) -> None:
-        """Replace a reservation by what the run cost."""
+        """Replace a reservation with the tokens that the run spent."""
 
 
 class Receipts(Protocol):
-    """What requests need of the receipts writer."""
+    """The methods of the receipt writer that requests use."""
 
     async def add(self, receipt: RunReceipt) -> None:
-        """Take a receipt; it is durable some time later."""
+        """Queue a receipt, which becomes durable later."""
 
 
 class Directory(Protocol):
-    """What requests need of the configuration in force."""
+    """The methods of the configuration in force that requests use."""
 
     def profile(self, name: str) -> tuple[Profile, int] | None:
-        """Return a profile and its version, retired ones included."""
+        """Return a profile, which may be retired, and its version."""
 
     def upstream(self, name: str) -> tuple[Upstream, int] | None:
         """Return an upstream and its version."""
--- a/src/ragwortkeel/router/refusals.py
+++ b/src/ragwortkeel/router/refusals.py
@@ -1,8 +1,7 @@
-"""How a request ends without a whole answer, and how callers are told.
+"""Refusals of requests, and the HTTP problem documents that report them.
 
-A refusal is final at once and never claims more than is known: ``not_run``
-only where nothing ran, ``unknown`` where a run may have happened, ``failed``
-where it ran and did not succeed.
+A refusal is final.  Its outcome states only what is certain: ``not_run`` if nothing
+ran, ``failed`` if a run did not succeed, and ``unknown`` if a run may have happened.
 """
 
 from dataclasses import dataclass
@@ -15,7 +14,7 @@
 
 
 class Outcome(StrEnum):
-    """What certainly became of the request."""
+    """What is certain about the runs of a refused request."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -75,14 +74,21 @@
 }
 
 UNAVAILABLE_STATUS = 503
-"""Of every other reason: the fleet cannot serve it now and may be able to later."""
+"""Status for all other reasons: the fleet may be able to serve the request later."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """The truthful end of a request that gets no whole answer.
-
-    `retry_after_seconds` is 0 where coming back does not help.
+    """The final result of a request that gets no complete answer.
+
+    Attributes
+    ----------
+    detail : str
+        Explanation for the caller.
+    retry_after_seconds : float
+        Delay before a retry; 0 if a retry cannot help.
+    status : int
+        HTTP status to use instead of the reason's; 0 for none.
     """
 
     outcome: Outcome
--- a/tests/router/test_budget_keeper.py
+++ b/tests/router/test_budget_keeper.py
@@ -1,4 +1,4 @@
-"""The keeper over an in-process platform with faults."""
+"""Tests of the budget keeper with an in-process platform that can fail."""
 
 from functools import partial
 from time import monotonic
@@ -18,7 +18,7 @@
 
 
 class Fleet:
-    """Keepers that share a platform and talk directly."""
+    """Keepers that share a platform and send messages by direct calls."""
 
     def __init__(self, *, prepaid):
         self.platform = LocalPlatform()
@@ -86,7 +86,7 @@
 
 
 class TestReserve:
-    def test_first_request_takes_a_slice_and_stop_gives_it_back(self):
+    def test_first_request_obtains_a_slice_and_stop_returns_it(self):
         async def scenario(fleet, keeper):
             reservation = await keeper.reserve("p", 10, "s1")
             assert fleet.ledger.held >= 10
@@ -96,7 +96,7 @@
 
         play(scenario)
 
-    def test_stop_with_an_open_attempt_keeps_the_grant(self):
+    def test_stop_with_an_open_attempt_leaves_the_grant(self):
         async def scenario(fleet, keeper):
             await keeper.reserve("p", 10, "s1")
             assert not await keeper.return_slices()
@@ -104,11 +104,11 @@
 
         play(scenario)
 
-    def test_outage_stops_refills_and_not_admission(self):
-        """The platform goes down; callers are served from the slice.
+    def test_outage_stops_renewals_but_not_admission(self):
+        """Guards against refusals during an outage while the slice has tokens.
 
-        Once it is used up, a refusal says at once that the budget can't be
-        reached, which is not the same as spent.
+        Once the slice is used up, the refusal is `BudgetUnreachable`, not
+        `BudgetExhausted`.
         """
 
         async def scenario(fleet, keeper):
@@ -127,13 +127,13 @@
         ("prepaid", "tokens", "error"),
         [(0, 10, BudgetExhausted), (9, 10, BudgetExhausted)],
     )
-    def test_refused_at_once_when_nothing_is_left(self, prepaid, tokens, error):
+    def test_refused_at_once_when_the_budget_is_spent(self, prepaid, tokens, error):
         async def scenario(fleet, keeper):
-            began = monotonic()
+            started_at = monotonic()
             with pytest.raises(error) as caught:
                 await keeper.reserve("p", tokens, "s1")
             assert caught.value.retry_after_seconds >= 10
-            assert monotonic() - began < 0.9
+            assert monotonic() - started_at < 0.9
 
         play(scenario, prepaid=prepaid)
 
@@ -165,7 +165,7 @@
 
         play(scenario)
 
-    def test_caller_that_leaves_while_waiting_holds_nothing(self):
+    def test_cancelled_caller_leaves_no_reservation(self):
         async def scenario(fleet, keeper):
             task = await curio.spawn(keeper.reserve, "p", 10, "s1")
             await curio.sleep(0)
@@ -178,7 +178,7 @@
 
 class TestLostAnswers:
     @pytest.mark.parametrize("lost", [1, 2, 3])
-    def test_grant_is_taken_once(self, lost):
+    def test_grant_is_made_once(self, lost):
         async def scenario(fleet, keeper):
             fleet.platform.switches.lost_answers = lost
             reservation = await keeper.reserve("p", 10, "s1")
@@ -188,7 +188,7 @@
 
         play(scenario)
 
-    def test_close_that_landed_counts_as_done(self):
+    def test_close_counts_as_done_if_only_its_answer_is_lost(self):
         async def scenario(fleet, keeper):
             await settle(keeper, await keeper.reserve("p", 10, "s1"), 7)
             fleet.platform.switches.lost_answers = 1
@@ -199,16 +199,16 @@
 
 
 class TestTransfer:
-    def test_router_that_ran_dry_gets_tokens_of_an_idle_one(self):
-        """All tokens are with a router that nobody asks.
+    def test_router_without_tokens_borrows_from_an_idle_router(self):
+        """Guards against a refusal although the budget is not spent.
 
-        Another router's caller would be refused although the budget is not spent.
+        An idle router holds all tokens; a caller of another router needs them.
         """
 
         async def scenario(fleet, idle, busy):
             await settle(idle, await idle.reserve("p", 10, "s1"), 0)
-            taken = fleet.ledger.held
-            fleet.change(lambda ledger: ledger.recall(to=taken))
+            granted = fleet.ledger.held
+            fleet.change(lambda ledger: ledger.recall(to=granted))
             assert fleet.ledger.rest == 0
             assert await busy.reserve("p", 10, "s2")
 
@@ -216,11 +216,12 @@
 
 
 class TestSealed:
-    def test_router_goes_on_under_a_new_incarnation(self):
-        """A router is cut off, taken for dead and sealed, and comes back.
+    def test_sealed_router_continues_under_a_new_incarnation(self):
+        """Guards against a sealed router that stops serving or settles twice.
 
-        Its next renewal fails; callers that wait are served under the new
-        incarnation, and what the old one had open is left to the seal.
+        A partitioned router counts as failed and is sealed; after the partition its
+        renewal fails.  It serves callers under a new incarnation, and the seal settles
+        the reservations of the old one.
         """
 
         async def scenario(fleet, keeper):
--- a/tests/router/test_calls.py
+++ b/tests/router/test_calls.py
@@ -1,4 +1,4 @@
-"""What callers may send: tables of good and bad requests."""
+"""Tests of the validation of callers' requests."""
 
 import msgspec
 import pytest
@@ -33,10 +33,10 @@
 
 
 class TestProfileOf:
-    def test_chat_names_it_in_the_body(self):
+    def test_chat_names_the_profile_in_the_body(self):
         assert profile_of(post(CHAT_PATH, CHAT)) == "advisor-chat"
 
-    def test_service_names_it_in_the_path(self):
+    def test_service_names_the_profile_in_the_path(self):
         assert profile_of(post("/v1/profiles/claims/calls", {})) == "claims"
 
     @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
             ("POST", CHAT_PATH, b'{"model":"a","messages":[{"role":"u"}]}', 400),
         ],
     )
-    def test_bad_requests_are_the_callers_fault(self, method, path, body, status):
+    def test_bad_request_is_refused_with_a_4xx_status(self, method, path, body, status):
         request = Request(method=method, path=path, query={}, headers={}, body=body)
         with pytest.raises(BadRequest) as caught:
             profile_of(request)
@@ -80,23 +80,23 @@
         call = parse_call(post(CHAT_PATH, body), PROFILE)
         assert call.bound_tokens >= len(thai.encode()) + 100
 
-    def test_a_stream_asks_for_its_usage(self):
+    def test_stream_requests_its_usage(self):
         call = parse_call(post(CHAT_PATH, CHAT | {"stream": True}), PROFILE)
         fields = msgspec.json.decode(call.body)
         assert call.stream
         assert fields["stream_options"] == {"include_usage": True}
 
-    def test_a_service_call_costs_what_the_profile_says(self):
+    def test_bound_of_a_service_call_is_from_the_profile(self):
         call = parse_call(post("/v1/profiles/advisor-chat/calls", {"a": 1}), PROFILE)
         assert isinstance(call.kind, ServiceCall)
         assert call.bound_tokens == 7
 
-    def test_without_a_key_one_is_minted(self):
+    def test_request_without_a_key_gets_a_generated_id(self):
         first, second = (parse_call(post(CHAT_PATH, CHAT), PROFILE) for _ in "ab")
         assert not first.key_given
         assert first.request_id != second.request_id
 
-    def test_a_given_key_names_the_request(self):
+    def test_given_key_is_the_request_id(self):
         call = parse_call(post(CHAT_PATH, CHAT, **{"idempotency-key": "k1"}), PROFILE)
         assert (call.request_id, call.key_given) == ("k1", True)
 
@@ -107,7 +107,7 @@
 
     def test_calls_that_begin_alike_share_a_prefix(self):
         long = "x" * 3000
-        one, two = (
+        first, second = (
             parse_call(
                 post(
                     CHAT_PATH,
@@ -117,5 +117,5 @@
             )
             for end in "ab"
         )
-        assert one.kind == two.kind
-        assert one.fingerprint != two.fingerprint
+        assert first.kind == second.kind
+        assert first.fingerprint != second.fingerprint
--- a/tests/router/test_path.py
+++ b/tests/router/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path in one kernel: caller, router, sidecar, upstream and back."""
+"""Tests of the path from caller to upstream and back, in one kernel."""
 
 import msgspec
 import pytest
@@ -21,19 +21,19 @@
 
 
 def texts_of(stream):
-    events = [e.removeprefix(b"data: ") for e in stream.split(b"\n\n") if e]
-    frames = [msgspec.json.decode(e) for e in events if e != b"[DONE]"]
+    events = [event.removeprefix(b"data: ") for event in stream.split(b"\n\n") if event]
+    frames = [msgspec.json.decode(event) for event in events if event != b"[DONE]"]
     deltas = [frame["choices"][0]["delta"] for frame in frames]
     return [delta["content"] for delta in deltas if "content" in delta]
 
 
-def texts_of_whole(body):
+def texts_of_body(body):
     text = msgspec.json.decode(body)["choices"][0]["message"]["content"]
     return text.split()
 
 
 class TestAnswers:
-    def test_a_whole_answer_is_billed_what_it_cost(self):
+    def test_a_complete_answer_is_billed_its_tokens(self):
         async def scenario(fleet):
             response = await fleet.ask(CHAT_PATH, QUESTION)
             return response, await fleet.receipts()
@@ -52,7 +52,7 @@
         assert response.body.endswith(b"data: [DONE]\n\n")
         assert response.body.count(b'"content"') == 8
 
-    def test_one_key_with_two_questions_gets_no_answer_of_the_first(self):
+    def test_a_key_reused_with_another_body_is_refused(self):
         async def scenario(fleet):
             other = QUESTION | {"max_tokens": 5}
             await fleet.ask(CHAT_PATH, QUESTION, idempotency_key="k")
@@ -62,16 +62,15 @@
         assert problem_of(response)["reason"] == "key_reused"
 
     def test_a_retry_replays_and_is_not_billed_again(self):
-        """A caller's connection breaks; it sends the request again.
+        """Guards against a second charge when a caller repeats an ended request.
 
-        The first run had ended, so the answer is replayed from the sidecar, the
-        same bytes, and the bill shows the request once.
+        The sidecar replays the same bytes, and there is one receipt.
         """
 
         async def scenario(fleet):
-            asked = QUESTION | {"stream": True}
-            first = await fleet.ask(CHAT_PATH, asked, idempotency_key="k")
-            again = await fleet.ask(CHAT_PATH, asked, idempotency_key="k")
+            request = QUESTION | {"stream": True}
+            first = await fleet.ask(CHAT_PATH, request, idempotency_key="k")
+            again = await fleet.ask(CHAT_PATH, request, idempotency_key="k")
             return first, again, await fleet.receipts()
 
         first, again, receipts = run_fleet(scenario)
@@ -80,11 +79,11 @@
 
 
 class TestBrokenAnswers:
-    def test_a_truncated_stream_is_never_shown_as_whole(self):
-        """A farmer reads half an answer and takes it for all of it.
+    def test_a_truncated_stream_is_never_shown_as_complete(self):
+        """Guards against half an answer that looks complete to the caller.
 
-        The engine closed its stream early, as if it were whole.  It cannot go
-        on from there, so the caller gets an explicit error event.
+        The engine closes its stream early and cannot resume it, so the stream ends
+        with an error event.
         """
 
         async def scenario(fleet):
@@ -97,63 +96,63 @@
         last = body.rsplit(b"event: error\ndata: ", 1)[1]
         assert msgspec.json.decode(last)["outcome"] == "failed"
 
-    def test_a_stream_goes_on_elsewhere_from_the_tokens_already_sent(self):
-        """The same fault where the engines can go on from a given token.
+    def test_a_stream_resumes_elsewhere_after_the_tokens_already_sent(self):
+        """Guards against lost or repeated tokens when another engine resumes.
 
-        Another engine continues, and the caller sees one whole answer, the same
-        as without the fault.
+        The engine closes its stream early, and the engines can resume from a given
+        token.  The caller gets the same answer as without the fault.
         """
 
         async def scenario(fleet):
-            asked = QUESTION | {"stream": True}
-            whole = await fleet.ask(CHAT_PATH, asked, idempotency_key="a")
+            request = QUESTION | {"stream": True}
+            complete = await fleet.ask(CHAT_PATH, request, idempotency_key="a")
             ran_at = [n for n in fleet.engine_names if await fleet.runs(n)]
             await fleet.switch(ran_at[0], truncate=3)
-            return whole, await fleet.ask(CHAT_PATH, asked, idempotency_key="b")
+            return complete, await fleet.ask(CHAT_PATH, request, idempotency_key="b")
 
-        whole, resumed = run_fleet(scenario, engines=2, resumes=True)
-        assert texts_of(resumed.body) == texts_of(whole.body)
+        complete, resumed = run_fleet(scenario, engines=2, resumes=True)
+        assert texts_of(resumed.body) == texts_of(complete.body)
         assert resumed.body.endswith(b"data: [DONE]\n\n")
 
-    def test_the_end_of_a_continued_stream_is_not_replayed_as_the_whole(self):
-        """A paralegal's retry shows only the last sentences of a summary.
+    def test_a_resumed_run_is_not_replayed_as_the_complete_answer(self):
+        """Guards against a replay that contains only the end of an answer.
 
-        The first stream had gone on at another engine after a fault; that
-        engine's sidecar holds only the end of the answer, under the same key.
+        The first stream was resumed at another engine after a fault.  That engine's
+        sidecar stores only the end of the answer, under the same key.
         """
 
         async def scenario(fleet):
-            asked = QUESTION | {"stream": True}
-            whole = await fleet.ask(CHAT_PATH, asked)
+            request = QUESTION | {"stream": True}
+            complete = await fleet.ask(CHAT_PATH, request)
             for name in fleet.engine_names:
                 await fleet.switch(name, truncate=3)
-            continued = await fleet.ask(CHAT_PATH, asked, idempotency_key="b")
+            continued = await fleet.ask(CHAT_PATH, request, idempotency_key="b")
             for name in fleet.engine_names:
                 await fleet.switch(name, truncate=0)
-            again = await fleet.ask(CHAT_PATH, asked, idempotency_key="b")
-            return whole, continued, again
+            again = await fleet.ask(CHAT_PATH, request, idempotency_key="b")
+            return complete, continued, again
 
-        whole, continued, again = run_fleet(scenario, engines=2, resumes=True)
-        assert texts_of(continued.body) == texts_of(whole.body)
-        assert texts_of(again.body) == texts_of(whole.body)
+        complete, continued, again = run_fleet(scenario, engines=2, resumes=True)
+        assert texts_of(continued.body) == texts_of(complete.body)
+        assert texts_of(again.body) == texts_of(complete.body)
 
-    def test_a_replay_that_breaks_off_is_not_begun_again(self):
-        """A farmer on the phone hears the first sentences of an answer twice.
+    def test_an_interrupted_replay_is_not_restarted(self):
+        """Guards against an answer whose beginning is sent twice.
 
-        A retry read along with the run of its first copy; that run broke off,
-        and the request was run again from the start behind what was sent.
+        A retry replays the run of the first request, which is still running.  When that
+        run is interrupted, another run from the start would repeat what was sent.
         """
 
         async def scenario(fleet):
             await fleet.switch("m1", slow=20.0, truncate=6, can_resume=False)
-            asked = QUESTION | {"stream": True}
-            body = msgspec.json.encode(asked)
+            request = QUESTION | {"stream": True}
+            body = msgspec.json.encode(request)
             key = {"idempotency-key": "k"}
             stream = fleet.client.stream("POST", CHAT_PATH, body=body, headers=key)
             async with stream as answer:
                 async for _ in answer.pieces():
                     break
-            return await fleet.ask(CHAT_PATH, asked, idempotency_key="k")
+            return await fleet.ask(CHAT_PATH, request, idempotency_key="k")
 
         body = run_fleet(scenario).body
         tokens, error = body.split(b"event: error", 1)
@@ -162,28 +161,28 @@
         assert len(set(texts)) == len(texts)
         assert b"[DONE]" not in body
 
-    def test_a_truncated_whole_answer_is_run_again(self):
+    def test_a_truncated_answer_without_a_stream_is_run_again(self):
         async def scenario(fleet):
             await fleet.switch("m1", truncate=3)
             return await fleet.ask(CHAT_PATH, QUESTION)
 
         response = run_fleet(scenario, engines=2)
         assert response.status == 200
-        assert len(texts_of_whole(response.body)) == 8
+        assert len(texts_of_body(response.body)) == 8
 
 
 class TestLeavingCallers:
     def test_work_of_a_caller_that_left_is_cancelled(self):
-        """Callers give up under load and their work goes on to fill the engines.
+        """Guards against engines that are busy with answers nobody waits for.
 
-        Nobody can come back for an answer without a key, so its run is stopped
-        and charged only for the tokens that it took.
+        A run without a key cannot be replayed, so it is cancelled when its caller
+        leaves, and only the tokens spent until then are charged.
         """
 
         async def scenario(fleet):
             await fleet.switch("m1", slow=50.0)
-            asked = QUESTION | {"stream": True, "max_tokens": 1000}
-            body = msgspec.json.encode(asked)
+            request = QUESTION | {"stream": True, "max_tokens": 1000}
+            body = msgspec.json.encode(request)
             async with fleet.client.stream("POST", CHAT_PATH, body=body) as answer:
                 async for _ in answer.pieces():
                     break
@@ -197,7 +196,7 @@
 
 
 class TestFilings:
-    def test_the_same_key_files_once(self):
+    def test_a_repeated_key_is_filed_once(self):
         async def scenario(fleet):
             first = await fleet.ask(FILING_PATH, {"claim": 7}, idempotency_key="c")
             again = await fleet.ask(FILING_PATH, {"claim": 7}, idempotency_key="c")
@@ -209,11 +208,11 @@
         assert runs == 1
 
     @pytest.mark.parametrize("cause", ["retired_profile", "stopping"])
-    def test_the_retry_of_a_filing_that_ran_is_never_told_not_run(self, cause):
-        """A farmer is audited: the clerk was told `not_run` and filed anew.
+    def test_the_retry_of_a_filing_that_ran_is_never_refused_as_not_run(self, cause):
+        """Guards against `not_run` for a filing that ran, and so against a second one.
 
-        The filing had run; its retry met a router in a planned stop, or a
-        profile retired since, and was turned away without a look at its intent.
+        The retry arrives during a planned stop of the router, or after the profile was
+        retired, and is refused before its intent is read.
         """
 
         async def scenario(fleet):
@@ -230,10 +229,10 @@
         assert problem_of(named)["outcome"] == "unknown"
         assert problem_of(unnamed)["outcome"] == "not_run"
 
-    def test_a_streamed_question_that_must_not_repeat_is_answered_whole(self):
+    def test_a_streamed_request_that_must_not_repeat_gets_a_complete_answer(self):
         async def scenario(fleet):
-            asked = QUESTION | {"stream": True, "model": FILING.name}
-            return await fleet.ask(CHAT_PATH, asked, idempotency_key="c")
+            request = QUESTION | {"stream": True, "model": FILING.name}
+            return await fleet.ask(CHAT_PATH, request, idempotency_key="c")
 
         response = run_fleet(scenario, filing_back_end="assistant")
         assert response.status == 200
@@ -248,10 +247,10 @@
         assert (response.status, problem_of(response)["outcome"]) == (422, "not_run")
 
     def test_without_the_platform_a_new_filing_is_refused_at_once(self):
-        """A filing during an outage of the platform waits and then times out.
+        """Guards against a filing that waits until its timeout during an outage.
 
-        No intent can be written, so nothing may run: the caller is told at
-        once, and when to come back.
+        Without the platform no intent can be written, so nothing may run.  The caller
+        is refused at once, with the delay before a retry.
         """
 
         async def scenario(fleet):
@@ -268,20 +267,19 @@
 
 
 class TestSealedRouter:
-    def test_tokens_reserved_under_a_sealed_name_are_not_sent_under_the_next(self):
-        """A budget is overspent by what was in the router when it was sealed.
+    def test_a_reservation_of_a_sealed_incarnation_is_not_sent_under_the_next(self):
+        """Guards against a budget overspent by requests open during a seal.
 
-        The router had set tokens aside, was found sealed, and went on under a
-        new incarnation; the run then counted for the new one, which had never
-        set its tokens aside.
+        The router reserves tokens, is sealed, and continues under a new incarnation.
+        The run would count for the new incarnation, which did not reserve its tokens.
         """
 
         async def scenario(fleet):
             keeper = fleet.router.budgeting.keeper
             reserve, reserved = keeper.reserve, []
 
-            async def sealed_meanwhile(*asked):
-                reserved.append(await reserve(*asked))
+            async def reserve_and_seal(*arguments):
+                reserved.append(await reserve(*arguments))
                 if len(reserved) == 1:
                     await fleet.top_up(CHAT, 10 * PREPAID)
                     await keeper._sealed_incarnations.put(keeper.incarnation)
@@ -289,7 +287,7 @@
                     await until(lambda: keeper.incarnation != before)
                 return reserved[-1]
 
-            keeper.reserve = sealed_meanwhile
+            keeper.reserve = reserve_and_seal
             response = await fleet.ask(CHAT_PATH, QUESTION)
             return response, reserved, await fleet.receipts()
 
@@ -310,7 +308,7 @@
             ("/v1/nothing", {}, 404, "bad_request"),
         ],
     )
-    def test_bad_input_is_told_and_billed_nothing(self, path, body, status, reason):
+    def test_bad_input_is_refused_and_not_billed(self, path, body, status, reason):
         async def scenario(fleet):
             return await fleet.ask(path, body), await fleet.receipts()
 
