--- a/src/ragwortkeel/router/budget_keeper.py
+++ b/src/ragwortkeel/router/budget_keeper.py
@@ -1,8 +1,9 @@
-"""The router's budgets: reserves at once where it can, refills in the background.
+"""Reservation and settlement of requests' tokens from a router's slices.
 
-Requests call `reserve` and `settle`; one task for each profile in use settles,
-renews and lends in single conditional updates of its ledger.  An outage of the
-platform stops refills, not admission: slices are sized to ride it out.
+Requests call `reserve` and `settle`.  For each profile in use, one task settles,
+renews and lends tokens in the background, by single conditional updates of the
+profile's ledger.  An outage of the platform stops renewals but not admission: slices
+are sized to last through it.
 """
 
 from collections.abc import Awaitable, Callable
@@ -24,22 +25,31 @@
 from ragwortkeel.platform import Platform
 from ragwortkeel.router.budget_account import Account, BudgetTerms, Loan, Waiter
 
-REFRESH_SECONDS = 1.0
-"""Settled spend and demand reach the other routers within this time."""
+REFRESH_INTERVAL_SECONDS = 1.0
+"""Interval between two checks whether an account needs a write to its ledger.
 
-LOOK_SECONDS = 5.0
-"""An idle account still reads its ledger: a recall, a retirement, a top-up."""
+It bounds the delay after which the ledger shows settled spend to the other routers.
+"""
+
+IDLE_READ_INTERVAL_SECONDS = 5.0
+"""Time after which an idle account reads its ledger again.
 
-WAIT_SECONDS = 1.0
-"""A refill takes milliseconds, a loan some more; a caller waits no longer."""
+The ledger may contain a recall, a retirement or a top-up.
+"""
 
-AGAIN_SECONDS = 0.2
-"""Between two tries to find tokens while callers wait."""
+MAX_WAIT_SECONDS = 1.0
+"""Longest time that a caller waits for tokens.
+
+A renewal takes milliseconds, a loan somewhat longer.
+"""
+
+WAITING_REFRESH_INTERVAL_SECONDS = 0.2
+"""Interval between two attempts to obtain tokens while callers wait."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class AccountRow:
-    """An account as metrics and status show it, in tokens."""
+    """State of an account for metrics and status; amounts are in tokens."""
 
     profile: str
     free: int
@@ -50,28 +60,30 @@
 
 
 class BudgetKeeper:
-    """All budgets of one router.
+    """Reserves and settles the tokens of all profiles at one router.
 
     Parameters
     ----------
     platform : Platform
-        Where the ledgers are.
+        Stores the ledgers.
     incarnation : str
         The router's incarnation; replaced after a seal.
-    terms, sidecars : callable
-        Return the `BudgetTerms` of a profile, or None where there is none, and
-        the sidecar incarnations it may use now.
+    terms : callable
+        Returns the `BudgetTerms` of a profile, or None if it is not configured.
+    sidecars : callable
+        Returns the sidecar incarnations that a profile may use now.
     reincarnate : async callable
-        Called once this incarnation is found sealed; returns the next one, under
-        which the router sends from then on.  It must not suspend: reservations
-        of one incarnation may not be sent under another.
-    tell : async callable
-        Sends a message to another router by its incarnation; may raise
-        `LinkLost`.
+        Called after this incarnation was sealed; returns the next one, under which
+        the router sends from then on.  It must not suspend: reservations of one
+        incarnation must not be sent under another.
+    send : async callable
+        Sends a message to the router of an incarnation; may raise `LinkLost`.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     observe : callable, optional
-        Called with how each renewal ended, for metrics.
+        Called with the outcome of each renewal, for metrics.
+    wait_seconds : float, optional
+        Longest time that `reserve` waits for tokens.
 
     Examples
     --------
@@ -89,41 +101,44 @@
         terms: Callable[[str], BudgetTerms | None],
         sidecars: Callable[[str], tuple[str, ...]],
         reincarnate: Callable[[], Awaitable[str]],
-        tell: Callable[[str, SliceRequest | SliceTransfer], Awaitable[None]],
+        send: Callable[[str, SliceRequest | SliceTransfer], Awaitable[None]],
         clock: Callable[[], float],
         observe: Callable[[str], None] = lambda outcome: None,
-        wait_seconds: float = WAIT_SECONDS,
+        wait_seconds: float = MAX_WAIT_SECONDS,
     ) -> None:
         self.incarnation = incarnation
         self._platform = platform
         self._terms = terms
         self._sidecars = sidecars
         self._reincarnate = reincarnate
-        self._tell = tell
+        self._send = send
         self._clock = clock
         self._observe = observe
         self._wait_seconds = wait_seconds
         self._accounts_by_profile: dict[str, Account] = {}
-        self._new: curio.Queue = curio.Queue()
-        self._sealed: curio.Queue = curio.Queue()
+        self._new_accounts: curio.Queue = curio.Queue()
+        self._sealed_incarnations: curio.Queue = curio.Queue()
 
     async def run(self) -> None:
-        """Keep all accounts filled until cancelled."""
+        """Renew all accounts until cancelled."""
         async with curio.TaskGroup(wait=None) as group:
-            await group.spawn(self._change_incarnations)
+            await group.spawn(self._replace_sealed_incarnations)
             while True:
-                account = await self._new.get()
-                await group.spawn(self._keep, account)
+                account = await self._new_accounts.get()
+                await group.spawn(self._run_account, account)
 
     async def reserve(self, profile: str, tokens: int, sidecar: str) -> Reservation:
-        """Set tokens aside for one attempt through a sidecar incarnation.
+        """Reserve tokens for one attempt through a sidecar incarnation.
+
+        Waits for a renewal or a loan if the slice has too few tokens.
 
         Raises
         ------
         BudgetExhausted, BudgetUnreachable, ExposureFull, SidecarNotNamed
-            Nothing is set aside; `retry_after_seconds` says when to come back.
+            No tokens are reserved; `retry_after_seconds` holds the delay after
+            which a retry may succeed.
         """
-        account = await self._account(profile)
+        account = await self._get_account(profile)
         account.meter.add(tokens=tokens, now=self._clock())
         try:
             return account.slice.reserve(sidecar=sidecar, tokens=tokens)
@@ -131,49 +146,50 @@
             if not account.reachable:
                 raise account.refusal(exc, tokens=tokens) from exc
             waiter = Waiter(tokens=tokens, sidecar=sidecar, refusal=exc)
-        return await self._wait(account, waiter)
+        return await self._wait_for_tokens(account, waiter)
 
     async def settle(self, reservation: Reservation, spent: int) -> None:
-        """Replace a reservation by what it cost; on evidence only.
+        """Replace a reservation with the tokens that its attempt spent.
 
-        One of a sealed incarnation is dropped: the seal collects its cost from
-        the sidecars.
+        Call it only once the spend is certain.  A reservation of a sealed incarnation
+        is ignored: the seal collects its spend from the sidecars.
         """
         account = self._accounts_by_profile.get(reservation.profile)
         if account is None or account.slice.router != reservation.router:
             return
         account.slice.settle(reservation, spent=spent)
-        for waiter in account.serve_waiting():
+        for waiter in account.serve_waiters():
             await waiter.done.set()
 
-    def forget_sidecar(self, sidecar: str) -> None:
-        """Name a sidecar that is gone for good no more."""
+    def remove_sidecar(self, sidecar: str) -> None:
+        """Exclude a permanently stopped sidecar from all slices."""
         for account in self._accounts_by_profile.values():
             account.slice.drop(sidecar)
 
-    async def asked(self, router: str, request: SliceRequest) -> None:
-        """Take another router's wish for tokens; the answer is a transfer."""
+    async def receive_slice_request(self, router: str, request: SliceRequest) -> None:
+        """Queue another router's request for tokens; a transfer answers it."""
         account = self._accounts_by_profile.get(request.profile)
         if account is not None:
             account.loans.append(Loan(router=router, tokens=request.tokens))
             await account.wake.set()
 
-    async def lent(self, transfer: SliceTransfer) -> SliceTransferred:
-        """Hear that tokens are in this router's grant; the ledger has them.
+    async def receive_slice_transfer(self, transfer: SliceTransfer) -> SliceTransferred:
+        """Read the ledger soon, and return the acknowledgment of the transfer.
 
-        The transfer itself is one update of the ledger, so this message is a
-        hint to read it sooner, and losing it loses nothing.
+        The ledger already has the tokens in this router's grant, by a single update.
+        The message only makes the router read it sooner, so that no tokens are lost
+        with a lost message.
         """
         account = self._accounts_by_profile.get(transfer.profile)
         if account is not None:
             await account.wake.set()
         return SliceTransferred(transfer_id=transfer.transfer_id)
 
-    async def returned_on_stop(self) -> bool:
-        """Settle and give back everything; return whether all went back.
+    async def return_slices(self) -> bool:
+        """Settle and return all slices; return whether all were returned.
 
-        Call it once no attempt is open and `run` is cancelled.  What does not
-        go back is held until another router seals this one.
+        Call it when no attempt is open and `run` is cancelled.  A slice that is not
+        returned stays granted until another router seals this one.
         """
         accounts = list(self._accounts_by_profile.values())
         try:
@@ -185,11 +201,11 @@
         """Return all accounts for metrics."""
         return [_row(account) for account in self._accounts_by_profile.values()]
 
-    async def _account(self, profile: str) -> Account:
+    async def _get_account(self, profile: str) -> Account:
         account = self._accounts_by_profile.get(profile)
         if account is None:
             account = self._new_account(profile)
-            await self._new.put(account)
+            await self._new_accounts.put(account)
         return account
 
     def _new_account(self, profile: str) -> Account:
@@ -205,70 +221,76 @@
         self._accounts_by_profile[profile] = account
         return account
 
-    async def _wait(self, account: Account, waiter: Waiter) -> Reservation:
-        account.waiting.append(waiter)
+    async def _wait_for_tokens(self, account: Account, waiter: Waiter) -> Reservation:
+        account.waiters.append(waiter)
         await account.wake.set()
-        taken = False
+        accepted = False
         try:
             async with curio.ignore_after(self._wait_seconds):
                 await waiter.done.wait()
-            taken = waiter.reservation is not None
+            accepted = waiter.reservation is not None
         finally:
-            # The account may be another by now, under the next incarnation.
+            # After a seal the waiter belongs to the next incarnation's account.
             account = self._accounts_by_profile.get(account.profile, account)
-            account.waiting = [one for one in account.waiting if one is not waiter]
-            if waiter.reservation is not None and not taken:
-                # Its caller left in the moment the tokens came.
+            account.waiters = [
+                other for other in account.waiters if other is not waiter
+            ]
+            if waiter.reservation is not None and not accepted:
+                # The caller was cancelled just after its tokens were reserved.
                 await self.settle(waiter.reservation, 0)
-        if not taken:
+        if not accepted:
             raise account.refusal(waiter.refusal, tokens=waiter.tokens)
         return waiter.reservation
 
-    async def _keep(self, account: Account) -> None:
-        looked_at = self._clock()
+    async def _run_account(self, account: Account) -> None:
+        last_renewal_at = self._clock()
         while account is self._accounts_by_profile.get(account.profile):
-            pause = AGAIN_SECONDS if account.waiting else REFRESH_SECONDS
-            async with curio.ignore_after(pause):
+            interval = (
+                WAITING_REFRESH_INTERVAL_SECONDS
+                if account.waiters
+                else REFRESH_INTERVAL_SECONDS
+            )
+            async with curio.ignore_after(interval):
                 await account.wake.wait()
             account.wake.clear()
-            overdue = self._clock() - looked_at >= LOOK_SECONDS
-            if not (account.waiting or overdue or account.worth_writing()):
+            overdue = self._clock() - last_renewal_at >= IDLE_READ_INTERVAL_SECONDS
+            if not (account.waiters or overdue or account.needs_write()):
                 continue
-            looked_at = self._clock()
+            last_renewal_at = self._clock()
             await self._renew(account)
 
     async def _renew(self, account: Account) -> None:
-        granted: list[Loan] = []
+        lent: list[Loan] = []
         try:
-            granted = await account.renew()
+            lent = await account.renew()
         except RouterSealed:
             self._observe("sealed")
-            await self._sealed.put(account.slice.router)
+            await self._sealed_incarnations.put(account.slice.router)
             return
         except LedgerError as exc:
-            # A full or broken ledger: what is out stays valid, callers wait for
-            # their refusal, and the next round tries again.
+            # The ledger is full or unreadable.  The slice stays valid, the waiters
+            # are refused later, and the next renewal retries.
             self._observe("refused")
             log_warning("ledger_refused", profile=account.profile, error=str(exc))
         else:
             self._observe("written" if account.reachable else "unreachable")
-        for waiter in account.serve_waiting():
+        for waiter in account.serve_waiters():
             await waiter.done.set()
-        for waiter in account.waiting:
-            if account.hopeless(waiter):
+        for waiter in account.waiters:
+            if account.cannot_be_served(waiter):
                 await waiter.done.set()
-        await self._answer(account, granted)
-        if account.waiting and account.reachable:
-            await self._ask(account)
+        await self._announce_loans(account, lent)
+        if account.waiters and account.reachable:
+            await self._request_tokens(account)
 
-    async def _answer(self, account: Account, granted: list[Loan]) -> None:
-        for loan in granted:
+    async def _announce_loans(self, account: Account, lent: list[Loan]) -> None:
+        for loan in lent:
             transfer = SliceTransfer(
                 profile=account.profile, tokens=loan.tokens, transfer_id=uuid4().hex
             )
-            await self._say(loan.router, transfer)
+            await self._try_send(loan.router, transfer)
 
-    async def _ask(self, account: Account) -> None:
+    async def _request_tokens(self, account: Account) -> None:
         router, lacking = account.slice.router, account.need().lacking
         if not lacking:
             return
@@ -278,34 +300,37 @@
                 tokens=lacking,
                 transfer_id=uuid4().hex,
             )
-            await self._say(giver, request)
+            await self._try_send(giver, request)
 
-    async def _say(self, router: str, message: SliceRequest | SliceTransfer) -> None:
+    async def _try_send(
+        self, router: str, message: SliceRequest | SliceTransfer
+    ) -> None:
         try:
-            await self._tell(router, message)
+            await self._send(router, message)
         except LinkLost:
-            # Asked again while callers wait; a lost hint costs a short delay.
+            # Requests are repeated while callers wait.  A lost transfer message
+            # only delays the next read of the ledger at the borrower.
             return
 
-    async def _change_incarnations(self) -> None:
+    async def _replace_sealed_incarnations(self) -> None:
         while True:
-            sealed = await self._sealed.get()
+            sealed = await self._sealed_incarnations.get()
             if sealed != self.incarnation:
                 continue
-            # No account may go on under the sealed name: in the eyes of the seal
-            # what it holds is spent or given back already.
+            # No account may use the sealed incarnation any longer: the seal treats
+            # all its tokens as spent or returned.
             self.incarnation = await self._reincarnate()
             old, self._accounts_by_profile = self._accounts_by_profile, {}
             for account in old.values():
-                await self._move(account)
+                await self._move_to_new_incarnation(account)
 
-    async def _move(self, old: Account) -> None:
+    async def _move_to_new_incarnation(self, old: Account) -> None:
         account = self._accounts_by_profile.get(old.profile)
         if account is None:
             account = self._new_account(old.profile)
-            await self._new.put(account)
+            await self._new_accounts.put(account)
         account.meter = old.meter
-        account.waiting += old.waiting
+        account.waiters += old.waiters
         await account.wake.set()
 
 
