--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -12,7 +12,7 @@
 from ragwortkeel.configuration_store import ConfigurationStore
 from ragwortkeel.gossip import COMPARE_SECONDS, SPREAD_SECONDS
 from ragwortkeel.messages import Envelope, VersionedObject, encode
-from ragwortkeel.router.neighbours import partners
+from ragwortkeel.router.neighbours import peers_to_link
 
 SIZES = ((3, 3), (50, 5), (250, 25), (1_000, 25))
 CHANGES = 40
@@ -72,7 +72,7 @@
             store=ConfigurationStore(kinds=(PROFILES,)),
             random=Random(self.random.random()),
         )
-        found = partners(self.members, address=node.address, zone=node.zone)
+        found = peers_to_link(self.members, address=node.address, zone=node.zone)
         exchange.partners = sorted(found)
         return exchange
 
--- a/src/ragwortkeel/router/budgeting.py
+++ b/src/ragwortkeel/router/budgeting.py
@@ -21,7 +21,7 @@
 from ragwortkeel.router.budget_account import BudgetTerms
 from ragwortkeel.router.budget_keeper import BudgetKeeper
 from ragwortkeel.router.directory import Directory
-from ragwortkeel.router.janitor import Janitor
+from ragwortkeel.router.node_cleanup import NodeCleanup
 from ragwortkeel.router.observer import Observer
 from ragwortkeel.router.peers import PeerLinks
 from ragwortkeel.router.reaper import Reaper
@@ -73,7 +73,7 @@
             reincarnate=reincarnate,
             tell=self._tell,
             clock=monotonic,
-            observe=observer.slice_renewed,
+            observe=observer.record_slice_renewal,
         )
         self.receipts = ReceiptWriter(
             platform=platform, writer=incarnation, clock=monotonic
@@ -81,13 +81,13 @@
         self._reaper = Reaper(
             platform=platform,
             incarnation=incarnation,
-            dead=self._dead_routers,
-            responsible=self._responsible,
-            gone=self._gone_for_good,
-            ask=self._ask,
+            failed_routers=self._dead_routers,
+            is_responsible=self._responsible,
+            is_removed=self._gone_for_good,
+            request_seal=self._ask,
             clock=monotonic,
         )
-        self._janitor = Janitor(
+        self._node_cleanup = NodeCleanup(
             platform=platform,
             membership=membership,
             incarnation=incarnation,
@@ -102,14 +102,14 @@
             self._watch_keeper,
             self.receipts.run,
             self._reaper.run,
-            self._janitor.run,
+            self._node_cleanup.run,
             self._tell_durable,
         )
 
     async def close(self) -> int:
         """Make receipts durable and give slices back; return what stays undone."""
         await self.receipts.flush()
-        undone = self.receipts.held
+        undone = self.receipts.pending_count
         if self._keeping is not None:
             await self._keeping.cancel()
         return undone + (not await self.keeper.returned_on_stop())
--- a/src/ragwortkeel/router/dispatcher.py
+++ b/src/ragwortkeel/router/dispatcher.py
@@ -63,7 +63,7 @@
         self, request_id: str, failure: Failure
     ) -> Assignment | Refusal | None:
         """Return where to run the request after a failed attempt, if at all."""
-        self._observer.attempt_failed(request_id, failure)
+        self._observer.record_attempt_failure(request_id, failure)
         decision = self._scheduler.record_failure(request_id, failure, self._clock())
         return None if decision is None else await self._settle(decision)
 
@@ -120,7 +120,7 @@
         started = self._clock()
         if isinstance(decision, Queued):
             decision = await self._wait(decision)
-        self._observer.decided(decision, self._clock() - started)
+        self._observer.record_decision(decision, self._clock() - started)
         return decision
 
     async def _wait(self, decision: Queued) -> Assignment | Refusal:
--- a/src/ragwortkeel/router/exchange.py
+++ b/src/ragwortkeel/router/exchange.py
@@ -135,7 +135,7 @@
     async def _run_until_done(self) -> Refusal | None:
         decision = await self._parts.dispatcher.admit(self._facts)
         while isinstance(decision, Assignment):
-            if self._sink.begun and not self._can_go_on(decision.upstream):
+            if self._sink.has_started and not self._can_go_on(decision.upstream):
                 # From its start again, the answer would follow what was sent.
                 return _BROKEN_OFF
             try:
@@ -203,7 +203,7 @@
         return end
 
     def _patience(self) -> float:
-        return RELINK_SECONDS if self._sink.begun else RERUN_SECONDS
+        return RELINK_SECONDS if self._sink.has_started else RERUN_SECONDS
 
     async def _close(
         self, reservation: Reservation, attempt: Attempt, end: AttemptEnd | None
@@ -211,7 +211,7 @@
         if end is None or (isinstance(end, Lost) and attempt.may_go_on):
             # Given up on, or cut off while the sidecar may still be running it.
             stop = not self._call.key_given
-            await self._parts.closing.abandon(
+            await self._parts.closing.follow_in_background(
                 reservation, attempt, self._call, cancel=stop
             )
             return
--- a/src/ragwortkeel/router/filing_runs.py
+++ b/src/ragwortkeel/router/filing_runs.py
@@ -32,7 +32,7 @@
 from ragwortkeel.router.calls import Call
 from ragwortkeel.router.dispatches import build_dispatch
 from ragwortkeel.router.parts import Parts
-from ragwortkeel.router.sinks import WholeSink
+from ragwortkeel.router.sinks import BufferedSink
 from ragwortkeel.runs.intent import (
     AskSidecar,
     Intent,
@@ -57,7 +57,7 @@
         version: int,
         facts: RequestFacts,
         parts: Parts,
-        sink: WholeSink,
+        sink: BufferedSink,
     ) -> None:
         self._call = call
         self._version = version
@@ -144,7 +144,7 @@
         if self._parts.is_current(reservation) and await attempt.open(order):
             end = await attempt.follow()
         if isinstance(end, Lost) and attempt.may_go_on:
-            await self._parts.closing.abandon(
+            await self._parts.closing.follow_in_background(
                 reservation, attempt, self._call, cancel=False
             )
             return end
--- a/src/ragwortkeel/router/filings.py
+++ b/src/ragwortkeel/router/filings.py
@@ -30,7 +30,7 @@
 from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.refusals import Outcome as CallerOutcome
 from ragwortkeel.router.refusals import Reason, Refusal
-from ragwortkeel.router.sinks import WholeSink
+from ragwortkeel.router.sinks import BufferedSink
 from ragwortkeel.runs.filing import Filing, ReadIntent, WriteNotRun
 from ragwortkeel.runs.intent import (
     AskSidecar,
@@ -80,7 +80,7 @@
         version: int,
         facts: RequestFacts,
         parts: Parts,
-        sink: WholeSink,
+        sink: BufferedSink,
     ) -> None:
         self.may_have_run = call.key_given
         self.tokens = 0
--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -14,10 +14,10 @@
 from ragwortkeel.router.calls import KEY_HEADER, Call, ChatCall, parse_call, profile_of
 from ragwortkeel.router.exchange import Exchange
 from ragwortkeel.router.filings import FilingExchange
-from ragwortkeel.router.observer import Observed
+from ragwortkeel.router.observer import EndedRequest
 from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.refusals import Outcome, Reason, Refusal
-from ragwortkeel.router.sinks import Sink, StreamSink, WholeSink
+from ragwortkeel.router.sinks import BufferedSink, Sink, StreamSink
 from ragwortkeel.traces import traceparent_of
 
 STOPPING_RETRY_SECONDS = 1.0
@@ -32,7 +32,7 @@
     parts
         What the requests share.
     observe
-        Called with each `Observed`.
+        Called with each `EndedRequest`.
     refresh
         Looks for something newer of one object, by kind and name; returns
         whether it was asked for.
@@ -49,7 +49,7 @@
         self,
         *,
         parts: Parts,
-        observe: Callable[[Observed], None],
+        observe: Callable[[EndedRequest], None],
         refresh: Callable[[str, str], Awaitable[bool]],
     ) -> None:
         self.stopping = False
@@ -65,10 +65,10 @@
             found = await self._find(request)
         except BadRequest as exc:
             refusal = _refusal_of_bad(exc)
-            await WholeSink(responder=responder, request_id="").refuse(refusal)
+            await BufferedSink(responder=responder, request_id="").refuse(refusal)
             return
         if isinstance(found, Refusal):
-            await WholeSink(responder=responder, request_id="").refuse(found)
+            await BufferedSink(responder=responder, request_id="").refuse(found)
             return
         call, profile, version = found
         with self._parts.tracing.span("request", parent=call.traceparent) as span:
@@ -80,13 +80,13 @@
             if refusal is not None:
                 await sink.refuse(refusal)
         self._observe(
-            Observed(
+            EndedRequest(
                 call=call,
                 profile=profile,
                 refusal=refusal,
                 seconds=self._parts.clock() - started,
                 tokens=served.tokens,
-                first_token_seconds=sink.begun_at and sink.begun_at - started,
+                first_token_seconds=sink.started_at and sink.started_at - started,
             )
         )
 
@@ -108,7 +108,7 @@
     def _new_sink(self, call: Call, facts: RequestFacts, responder: Responder) -> Sink:
         # The answer of a filing is recorded whole before anything else.
         streams = call.stream and facts.repeatable
-        cls = StreamSink if streams else WholeSink
+        cls = StreamSink if streams else BufferedSink
         return cls(
             responder=responder,
             request_id=call.request_id,
--- a/src/ragwortkeel/router/neighbours.py
+++ b/src/ragwortkeel/router/neighbours.py
@@ -12,34 +12,34 @@
 from ragwortkeel.configuration import Node, Role, Upstream
 from ragwortkeel.configuration_schedule import rendezvous
 
-PARTNERS_IN_ZONE = 4
-PARTNERS_ELSEWHERE = 2
+PEERS_IN_ZONE = 4
+PEERS_IN_OTHER_ZONES = 2
 """Six links of a heartbeat a second each way cost about 1 KB a second."""
 
-LINKED_NEAR = 8
-LINKED_FAR = 2
+UPSTREAM_LINKS_IN_ZONE = 8
+UPSTREAM_LINKS_IN_OTHER_ZONES = 2
 """Upstreams of one back end.  Both deployments of today are linked whole.  A link
 costs some 150 us of a core a second; at the target, with four back ends, these
 keep a router's links near sixty (docs/CAPACITY.md)."""
 
-COVERED_BY = 2
+MIN_ROUTERS_PER_UPSTREAM = 2
 """One of them may be dead or restarting at any moment."""
 
 
-def zone_members(nodes: Iterable[Node], zone: str) -> tuple[str, ...]:
+def zone_router_addresses(nodes: Iterable[Node], zone: str) -> tuple[str, ...]:
     """Return the addresses of the routers of a zone."""
     return tuple(
         node.address for node in nodes if node.role == Role.ROUTER and node.zone == zone
     )
 
 
-def partners(nodes: Iterable[Node], *, address: str, zone: str) -> set[str]:
+def peers_to_link(nodes: Iterable[Node], *, address: str, zone: str) -> set[str]:
     """Return the addresses of the routers to keep links to."""
     others = [n for n in nodes if n.role == Role.ROUTER and n.address != address]
     near = {node.address for node in others if node.zone == zone}
     far = {node.address for node in others} - near
-    rv = set(rendezvous(address, near, PARTNERS_IN_ZONE))
-    return rv | set(rendezvous(address, far, PARTNERS_ELSEWHERE))
+    rv = set(rendezvous(address, near, PEERS_IN_ZONE))
+    return rv | set(rendezvous(address, far, PEERS_IN_OTHER_ZONES))
 
 
 def upstreams_to_link(
@@ -55,8 +55,8 @@
     ----------
     routers
         Addresses of the zone's routers.  Each upstream of the zone is linked by
-        at least `COVERED_BY` of them: chosen by the routers alone, one in thirty
-        would be linked by none and stand idle.
+        at least `MIN_ROUTERS_PER_UPSTREAM` of them: chosen by the routers alone,
+        one in thirty would be linked by none and stand idle.
     """
     names_by_group: dict[tuple[str, bool], list[str]] = defaultdict(list)
     for name, upstream in upstreams_by_name.items():
@@ -65,10 +65,10 @@
             names_by_group[group].append(name)
     rv = {}
     for (_, near), names in names_by_group.items():
-        count = LINKED_NEAR if near else LINKED_FAR
-        if not near and len(names) <= LINKED_NEAR:
+        count = UPSTREAM_LINKS_IN_ZONE if near else UPSTREAM_LINKS_IN_OTHER_ZONES
+        if not near and len(names) <= UPSTREAM_LINKS_IN_ZONE:
             # A small fleet spans its zones, so that losing one costs no caller.
-            count = LINKED_NEAR
+            count = UPSTREAM_LINKS_IN_ZONE
         chosen = set(rendezvous(address, names, count))
         if near:
             chosen |= {n for n in names if _covers(address, n, routers)}
@@ -77,4 +77,4 @@
 
 
 def _covers(address: str, upstream: str, routers: Collection[str]) -> bool:
-    return address in rendezvous(upstream, routers, COVERED_BY)
+    return address in rendezvous(upstream, routers, MIN_ROUTERS_PER_UPSTREAM)
--- a/src/ragwortkeel/router/janitor.py
+++ b/src/ragwortkeel/router/node_cleanup.py
@@ -14,14 +14,14 @@
 from ragwortkeel.platform import Platform
 from ragwortkeel.registration import deregister
 
-LOOK_SECONDS = 10.0
+CHECK_INTERVAL_SECONDS = 10.0
 
-DEAD_SECONDS = 120.0
+REMOVAL_DELAY_SECONDS = 120.0
 """A paused machine or a long cut is over by then more often than not; a sidecar
 that is taken off all the same joins again and reads the seals anew."""
 
 
-class Janitor:
+class NodeCleanup:
     """Deregisters nodes that have been dead for long.
 
     .. versionadded:: 0.1
@@ -34,34 +34,37 @@
         membership: Membership,
         incarnation: Callable[[], str],
         clock: Callable[[], float],
-        dead_seconds: float = DEAD_SECONDS,
+        removal_delay_seconds: float = REMOVAL_DELAY_SECONDS,
     ) -> None:
         self._platform = platform
         self._membership = membership
         self._incarnation = incarnation
         self._clock = clock
-        self._dead_seconds = dead_seconds
-        self._dead_since: dict[str, float] = {}
+        self._removal_delay_seconds = removal_delay_seconds
+        self._failed_since: dict[str, float] = {}
 
     async def run(self) -> None:
         """Look now and then until cancelled."""
         while True:
-            await curio.sleep(LOOK_SECONDS)
-            await self.look()
+            await curio.sleep(CHECK_INTERVAL_SECONDS)
+            await self.remove_failed_nodes()
 
-    async def look(self) -> None:
+    async def remove_failed_nodes(self) -> None:
         """Take off what has been dead for long and is this router's to do."""
         now = self._clock()
-        dead = self._membership.nodes(now, Liveness.DEAD)
-        self._dead_since = {
-            node.incarnation: self._dead_since.get(node.incarnation, now)
-            for node in dead
+        failed = self._membership.nodes(now, Liveness.DEAD)
+        self._failed_since = {
+            node.incarnation: self._failed_since.get(node.incarnation, now)
+            for node in failed
         }
-        for node in dead:
-            if now - self._dead_since[node.incarnation] >= self._dead_seconds:
-                await self._take_off(node, now)
+        for node in failed:
+            if (
+                now - self._failed_since[node.incarnation]
+                >= self._removal_delay_seconds
+            ):
+                await self._remove(node, now)
 
-    async def _take_off(self, node: Node, now: float) -> None:
+    async def _remove(self, node: Node, now: float) -> None:
         incarnation = node.incarnation
         if not self._membership.responsible(incarnation, now, self._incarnation()):
             return
--- a/src/ragwortkeel/router/observer.py
+++ b/src/ragwortkeel/router/observer.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Observed:
+class EndedRequest:
     """How one request went; `refusal` is None if it was answered.
 
     `first_token_seconds` is None where nothing was streamed.
@@ -51,7 +51,7 @@
     def __init__(self, *, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def request_ended(self, observed: Observed) -> None:
+    def record_request(self, observed: EndedRequest) -> None:
         """Tell how a request went."""
         refusal, service = observed.refusal, observed.profile.service
         outcome = ANSWERED if refusal is None else refusal.outcome
@@ -74,7 +74,9 @@
             trace=trace_id_of(observed.call.traceparent),
         )
 
-    def decided(self, decision: Assignment | PolicyRefusal, waited: float) -> None:
+    def record_decision(
+        self, decision: Assignment | PolicyRefusal, waited: float
+    ) -> None:
         """Tell what the scheduler decided, after `waited` seconds in the queue."""
         request = decision.request
         match decision:
@@ -101,12 +103,12 @@
                     retry_after=decision.retry_after_seconds,
                 )
 
-    def attempt_failed(self, request_id: str, failure: Failure) -> None:
+    def record_attempt_failure(self, request_id: str, failure: Failure) -> None:
         """Tell that an attempt gave no usable answer."""
         self._metrics.attempt_failed(failure=failure)
         log_info("attempt_failed", request=request_id, failure=failure)
 
-    def upstream_crashed(self, crash: Crash) -> None:
+    def record_crash(self, crash: Crash) -> None:
         """Tell of a crash that was news here."""
         self._metrics.upstream_crashed()
         log_warning(
@@ -116,7 +118,7 @@
             alone=crash.alone,
         )
 
-    def upstream_load(self, report: LoadReport) -> None:
+    def record_load(self, report: LoadReport) -> None:
         """Show what a sidecar reports."""
         self._metrics.upstream(
             name=report.upstream,
@@ -124,20 +126,20 @@
             load=report.running + report.waiting,
         )
 
-    def slice_renewed(self, outcome: str) -> None:
+    def record_slice_renewal(self, outcome: str) -> None:
         """Count how bringing a slice and its ledger in step ended."""
         self._metrics.slice_operation(operation="renew", outcome=outcome)
 
-    def platform_failed(self, error: str) -> None:
+    def record_platform_failure(self, error: str) -> None:
         """Count a failed call of the platform."""
         self._metrics.platform_failed(error=error)
 
-    def link_down(self, role: str, peer: str) -> None:
+    def record_link_down(self, role: str, peer: str) -> None:
         """Tell that a peer went silent."""
         self._metrics.link_lost(peer=role)
         log_warning("link_down", role=role, peer=peer)
 
-    def gauges(self, gauges: Gauges) -> None:
+    def set_gauges(self, gauges: Gauges) -> None:
         """Show the state of the moment."""
         self._metrics.configuration_in_force(revision=gauges.revision)
         self._metrics.load(running=gauges.running, queued=gauges.queued)
--- a/src/ragwortkeel/router/parts.py
+++ b/src/ragwortkeel/router/parts.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 
 from ragwortkeel.budget.slice import Reservation
-from ragwortkeel.router.closing import Closing
 from ragwortkeel.router.dispatcher import Dispatcher
 from ragwortkeel.router.intents import IntentStore
 from ragwortkeel.router.interfaces import Budgets, Directory, Receipts
+from ragwortkeel.router.settlement import Settlement
 from ragwortkeel.router.sidecars import SidecarPool
 from ragwortkeel.traces import Tracing
 
@@ -32,7 +32,7 @@
     pool: SidecarPool
     budgets: Budgets
     receipts: Receipts
-    closing: Closing
+    closing: Settlement
     tracing: Tracing
 
     def is_current(self, reservation: Reservation) -> bool:
--- a/src/ragwortkeel/router/peers.py
+++ b/src/ragwortkeel/router/peers.py
@@ -44,14 +44,14 @@
         """Bind the endpoint."""
         self._endpoint.open()
 
-    def reincarnate(self, incarnation: str) -> None:
+    def set_incarnation(self, incarnation: str) -> None:
         """Send under another incarnation from now on."""
         self._incarnation = incarnation
         self._endpoint.incarnation = incarnation
         for link in self._links_by_address.values():
             link.incarnation = incarnation
 
-    async def follow(self, addresses: set[str]) -> None:
+    async def set_addresses(self, addresses: set[str]) -> None:
         """Keep links to just these routers."""
         for address in set(self._links_by_address) - addresses:
             await self._tasks_by_address.pop(address).cancel()
@@ -87,7 +87,7 @@
 
     async def close(self) -> None:
         """Close all links and the endpoint."""
-        await self.follow(set())
+        await self.set_addresses(set())
         await self._endpoint.close()
 
     async def _connect(self, address: str) -> None:
--- a/src/ragwortkeel/router/reaper.py
+++ b/src/ragwortkeel/router/reaper.py
@@ -66,13 +66,13 @@
     ----------
     incarnation : callable
         Returns this router's incarnation.
-    dead : callable
+    failed_routers : callable
         Returns the incarnations of dead routers that this router acts on.
-    responsible : callable
+    is_responsible : callable
         Whether this router works on the seal of an incarnation.
-    gone : callable
+    is_removed : callable
         Whether a sidecar incarnation is gone for good with its upstream.
-    ask : async callable
+    request_seal : async callable
         Sends a `Seal` to a sidecar's node and returns its `Sealed`; raises
         `LinkError` where there is no answer.
 
@@ -84,18 +84,18 @@
         *,
         platform: Platform,
         incarnation: Callable[[], str],
-        dead: Callable[[], Iterable[str]],
-        responsible: Callable[[str], bool],
-        gone: Callable[[str], bool],
-        ask: Callable[[Node, Seal], Awaitable[Sealed]],
+        failed_routers: Callable[[], Iterable[str]],
+        is_responsible: Callable[[str], bool],
+        is_removed: Callable[[str], bool],
+        request_seal: Callable[[Node, Seal], Awaitable[Sealed]],
         clock: Callable[[], float],
     ) -> None:
         self._platform = platform
         self._incarnation = incarnation
-        self._dead = dead
-        self._responsible = responsible
-        self._gone = gone
-        self._ask = ask
+        self._failed_routers = failed_routers
+        self._is_responsible = is_responsible
+        self._is_removed = is_removed
+        self._request_seal = request_seal
         self._clock = clock
         self._swept_at: float | None = None
 
@@ -103,14 +103,14 @@
         """Work in rounds until cancelled; an outage only delays them."""
         while True:
             try:
-                await self.round()
+                await self.run_round()
             except PlatformError as exc:
                 log_info("reaper_waits", error=str(exc))
             await curio.sleep(ROUND_SECONDS)
 
-    async def round(self) -> None:
+    async def run_round(self) -> None:
         """Seal the newly dead and go on with open seals once."""
-        for router in self._dead():
+        for router in self._failed_routers():
             await self._write_seal(router)
         for router in await self._seals_to_work_on():
             await self._work_on(router)
@@ -132,7 +132,7 @@
         return [
             name
             for name, stored in listing.by_name.items()
-            if self._responsible(name) and (sweep or not _record(stored).closed)
+            if self._is_responsible(name) and (sweep or not _record(stored).closed)
         ]
 
     async def _work_on(self, router: str) -> None:
@@ -162,11 +162,11 @@
         return found
 
     async def _ask_one(self, node: Node, router: str, found: _Round) -> None:
-        if self._gone(node.incarnation):
+        if self._is_removed(node.incarnation):
             found.gone.add(node.incarnation)
             return
         try:
-            sealed = await self._ask(node, Seal(router=router))
+            sealed = await self._request_seal(node, Seal(router=router))
         except LinkError:
             return
         # Another incarnation at that address says nothing about this one.
--- a/src/ragwortkeel/router/receipt_writer.py
+++ b/src/ragwortkeel/router/receipt_writer.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Durable:
+class DurableReceipts:
     """Receipts of one sidecar incarnation that are in the platform."""
 
     sidecar: str
@@ -37,7 +37,7 @@
     Attributes
     ----------
     durable : curio.Queue
-        A `Durable` for each sidecar and segment written.
+        A `DurableReceipts` for each sidecar and segment written.
 
     .. versionadded:: 0.1
     """
@@ -57,7 +57,7 @@
         self._oldest_at = 0.0
 
     @property
-    def held(self) -> int:
+    def pending_count(self) -> int:
         """Receipts that are not durable yet."""
         return len(self._receipts_by_nonce)
 
@@ -72,8 +72,8 @@
         while True:
             await curio.sleep(FLUSH_SECONDS)
             waited = self._clock() - self._oldest_at
-            full = self.held >= BATCH
-            if self.held and (full or waited >= PATIENCE_SECONDS):
+            full = self.pending_count >= BATCH
+            if self.pending_count and (full or waited >= PATIENCE_SECONDS):
                 await self.flush()
 
     async def flush(self) -> bool:
@@ -95,7 +95,9 @@
             self._receipts_by_nonce.pop(receipt.nonce, None)
             nonces_by_sidecar[receipt.sidecar].append(receipt.nonce)
         for sidecar, nonces in nonces_by_sidecar.items():
-            await self.durable.put(Durable(sidecar=sidecar, nonces=tuple(nonces)))
+            await self.durable.put(
+                DurableReceipts(sidecar=sidecar, nonces=tuple(nonces))
+            )
 
 
 async def write_segment(platform: Platform, segment: Segment) -> None:
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -25,7 +25,6 @@
 from ragwortkeel.policy.quarantine import Crash
 from ragwortkeel.policy.scheduler import Scheduler
 from ragwortkeel.router.budgeting import Budgeting
-from ragwortkeel.router.closing import Closing
 from ragwortkeel.router.directory import Directory
 from ragwortkeel.router.dispatcher import Dispatcher
 from ragwortkeel.router.gateway import Gateway
@@ -36,6 +35,7 @@
 from ragwortkeel.router.observer import Gauges, Observer
 from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.peers import PeerLinks
+from ragwortkeel.router.settlement import Settlement
 from ragwortkeel.router.sidecars import SidecarPool
 from ragwortkeel.settings import Address, RouterSettings
 from ragwortkeel.tasks import run_together
@@ -130,7 +130,7 @@
             observer=observer,
         )
         budgets, receipts = self.budgeting.keeper, self.budgeting.receipts
-        self.closing = Closing(budgets=budgets, receipts=receipts)
+        self.settlement = Settlement(budgets=budgets, receipts=receipts)
         self.parts = Parts(
             incarnation=lambda: self.incarnation,
             clock=monotonic,
@@ -140,12 +140,12 @@
             pool=self.pool,
             budgets=budgets,
             receipts=receipts,
-            closing=self.closing,
+            closing=self.settlement,
             tracing=tracing,
         )
         self.gateway = Gateway(
             parts=self.parts,
-            observe=observer.request_ended,
+            observe=observer.record_request,
             refresh=self.gossip.refresh,
         )
         self.stopping = False
@@ -221,7 +221,7 @@
         return 0
 
     def _open(self) -> int:
-        return self._server.open_exchanges + self.closing.open_runs
+        return self._server.open_exchanges + self.settlement.open_runs
 
     async def close(self) -> None:
         """Close the links; call it last."""
@@ -236,13 +236,13 @@
         """
         log_warning("router_was_sealed", incarnation=self.incarnation)
         self.incarnation = new_incarnation(self.settings.name)
-        self.peers.reincarnate(self.incarnation)
-        self.pool.reincarnate()
+        self.peers.set_incarnation(self.incarnation)
+        self.pool.update_incarnation()
         return self.incarnation
 
-    async def meet(self, zone_routers: tuple[str, ...]) -> None:
+    async def set_zone_routers(self, zone_routers: tuple[str, ...]) -> None:
         """Take over which routers share this one's zone, itself included."""
-        if zone_routers != self._zone_routers or self.pool.lingering:
+        if zone_routers != self._zone_routers or self.pool.draining:
             self._zone_routers = zone_routers
             await self._follow_upstreams()
 
@@ -259,7 +259,7 @@
             zone=self.settings.zone,
             routers=self._zone_routers,
         )
-        await self.pool.follow(linked)
+        await self.pool.set_upstreams(linked)
         await self._offer_upstreams()
 
     async def _offer_upstreams(self) -> None:
@@ -278,12 +278,12 @@
 
     async def _read_sidecars(self) -> None:
         while True:
-            event = await self.pool.others.get()
+            event = await self.pool.other_events.get()
             match event:
                 case LinkUp():
                     await self._offer_upstreams()
                 case LinkDown(peer=peer):
-                    self._observer.link_down(Role.SIDECAR, peer)
+                    self._observer.record_link_down(Role.SIDECAR, peer)
                     await self._offer_upstreams()
                 case Received(peer=peer, envelope=envelope):
                     await self._take_from_sidecar(peer, envelope)
@@ -308,7 +308,7 @@
             alone=seen.alone,
         )
         if await self.dispatcher.crashed(crash):
-            self._observer.upstream_crashed(crash)
+            self._observer.record_crash(crash)
             await self.peers.send_all(seen)
 
     async def _take_load(self, upstream: str, sender: str, load: Heartbeat) -> None:
@@ -326,14 +326,14 @@
             waiting=load.waiting,
             limit=load.limit,
         )
-        self._observer.upstream_load(report)
+        self._observer.record_load(report)
         await self.dispatcher.report(report)
 
     async def _read_peers(self) -> None:
         while True:
             event = await self.peers.inbox.get()
             if isinstance(event, LinkDown):
-                self._observer.link_down(Role.ROUTER, event.peer)
+                self._observer.record_link_down(Role.ROUTER, event.peer)
             if not isinstance(event, Received):
                 continue
             envelope = event.envelope
--- a/src/ragwortkeel/router/closing.py
+++ b/src/ragwortkeel/router/settlement.py
@@ -23,7 +23,7 @@
 from ragwortkeel.router.interfaces import Budgets, Receipts
 
 
-class Closing:
+class Settlement:
     """Settles attempts, at once where their end is known and later where not.
 
     Attributes
@@ -63,7 +63,7 @@
                 await self._budgets.settle(reservation, reservation.tokens)
         attempt.close()
 
-    async def abandon(
+    async def follow_in_background(
         self, reservation: Reservation, attempt: Attempt, call: Call, *, cancel: bool
     ) -> None:
         """Follow an open attempt to its end in the background."""
--- a/src/ragwortkeel/router/sidecars.py
+++ b/src/ragwortkeel/router/sidecars.py
@@ -1,7 +1,7 @@
 """The links from a router to the sidecars of the configured upstreams.
 
 One task owns the inbox of all links and hands each message to the exchange
-whose nonce it names; what names none goes to `others`.
+whose nonce it names; what names none goes to `other_events`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -46,7 +46,7 @@
     task: curio.Task
     incarnation: str = ""
     load: Heartbeat = field(default_factory=Heartbeat)
-    heard_at: float = 0.0
+    last_received_at: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -72,9 +72,9 @@
     Attributes
     ----------
     views_by_upstream : dict of str to SidecarView
-    lingering : set of str
+    draining : set of str
         Upstreams that are not wanted any more and still have runs in flight.
-    others : curio.Queue
+    other_events : curio.Queue
         `Received` events that belong to no run, and every link's up and down.
 
     .. versionadded:: 0.1
@@ -88,8 +88,8 @@
         on_crash: Callable[[CrashSeen], Awaitable[None]],
     ) -> None:
         self.views_by_upstream: dict[str, SidecarView] = {}
-        self.lingering: set[str] = set()
-        self.others: curio.Queue = curio.Queue()
+        self.draining: set[str] = set()
+        self.other_events: curio.Queue = curio.Queue()
         self._incarnation = incarnation
         self._revision = revision
         self._on_crash = on_crash
@@ -98,19 +98,19 @@
         self._locating: dict[tuple[str, str, str], curio.Queue] = {}
         self._sealing: dict[tuple[str, str], curio.Queue] = {}
 
-    async def follow(self, upstreams_by_name: dict[str, Upstream]) -> None:
+    async def set_upstreams(self, upstreams_by_name: dict[str, Upstream]) -> None:
         """Open links to new upstreams and close those to removed ones.
 
         One with runs in flight is kept for the next call: closing it would cut
         their answers off.
         """
-        self.lingering.clear()
+        self.draining.clear()
         for name, view in list(self.views_by_upstream.items()):
             wanted = upstreams_by_name.get(name)
             if wanted is not None and wanted.sidecar_address == view.link.address:
                 continue
             if wanted is None and self._has_runs(name):
-                self.lingering.add(name)
+                self.draining.add(name)
                 continue
             await self._drop(name)
         for name, upstream in upstreams_by_name.items():
@@ -169,7 +169,7 @@
         finally:
             self._locating.pop(key, None)
 
-    def reincarnate(self) -> None:
+    def update_incarnation(self) -> None:
         """Send under the router's new incarnation from now on."""
         for view in self.views_by_upstream.values():
             view.link.incarnation = self._incarnation()
@@ -220,13 +220,13 @@
                 await self._hand_out_message(event, envelope.message)
             case LinkUp() | LinkDown():
                 await self._tell_runs(event.peer, event)
-                await self.others.put(event)
+                await self.other_events.put(event)
 
     async def _hand_out_message(self, event: Received, message: AnyMessage) -> None:
         match message:
             case Heartbeat():
                 self._note_load(event.peer, message)
-                await self.others.put(event)
+                await self.other_events.put(event)
             case Sealed(router=router):
                 queue = self._sealing.get((event.peer, router))
                 if queue is not None:
@@ -244,9 +244,9 @@
                 for reader in self._subscriptions_by_nonce.get(message.nonce, ()):
                     await reader.queue.put(message)
                 if isinstance(message, Refused) and message.newer:
-                    await self.others.put(event)
+                    await self.other_events.put(event)
             case _:
-                await self.others.put(event)
+                await self.other_events.put(event)
 
     async def _tell_runs(self, upstream: str, event: LinkUp | LinkDown) -> None:
         for readers in list(self._subscriptions_by_nonce.values()):
@@ -258,7 +258,7 @@
         view = self.views_by_upstream.get(peer)
         if view is not None:
             view.incarnation = incarnation
-            view.heard_at = monotonic()
+            view.last_received_at = monotonic()
 
     def _note_load(self, peer: str, load: Heartbeat) -> None:
         view = self.views_by_upstream.get(peer)
--- a/src/ragwortkeel/router/sinks.py
+++ b/src/ragwortkeel/router/sinks.py
@@ -43,12 +43,12 @@
         self.tokens += len(TOKEN_MARK.findall(whole))
         return whole + mark
 
-    def take_rest(self) -> bytes:
+    def drain_rest(self) -> bytes:
         """Return what is left at the end of a whole answer."""
         rv, self._rest = self._rest, b""
         return rv
 
-    def drop_rest(self) -> None:
+    def discard_rest(self) -> None:
         """Forget a torn event: its run will not go on."""
         self._rest = b""
 
@@ -58,7 +58,7 @@
 
     Attributes
     ----------
-    begun_at : float or None
+    started_at : float or None
         When the caller got the first part, in monotonic seconds.
     """
 
@@ -70,7 +70,7 @@
         traceparent: str = "",
         clock: Callable[[], float] = monotonic,
     ) -> None:
-        self.begun_at: float | None = None
+        self.started_at: float | None = None
         self._responder = responder
         self._request_id = request_id
         self._headers = _headers_of(request_id, traceparent)
@@ -79,9 +79,9 @@
         self._plain: list[bytes] = []
 
     @property
-    def begun(self) -> bool:
+    def has_started(self) -> bool:
         """Whether the caller has part of the answer, so that no problem fits."""
-        return self.begun_at is not None
+        return self.started_at is not None
 
     @property
     def tokens(self) -> int:
@@ -99,8 +99,8 @@
     async def _pass_on(self, data: bytes) -> None:
         if not data:
             return
-        if not self.begun:
-            self.begun_at = self._clock()
+        if not self.has_started:
+            self.started_at = self._clock()
             headers = self._headers | {
                 "content-type": EVENT_STREAM,
                 "cache-control": "no-store",
@@ -110,14 +110,14 @@
 
     def restart(self) -> None:
         """Expect a run that goes on after the tokens already passed on."""
-        self._splitter.drop_rest()
+        self._splitter.discard_rest()
         self._plain.clear()
 
     async def finish(self, status: int, content_type: str) -> None:
         """End the answer, which is whole."""
         # Engines may end their last event otherwise than by an empty line.
-        await self._pass_on(self._splitter.take_rest())
-        if not self.begun:
+        await self._pass_on(self._splitter.drain_rest())
+        if not self.has_started:
             headers = self._headers | {"content-type": content_type}
             body = b"".join(self._plain)
             await self._send(self._responder.respond(status, body, headers))
@@ -126,7 +126,7 @@
 
     async def refuse(self, refusal: Refusal) -> None:
         """End the answer by a refusal, or by an error event once begun."""
-        if not self.begun:
+        if not self.has_started:
             await _respond_problem(
                 self._responder, refusal, self._request_id, self._headers
             )
@@ -142,7 +142,7 @@
             await sending
 
 
-class WholeSink:
+class BufferedSink:
     """Collects an answer and sends it once it is whole."""
 
     def __init__(
@@ -153,8 +153,8 @@
         traceparent: str = "",
         clock: Callable[[], float] = monotonic,
     ) -> None:
-        self.begun_at: float | None = None
-        self.begun = False
+        self.started_at: float | None = None
+        self.has_started = False
         self.tokens = 0
         self._responder = responder
         self._request_id = request_id
@@ -187,7 +187,7 @@
         )
 
 
-Sink = StreamSink | WholeSink
+Sink = StreamSink | BufferedSink
 
 
 def _headers_of(request_id: str, traceparent: str) -> dict[str, str]:
--- a/src/ragwortkeel/router/worker.py
+++ b/src/ragwortkeel/router/worker.py
@@ -13,7 +13,7 @@
 from ragwortkeel.platform_client import HttpPlatform
 from ragwortkeel.process import Leftover
 from ragwortkeel.registration import deregister, follow_list, register
-from ragwortkeel.router.neighbours import partners, zone_members
+from ragwortkeel.router.neighbours import peers_to_link, zone_router_addresses
 from ragwortkeel.router.observer import Observer
 from ragwortkeel.router.router import Router, new_incarnation
 from ragwortkeel.settings import RouterSettings
@@ -35,7 +35,7 @@
         self._settings = settings
         self._observer = Observer(metrics=self.metrics)
         self._platform = HttpPlatform(
-            address=settings.platform, on_failure=self._observer.platform_failed
+            address=settings.platform, on_failure=self._observer.record_platform_failure
         )
         self._router = Router(
             settings=settings,
@@ -99,7 +99,7 @@
     async def _follow_neighbours(self) -> None:
         while True:
             await self._meet(monotonic())
-            self._observer.gauges(self._router.gauges())
+            self._observer.set_gauges(self._router.gauges())
             await curio.sleep(NEIGHBOURS_SECONDS)
 
     async def _meet(self, now: float) -> None:
@@ -107,16 +107,16 @@
         settings, membership = self._settings, self._router.membership
         nodes = membership.nodes(now, *Liveness)
         present = [node for node in nodes if node.incarnation not in self._dead(now)]
-        addresses = partners(present, address=settings.address, zone=settings.zone)
+        addresses = peers_to_link(present, address=settings.address, zone=settings.zone)
         addresses = addresses or set(settings.peers)
         probed = {n.address for n in membership.to_probe() if n.role == Role.ROUTER}
         followed = (addresses | probed) - {settings.address}
-        await self._router.peers.follow(followed)
+        await self._router.peers.set_addresses(followed)
         for node in nodes:
             if node.address in followed or self._router.is_linked_to(node):
                 membership.probing(node.incarnation, now)
-        members = zone_members(present, settings.zone)
-        await self._router.meet(members)
+        members = zone_router_addresses(present, settings.zone)
+        await self._router.set_zone_routers(members)
         change = Partners(addresses=tuple(addresses), zone_members=members)
         await self._router.gossip.inbox.put(change)
 
--- a/tests/router/test_filings.py
+++ b/tests/router/test_filings.py
@@ -9,11 +9,11 @@
 from ragwortkeel.configuration import ServiceClass
 from ragwortkeel.policy.facts import Assignment, RequestFacts
 from ragwortkeel.router.calls import Call, ServiceCall
-from ragwortkeel.router.closing import Closing
 from ragwortkeel.router.filings import FilingExchange
 from ragwortkeel.router.intents import IntentStore
 from ragwortkeel.router.parts import Parts
-from ragwortkeel.router.sinks import WholeSink
+from ragwortkeel.router.settlement import Settlement
+from ragwortkeel.router.sinks import BufferedSink
 from ragwortkeel.sidecar.admission import Admission
 from ragwortkeel.sidecar.core import SidecarCore
 from ragwortkeel.sidecar.effects import (
@@ -187,7 +187,7 @@
         pool=Pool(router, sidecars),
         budgets=budgets,
         receipts=budgets,
-        closing=Closing(budgets=budgets, receipts=budgets),
+        closing=Settlement(budgets=budgets, receipts=budgets),
         tracing=Tracing(node=router),
     )
     return FilingExchange(
@@ -195,7 +195,7 @@
         version=1,
         facts=FACTS,
         parts=parts,
-        sink=WholeSink(responder=caller, request_id="k"),
+        sink=BufferedSink(responder=caller, request_id="k"),
     )
 
 
--- a/tests/router/test_neighbours.py
+++ b/tests/router/test_neighbours.py
@@ -4,12 +4,12 @@
 
 from ragwortkeel.configuration import Node, Upstream, UpstreamKind
 from ragwortkeel.router.neighbours import (
-    COVERED_BY,
-    LINKED_FAR,
-    LINKED_NEAR,
-    PARTNERS_ELSEWHERE,
-    PARTNERS_IN_ZONE,
-    partners,
+    MIN_ROUTERS_PER_UPSTREAM,
+    PEERS_IN_OTHER_ZONES,
+    PEERS_IN_ZONE,
+    UPSTREAM_LINKS_IN_OTHER_ZONES,
+    UPSTREAM_LINKS_IN_ZONE,
+    peers_to_link,
     upstreams_to_link,
 )
 
@@ -55,16 +55,16 @@
                 known, address=address, zone="z0", routers=routers
             )
             near = [n for n, one in linked.items() if one.zone == "z0"]
-            assert LINKED_NEAR <= len(near) <= 3 * LINKED_NEAR
-            assert len(linked) - len(near) == LINKED_FAR
+            assert UPSTREAM_LINKS_IN_ZONE <= len(near) <= 3 * UPSTREAM_LINKS_IN_ZONE
+            assert len(linked) - len(near) == UPSTREAM_LINKS_IN_OTHER_ZONES
             links.update(near)
         assert len(links) == 100
-        assert min(links.values()) >= COVERED_BY
+        assert min(links.values()) >= MIN_ROUTERS_PER_UPSTREAM
 
 
 class TestPartners:
     def test_some_are_in_the_zone_and_some_elsewhere(self):
         nodes = [router(i, "a" if i < 20 else "b") for i in range(1, 40)]
-        found = partners(nodes, address="10.0.0.1:7000", zone="a")
-        assert len(found) == PARTNERS_IN_ZONE + PARTNERS_ELSEWHERE
+        found = peers_to_link(nodes, address="10.0.0.1:7000", zone="a")
+        assert len(found) == PEERS_IN_ZONE + PEERS_IN_OTHER_ZONES
         assert "10.0.0.1:7000" not in found
--- a/tests/router/test_path.py
+++ b/tests/router/test_path.py
@@ -187,7 +187,7 @@
             async with fleet.client.stream("POST", CHAT_PATH, body=body) as answer:
                 async for _ in answer.pieces():
                     break
-            await until(lambda: not fleet.router.closing.open_runs)
+            await until(lambda: not fleet.router.settlement.open_runs)
             await until(lambda: not fleet.row(CHAT).reserved)
             return await fleet.receipts()
 
--- a/tests/router/test_reaper.py
+++ b/tests/router/test_reaper.py
@@ -43,10 +43,10 @@
         self.reaper = Reaper(
             platform=self.platform,
             incarnation=lambda: "r2",
-            dead=lambda: ["r1"],
-            responsible=lambda router: True,
-            gone=lambda sidecar: sidecar in self.gone,
-            ask=self.ask,
+            failed_routers=lambda: ["r1"],
+            is_responsible=lambda router: True,
+            is_removed=lambda sidecar: sidecar in self.gone,
+            request_seal=self.ask,
             clock=lambda: self.now,
         )
 
@@ -82,7 +82,7 @@
         return answer
 
     def round(self):
-        curio.run(self.reaper.round)
+        curio.run(self.reaper.run_round)
 
     @property
     def ledger(self):
--- a/tests/router/test_sidecars.py
+++ b/tests/router/test_sidecars.py
@@ -36,12 +36,12 @@
             pool = SidecarPool(
                 incarnation=lambda: "r1", revision=lambda: 1, on_crash=ignore
             )
-            await pool.follow({"m1": UPSTREAM})
+            await pool.set_upstreams({"m1": UPSTREAM})
             reader = pool.subscribe("n", "m1")
-            await pool.follow({})
-            kept = "m1" in pool.views_by_upstream, set(pool.lingering)
+            await pool.set_upstreams({})
+            kept = "m1" in pool.views_by_upstream, set(pool.draining)
             pool.unsubscribe(reader)
-            await pool.follow({})
+            await pool.set_upstreams({})
             return kept, dict(pool.views_by_upstream)
 
         kept, left = run(main)
--- a/tests/router/test_sinks.py
+++ b/tests/router/test_sinks.py
@@ -4,7 +4,12 @@
 from curio import run
 
 from ragwortkeel.router.refusals import Outcome, Reason, Refusal
-from ragwortkeel.router.sinks import EVENT_STREAM, EventSplitter, StreamSink, WholeSink
+from ragwortkeel.router.sinks import (
+    EVENT_STREAM,
+    BufferedSink,
+    EventSplitter,
+    StreamSink,
+)
 
 TOKEN = b'data: {"choices":[{"delta":{"content":"a"}}]}\n\n'
 FAILED = Refusal(outcome=Outcome.FAILED, reason=Reason.UPSTREAM_FAILED)
@@ -52,7 +57,7 @@
         """
         splitter = EventSplitter()
         splitter.add(TOKEN + TOKEN[:9])
-        splitter.drop_rest()
+        splitter.discard_rest()
         assert splitter.add(TOKEN) == TOKEN
 
     def test_an_empty_first_event_is_no_token(self):
@@ -116,7 +121,7 @@
 class TestWholeSink:
     def test_pieces_of_a_run_that_broke_off_are_forgotten(self):
         responder = FakeResponder()
-        sink = WholeSink(responder=responder, request_id="r")
+        sink = BufferedSink(responder=responder, request_id="r")
 
         async def main():
             await sink.write(b"half", "text/plain")
@@ -129,7 +134,7 @@
 
     def test_when_to_come_back_is_told(self):
         responder = FakeResponder()
-        sink = WholeSink(responder=responder, request_id="r")
+        sink = BufferedSink(responder=responder, request_id="r")
         refusal = Refusal(
             outcome=Outcome.NOT_RUN,
             reason=Reason.QUEUE_FULL,
