--- a/src/ragwortkeel/router/directory.py
+++ b/src/ragwortkeel/router/directory.py
@@ -5,10 +5,10 @@
 from ragwortkeel.configuration import PROFILES, UPSTREAMS, Profile, Upstream
 from ragwortkeel.configuration_store import ConfigurationStore
 
-_profiles = msgspec.json.Decoder(Profile)
-_upstreams = msgspec.json.Decoder(Upstream)
+_profile_decoder = msgspec.json.Decoder(Profile)
+_upstream_decoder = msgspec.json.Decoder(Upstream)
 
-MAX_DECODED = 10_000
+MAX_DECODED_PROFILES = 10_000
 """Profiles kept decoded; a node serves far fewer at a time than there are."""
 
 
@@ -29,15 +29,15 @@
         rank = self._store.rank(PROFILES, name)
         if rank is None:
             return None
-        known = self._profiles_by_name.get(name)
-        if known is not None and known[1] == rank.version:
-            return known
-        found = self._store.get(PROFILES, name)
+        decoded = self._profiles_by_name.get(name)
+        if decoded is not None and decoded[1] == rank.version:
+            return decoded
+        stored = self._store.get(PROFILES, name)
         try:
-            rv = _profiles.decode(found.value), found.version
+            rv = _profile_decoder.decode(stored.value), stored.version
         except msgspec.DecodeError:
             return None
-        if len(self._profiles_by_name) >= MAX_DECODED:
+        if len(self._profiles_by_name) >= MAX_DECODED_PROFILES:
             self._profiles_by_name.clear()
         self._profiles_by_name[name] = rv
         return rv
@@ -64,9 +64,12 @@
         )
 
     def _decode_upstreams(self):
-        for found in self._store.objects(UPSTREAMS):
+        for stored in self._store.objects(UPSTREAMS):
             try:
-                yield found.name, (_upstreams.decode(found.value), found.version)
+                yield (
+                    stored.name,
+                    (_upstream_decoder.decode(stored.value), stored.version),
+                )
             except msgspec.DecodeError:
                 # One unreadable object must not take the others out of service.
                 continue
--- a/src/ragwortkeel/router/filing_runs.py
+++ b/src/ragwortkeel/router/filing_runs.py
@@ -43,7 +43,7 @@
 )
 from ragwortkeel.traces import traceparent_of
 
-ASK_SECONDS = 1.0
+TOMBSTONE_TIMEOUT_SECONDS = 1.0
 """A sidecar that is up answers in well under a millisecond."""
 
 
@@ -65,7 +65,7 @@
         self._parts = parts
         self._sink = sink
 
-    def attempt(self, upstream: str, nonce: str, sidecar: str) -> Attempt:
+    def new_attempt(self, upstream: str, nonce: str, sidecar: str) -> Attempt:
         """Return an attempt whose answer goes to the sink."""
 
         async def emit(data: bytes) -> None:
@@ -81,16 +81,16 @@
         )
         return rv
 
-    async def ask(self, step: AskSidecar) -> RunState | None:
+    async def request_tombstone(self, step: AskSidecar) -> RunState | None:
         """Have the sidecar promise never to run a nonce, unless it ran."""
         upstream = self._parts.pool.upstream_of(step.sidecar)
         if upstream is None:
             return None
         reader = self._parts.pool.subscribe(step.nonce, upstream)
         try:
-            question = Tombstone(nonce=step.nonce, sidecar=step.sidecar)
-            await self._parts.pool.send(upstream, question)
-            async with curio.timeout_after(ASK_SECONDS):
+            message = Tombstone(nonce=step.nonce, sidecar=step.sidecar)
+            await self._parts.pool.send(upstream, message)
+            async with curio.timeout_after(TOMBSTONE_TIMEOUT_SECONDS):
                 while True:
                     event = await reader.queue.get()
                     if isinstance(event, TombstoneResult):
@@ -101,21 +101,21 @@
             self._parts.pool.unsubscribe(reader)
 
     async def run(
-        self, held: StoredIntent, reservation: Reservation, *, alone: bool
+        self, stored: StoredIntent, reservation: Reservation, *, alone: bool
     ) -> AttemptEnd:
         """Dispatch the intent, once, and return how it ended."""
-        running = await curio.spawn(self._run, held, reservation, alone, daemon=True)
-        return await running.join()
+        task = await curio.spawn(self._run, stored, reservation, alone, daemon=True)
+        return await task.join()
 
     async def _run(
-        self, held: StoredIntent, reservation: Reservation, alone: bool
+        self, stored: StoredIntent, reservation: Reservation, alone: bool
     ) -> AttemptEnd:
-        intent = held.intent
-        attempt = self.attempt(intent.upstream, intent.nonce, intent.sidecar)
+        intent = stored.intent
+        attempt = self.new_attempt(intent.upstream, intent.nonce, intent.sidecar)
         with self._parts.tracing.span(
             "dispatch", parent=self._call.traceparent, upstream=intent.upstream
         ) as span:
-            order = build_dispatch(
+            dispatch = build_dispatch(
                 call=self._call,
                 body=self._call.body,
                 idempotent=False,
@@ -130,18 +130,18 @@
             # Failure: paused since the intent was written, this router wakes to
             # fresh heartbeats and dispatches what a retry has taken over.  The
             # epoch from before the intent is too old by then.
-            order = replace(order, epoch=intent.epoch)
-            return await self._run_to_outcome(attempt, reservation, held, order)
+            dispatch = replace(dispatch, epoch=intent.epoch)
+            return await self._run_to_outcome(attempt, reservation, stored, dispatch)
 
     async def _run_to_outcome(
         self,
         attempt: Attempt,
         reservation: Reservation,
-        held: StoredIntent,
-        order: Dispatch,
+        stored: StoredIntent,
+        dispatch: Dispatch,
     ) -> AttemptEnd:
         end = Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
-        if self._parts.is_current(reservation) and await attempt.open(order):
+        if self._parts.is_current(reservation) and await attempt.open(dispatch):
             end = await attempt.follow()
         if isinstance(end, Lost) and attempt.may_go_on:
             await self._parts.closing.follow_in_background(
@@ -149,26 +149,28 @@
             )
             return end
         await self._parts.closing.settle(reservation, attempt, end, self._call)
-        await self.start_recording(end, held, attempt)
+        await self.start_recording(end, stored, attempt)
         return end
 
     async def start_recording(
-        self, end: AttemptEnd, held: StoredIntent, attempt: Attempt
+        self, end: AttemptEnd, stored: StoredIntent, attempt: Attempt
     ) -> None:
         """Make the outcome of a run durable in the background."""
-        outcome = self._outcome(end)
+        outcome = self._outcome_of(end)
         if outcome is not None:
-            done = with_outcome(held.intent, outcome)
-            await curio.spawn(self._record, done, held.version, attempt, daemon=True)
+            final_intent = with_outcome(stored.intent, outcome)
+            await curio.spawn(
+                self._record, final_intent, stored.version, attempt, daemon=True
+            )
 
-    async def _record(self, done: Intent, version: int, attempt: Attempt) -> None:
+    async def _record(self, intent: Intent, version: int, attempt: Attempt) -> None:
         """Make an outcome durable and tell the sidecar, which then may forget."""
-        if await self._parts.intents.record(done, version):
-            message = OutcomeDurable(nonces=(done.nonce,))
+        if await self._parts.intents.record(intent, version):
+            message = OutcomeDurable(nonces=(intent.nonce,))
             with suppress(LinkLost):
                 await self._parts.pool.send(attempt.upstream, message)
 
-    def _outcome(self, end: AttemptEnd) -> Outcome | None:
+    def _outcome_of(self, end: AttemptEnd) -> Outcome | None:
         match end:
             case Completed(status=status, content_type=content_type, tokens=tokens):
                 return Outcome(
--- a/src/ragwortkeel/router/filings.py
+++ b/src/ragwortkeel/router/filings.py
@@ -49,13 +49,13 @@
     with_outcome,
 )
 
-SOON_SECONDS = 1.0
+SHORT_RETRY_SECONDS = 1.0
 """By then the other attempt of the key has ended or is found running."""
 
 RETRY_SECONDS_BY_REASON = {
     Reason.PLATFORM_UNAVAILABLE: 10.0,
-    Reason.CONTENDED: SOON_SECONDS,
-    Reason.REFUSED_BY_UPSTREAM: SOON_SECONDS,
+    Reason.CONTENDED: SHORT_RETRY_SECONDS,
+    Reason.REFUSED_BY_UPSTREAM: SHORT_RETRY_SECONDS,
     Reason.SIDECAR_GONE: 10.0,
 }
 """Where coming back helps; an operator has to decide the rest."""
@@ -96,7 +96,7 @@
         self._runs = FilingRuns(
             call=call, version=version, facts=facts, parts=parts, sink=sink
         )
-        self._wrote = False
+        self._has_written = False
         self._assignment: Assignment | None = None
         self._reservation: Reservation | None = None
 
@@ -105,7 +105,7 @@
         try:
             refusal = await self._decide()
             if refusal is not None and refusal.outcome is CallerOutcome.NOT_RUN:
-                return await self._make_sure(refusal)
+                return await self._confirm_not_run(refusal)
             return refusal
         finally:
             if self._reservation is not None:
@@ -116,23 +116,23 @@
         while True:
             match self._filing.step:
                 case ReturnOutcome(outcome=outcome):
-                    return await self._answer(outcome)
+                    return await self._send_outcome(outcome)
                 case ResumeRun() as step:
-                    return await self._follow(step)
+                    return await self._resume(step)
                 case Refuse() as step:
-                    await self._list_if_asked(step)
+                    await self._record_unresolved(step)
                     return _refusal(step)
                 case DispatchRun():
-                    end = await self._go()
+                    end = await self._dispatch()
                     if isinstance(end, Completed):
                         return await self._finish(end)
-                    refusal = await self._after(end)
+                    refusal = await self._handle_failed_run(end)
                 case step:
-                    refusal = await self._take(step)
+                    refusal = await self._execute(step)
             if refusal is not None:
                 return refusal
 
-    async def _take(
+    async def _execute(
         self, step: ReadIntent | Create | TakeOver | AskSidecar | WriteNotRun
     ) -> Refusal | None:
         """Carry out one step; return a refusal that the steps do not know of."""
@@ -144,7 +144,7 @@
             case TakeOver(version=version):
                 return await self._write(version)
             case AskSidecar():
-                self._filing.on_tombstone(await self._runs.ask(step))
+                self._filing.on_tombstone(await self._runs.request_tombstone(step))
             case WriteNotRun(intent=intent, version=version):
                 result, _ = await self._intents.write(intent, version)
                 self._filing.on_release(result)
@@ -164,13 +164,15 @@
 
     async def _read(self) -> None:
         try:
-            held = await self._intents.read(self._call.profile, self._call.request_id)
+            current = await self._intents.read(
+                self._call.profile, self._call.request_id
+            )
         except PlatformError:
             self._filing.on_unreadable()
             return
-        self._filing.on_read(held)
+        self._filing.on_read(current)
 
-    async def _make_sure(self, refusal: Refusal) -> Refusal:
+    async def _confirm_not_run(self, refusal: Refusal) -> Refusal:
         """Return `not_run` only once no other attempt of the key can run.
 
         Failure: a caller gives up on a slow router and tries another, which is
@@ -178,28 +180,28 @@
         the slow router then runs the first.  The record written here makes the
         slow router's create or update fail, and it finds the refusal.
         """
-        if not self._call.key_given or refusal.reason in _ALREADY_SURE:
+        if not self._call.key_given or refusal.reason in _CONFIRMED_REASONS:
             return refusal
-        held = self._filing.stored
-        base = held.intent if held else self._new_intent()
-        fresh = replace(base, nonce=uuid4().hex)
+        current = self._filing.stored
+        base = current.intent if current else self._new_intent()
+        not_run_intent = replace(base, nonce=uuid4().hex)
         result, _ = await self._intents.write(
-            after_refusal(fresh), held.version if held else None
+            after_refusal(not_run_intent), current.version if current else None
         )
         if result is WriteResult.WRITTEN:
             return refusal
         return Refusal(
             outcome=CallerOutcome.UNKNOWN,
             reason=refusal.reason,
-            retry_after_seconds=max(refusal.retry_after_seconds, SOON_SECONDS),
+            retry_after_seconds=max(refusal.retry_after_seconds, SHORT_RETRY_SECONDS),
         )
 
     async def _write(self, version: int | None) -> Refusal | None:
         """Choose a sidecar, then write the intent that names it."""
-        if version is not None and self._wrote and self._found_released():
+        if version is not None and self._has_written and self._stored_is_not_run():
             # Since this attempt began, another one of the same key was told
             # `not_run`; running now would make that a lie.
-            return _not_run(Reason.CONTENDED, SOON_SECONDS)
+            return _not_run(Reason.CONTENDED, SHORT_RETRY_SECONDS)
         refusal = await self._prepare()
         if refusal is not None:
             return refusal
@@ -210,12 +212,12 @@
             upstream=self._assignment.upstream,
             epoch=0 if view is None else view.load.epoch,
         )
-        self._wrote = True
+        self._has_written = True
         result, new_version = await self._intents.write(self._filing.wanted, version)
         self._filing.on_write(result, new_version)
         return None
 
-    def _found_released(self) -> bool:
+    def _stored_is_not_run(self) -> bool:
         outcome = self._filing.stored.intent.outcome
         return outcome is not None and outcome.verdict is Verdict.NOT_RUN
 
@@ -230,7 +232,7 @@
             return None
         view = self._parts.pool.views_by_upstream.get(self._assignment.upstream)
         if view is None:
-            return _not_run(Reason.NO_UPSTREAM, SOON_SECONDS)
+            return _not_run(Reason.NO_UPSTREAM, SHORT_RETRY_SECONDS)
         try:
             self._reservation = await self._parts.budgets.reserve(
                 self._call.profile, self._call.bound, view.incarnation
@@ -239,7 +241,7 @@
             return _not_run(Reason(exc.reason), exc.retry_after_seconds)
         return None
 
-    async def _go(self) -> AttemptEnd:
+    async def _dispatch(self) -> AttemptEnd:
         """Dispatch, once; the run outlives this request."""
         self.may_have_run = True
         self._filing.on_sent()
@@ -253,21 +255,23 @@
         await self._parts.dispatcher.finished(self._facts.request_id)
         await self._sink.finish(end.status, end.content_type)
 
-    async def _after(self, end: Declined | Broken | Lost) -> Refusal | None:
+    async def _handle_failed_run(self, end: Declined | Broken | Lost) -> Refusal | None:
         match end:
             case Declined(reason=reason):
-                other = await self._elsewhere(end)
-                self._filing.on_refused(reason, other)
+                other_intent = await self._admit_elsewhere(end)
+                self._filing.on_refused(reason, other_intent)
             case Broken(may_have_run=False):
-                other = await self._elsewhere(end)
-                self._filing.on_refused(RefusalReason.UPSTREAM_UNREACHABLE, other)
+                other_intent = await self._admit_elsewhere(end)
+                self._filing.on_refused(
+                    RefusalReason.UPSTREAM_UNREACHABLE, other_intent
+                )
             case Lost():
                 self._filing.on_disconnected(self._new_intent())
             case Broken():
-                return _unknown(Reason.RUN_FAILED)
+                return _outcome_unknown(Reason.RUN_FAILED)
         return None
 
-    async def _elsewhere(self, end: Declined | Broken) -> Intent | None:
+    async def _admit_elsewhere(self, end: Declined | Broken) -> Intent | None:
         """Be admitted to another upstream; this one will never run the nonce."""
         self.may_have_run = self._call.key_given
         decision = await self._parts.dispatcher.retry(
@@ -278,37 +282,39 @@
         self._assignment = decision
         return self._new_intent()
 
-    async def _follow(self, step: ResumeRun) -> Refusal | None:
+    async def _resume(self, step: ResumeRun) -> Refusal | None:
         """Give the caller the answer of a run that an earlier attempt started."""
         upstream = self._parts.pool.upstream_of(step.sidecar)
         if upstream is None:
-            return _unknown(Reason.SIDECAR_GONE)
-        attempt = self._runs.attempt(upstream, step.nonce, step.sidecar)
+            return _outcome_unknown(Reason.SIDECAR_GONE)
+        attempt = self._runs.new_attempt(upstream, step.nonce, step.sidecar)
         if not await attempt.open(Resume(nonce=step.nonce, offset=0)):
-            return _unknown(Reason.SIDECAR_GONE)
+            return _outcome_unknown(Reason.SIDECAR_GONE)
         try:
             end = await attempt.follow()
         finally:
             attempt.close()
         if not isinstance(end, Completed):
-            return _unknown(Reason.RUN_FAILED)
+            return _outcome_unknown(Reason.RUN_FAILED)
         await self._runs.start_recording(end, self._filing.stored, attempt)
         await self._sink.finish(end.status, end.content_type)
         return None
 
-    async def _answer(self, outcome: Outcome) -> None:
+    async def _send_outcome(self, outcome: Outcome) -> None:
         await self._sink.write(outcome.body, outcome.content_type)
         await self._sink.finish(outcome.status, outcome.content_type)
 
-    async def _list_if_asked(self, step: Refuse) -> None:
-        held = self._filing.stored
-        if not step.list_for_operators or held is None:
+    async def _record_unresolved(self, step: Refuse) -> None:
+        current = self._filing.stored
+        if not step.list_for_operators or current is None:
             return
         outcome = Outcome(verdict=Verdict.UNRESOLVED, reason=step.reason)
-        await self._intents.write(with_outcome(held.intent, outcome), held.version)
+        await self._intents.write(
+            with_outcome(current.intent, outcome), current.version
+        )
 
 
-_ALREADY_SURE = (Reason.KEY_REUSED, Reason.REFUSED_BY_UPSTREAM)
+_CONFIRMED_REASONS = (Reason.KEY_REUSED, Reason.REFUSED_BY_UPSTREAM)
 """Refusals that rest on a record in the platform, or on another caller's body."""
 
 
@@ -320,7 +326,7 @@
     )
 
 
-def _unknown(reason: Reason) -> Refusal:
+def _outcome_unknown(reason: Reason) -> Refusal:
     refuse = Refuse(status=409, outcome=CallerOutcome.UNKNOWN, reason=reason)
     return _refusal(refuse)
 
--- a/src/ragwortkeel/router/intents.py
+++ b/src/ragwortkeel/router/intents.py
@@ -21,7 +21,7 @@
 )
 
 OUTCOME_RETRY_SECONDS = 1.0
-OUTCOME_TRIES = 30
+OUTCOME_WRITE_ATTEMPTS = 30
 """The sidecar keeps what it ran and records it as well; this is the fast way."""
 
 
@@ -60,10 +60,10 @@
             return WriteResult.UNAVAILABLE, 0
         return WriteResult.WRITTEN, rv
 
-    async def record(self, done: Intent, version: int) -> bool:
+    async def record(self, intent: Intent, version: int) -> bool:
         """Make an outcome durable, through a short outage if need be."""
-        for _ in range(OUTCOME_TRIES):
-            result, _ = await self.write(done, version)
+        for _ in range(OUTCOME_WRITE_ATTEMPTS):
+            result, _ = await self.write(intent, version)
             if result is WriteResult.WRITTEN:
                 return True
             if result is WriteResult.CONFLICT:
--- a/src/ragwortkeel/router/neighbours.py
+++ b/src/ragwortkeel/router/neighbours.py
@@ -35,11 +35,15 @@
 
 def peers_to_link(nodes: Iterable[Node], *, address: str, zone: str) -> set[str]:
     """Return the addresses of the routers to keep links to."""
-    others = [n for n in nodes if n.role == Role.ROUTER and n.address != address]
-    near = {node.address for node in others if node.zone == zone}
-    far = {node.address for node in others} - near
-    rv = set(rendezvous(address, near, PEERS_IN_ZONE))
-    return rv | set(rendezvous(address, far, PEERS_IN_OTHER_ZONES))
+    routers = [
+        router
+        for router in nodes
+        if router.role == Role.ROUTER and router.address != address
+    ]
+    in_zone = {node.address for node in routers if node.zone == zone}
+    elsewhere = {node.address for node in routers} - in_zone
+    rv = set(rendezvous(address, in_zone, PEERS_IN_ZONE))
+    return rv | set(rendezvous(address, elsewhere, PEERS_IN_OTHER_ZONES))
 
 
 def upstreams_to_link(
@@ -64,17 +68,21 @@
             group = upstream.back_end, upstream.zone == zone
             names_by_group[group].append(name)
     rv = {}
-    for (_, near), names in names_by_group.items():
-        count = UPSTREAM_LINKS_IN_ZONE if near else UPSTREAM_LINKS_IN_OTHER_ZONES
-        if not near and len(names) <= UPSTREAM_LINKS_IN_ZONE:
+    for (_, in_zone), names in names_by_group.items():
+        count = UPSTREAM_LINKS_IN_ZONE if in_zone else UPSTREAM_LINKS_IN_OTHER_ZONES
+        if not in_zone and len(names) <= UPSTREAM_LINKS_IN_ZONE:
             # A small fleet spans its zones, so that losing one costs no caller.
             count = UPSTREAM_LINKS_IN_ZONE
         chosen = set(rendezvous(address, names, count))
-        if near:
-            chosen |= {n for n in names if _covers(address, n, routers)}
+        if in_zone:
+            chosen |= {
+                candidate
+                for candidate in names
+                if _is_chosen_for(address, candidate, routers)
+            }
         rv |= {name: upstreams_by_name[name] for name in sorted(chosen)}
     return rv
 
 
-def _covers(address: str, upstream: str, routers: Collection[str]) -> bool:
+def _is_chosen_for(address: str, upstream: str, routers: Collection[str]) -> bool:
     return address in rendezvous(upstream, routers, MIN_ROUTERS_PER_UPSTREAM)
--- a/src/ragwortkeel/router/observer.py
+++ b/src/ragwortkeel/router/observer.py
@@ -51,27 +51,27 @@
     def __init__(self, *, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def record_request(self, observed: EndedRequest) -> None:
+    def record_request(self, ended: EndedRequest) -> None:
         """Tell how a request went."""
-        refusal, service = observed.refusal, observed.profile.service
+        refusal, service = ended.refusal, ended.profile.service
         outcome = ANSWERED if refusal is None else refusal.outcome
         reason = "" if refusal is None else refusal.reason
         self._metrics.request_ended(service=service, outcome=outcome, reason=reason)
-        if observed.tokens:
-            self._metrics.tokens_spent(service=service, tokens=observed.tokens)
-        if observed.first_token_seconds is not None:
+        if ended.tokens:
+            self._metrics.tokens_spent(service=service, tokens=ended.tokens)
+        if ended.first_token_seconds is not None:
             self._metrics.first_token(
-                service=service, seconds=observed.first_token_seconds
+                service=service, seconds=ended.first_token_seconds
             )
         log_info(
             "request_ended",
-            profile=observed.profile.name,
-            request=observed.call.request_id,
+            profile=ended.profile.name,
+            request=ended.call.request_id,
             outcome=outcome,
             reason=reason,
-            seconds=observed.seconds,
-            tokens=observed.tokens,
-            trace=trace_id_of(observed.call.traceparent),
+            seconds=ended.seconds,
+            tokens=ended.tokens,
+            trace=trace_id_of(ended.call.traceparent),
         )
 
     def record_decision(
--- a/src/ragwortkeel/router/reaper.py
+++ b/src/ragwortkeel/router/reaper.py
@@ -28,13 +28,13 @@
 from ragwortkeel.platform import Platform, Stored
 from ragwortkeel.router.receipt_writer import write_segment
 
-ROUND_SECONDS = 2.0
+ROUND_INTERVAL_SECONDS = 2.0
 """Between two rounds over open seals; one round asks each sidecar once."""
 
-SWEEP_SECONDS = 60.0
+SWEEP_INTERVAL_SECONDS = 60.0
 """A sealed router may open a grant after its seal was closed; a sweep finds it."""
 
-ATTEMPTS = 8
+MAX_UPDATE_ATTEMPTS = 8
 
 
 class SealRecord(msgspec.Struct, frozen=True, kw_only=True):
@@ -50,13 +50,13 @@
 
 
 @dataclass(kw_only=True)
-class _Round:
+class _RoundResult:
     """What the sidecars said about one router in one round."""
 
-    listed: set[str] = field(default_factory=set)
+    registered: set[str] = field(default_factory=set)
     sealed_by_sidecar: dict[str, Sealed] = field(default_factory=dict)
-    gone: set[str] = field(default_factory=set)
-    receipts_left: bool = False
+    removed: set[str] = field(default_factory=set)
+    receipts_pending: bool = False
 
 
 class Reaper:
@@ -106,14 +106,14 @@
                 await self.run_round()
             except PlatformError as exc:
                 log_info("reaper_waits", error=str(exc))
-            await curio.sleep(ROUND_SECONDS)
+            await curio.sleep(ROUND_INTERVAL_SECONDS)
 
     async def run_round(self) -> None:
         """Seal the newly dead and go on with open seals once."""
         for router in self._failed_routers():
             await self._write_seal(router)
-        for router in await self._seals_to_work_on():
-            await self._work_on(router)
+        for router in await self._seals_to_process():
+            await self._process_seal(router)
 
     async def _write_seal(self, router: str) -> None:
         record = SealRecord(router=router, by=self._incarnation())
@@ -123,47 +123,49 @@
             return
         log_info("router_sealed", router=router)
 
-    async def _seals_to_work_on(self) -> list[str]:
+    async def _seals_to_process(self) -> list[str]:
         listing = await self._platform.list(SEALS)
         now = self._clock()
-        sweep = self._swept_at is None or now - self._swept_at >= SWEEP_SECONDS
-        if sweep:
+        is_sweep = (
+            self._swept_at is None or now - self._swept_at >= SWEEP_INTERVAL_SECONDS
+        )
+        if is_sweep:
             self._swept_at = now
         return [
             name
             for name, stored in listing.by_name.items()
-            if self._is_responsible(name) and (sweep or not _record(stored).closed)
+            if self._is_responsible(name) and (is_sweep or not _record(stored).closed)
         ]
 
-    async def _work_on(self, router: str) -> None:
+    async def _process_seal(self, router: str) -> None:
         # The order of the guard: the seal is in the platform already, so a
         # sidecar missing in this list reads the seal before it lets work in.
-        found = await self._ask_sidecars(router)
-        await self._keep_receipts(router, found)
+        result = await self._ask_sidecars(router)
+        await self._write_receipts(router, result)
         open_ledgers = 0
         listing = await self._platform.list(LEDGERS)
         for profile, stored in listing.by_name.items():
             if router in decode_ledger(stored.value).grants:
-                open_ledgers += not await self._settle(profile, router, found)
-        if not open_ledgers and not found.receipts_left:
+                open_ledgers += not await self._settle(profile, router, result)
+        if not open_ledgers and not result.receipts_pending:
             await self._close_seal(router)
 
-    async def _ask_sidecars(self, router: str) -> _Round:
-        found = _Round()
+    async def _ask_sidecars(self, router: str) -> _RoundResult:
+        result = _RoundResult()
         listing = await self._platform.list(NODES)
         nodes = [
             msgspec.json.decode(s.value, type=Node) for s in listing.by_name.values()
         ]
         sidecars = [node for node in nodes if node.role == Role.SIDECAR]
-        found.listed = {node.incarnation for node in sidecars}
+        result.registered = {node.incarnation for node in sidecars}
         async with curio.TaskGroup() as group:
             for node in sidecars:
-                await group.spawn(self._ask_one, node, router, found)
-        return found
+                await group.spawn(self._ask_one, node, router, result)
+        return result
 
-    async def _ask_one(self, node: Node, router: str, found: _Round) -> None:
+    async def _ask_one(self, node: Node, router: str, result: _RoundResult) -> None:
         if self._is_removed(node.incarnation):
-            found.gone.add(node.incarnation)
+            result.removed.add(node.incarnation)
             return
         try:
             sealed = await self._request_seal(node, Seal(router=router))
@@ -171,28 +173,28 @@
             return
         # Another incarnation at that address says nothing about this one.
         if sealed.sidecar == node.incarnation:
-            found.sealed_by_sidecar[node.incarnation] = sealed
+            result.sealed_by_sidecar[node.incarnation] = sealed
 
-    async def _keep_receipts(self, router: str, found: _Round) -> None:
+    async def _write_receipts(self, router: str, result: _RoundResult) -> None:
         """Make the dead router's receipts durable before its grants close."""
         receipts = [
             receipt
-            for sealed in found.sealed_by_sidecar.values()
+            for sealed in result.sealed_by_sidecar.values()
             for receipt in sealed.receipts
         ]
         for segment in segments(writer=router, receipts=receipts):
             await write_segment(self._platform, segment)
-        running = any(sealed.running for sealed in found.sealed_by_sidecar.values())
-        found.receipts_left = running
+        running = any(sealed.running for sealed in result.sealed_by_sidecar.values())
+        result.receipts_pending = running
 
-    async def _settle(self, profile: str, router: str, found: _Round) -> bool:
+    async def _settle(self, profile: str, router: str, result: _RoundResult) -> bool:
         """Bring what is known into one ledger; return whether the grant closed."""
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_UPDATE_ATTEMPTS):
             stored = await self._platform.get(LEDGERS, profile)
             if stored is None:
                 return True
             before = decode_ledger(stored.value)
-            ledger = _with_reports(before, profile, router, found)
+            ledger = _with_reports(before, profile, router, result)
             if ledger == before:
                 return router not in ledger.grants
             value = encode_ledger(ledger)
@@ -217,9 +219,11 @@
         log_info("seal_closed", router=router)
 
 
-def _with_reports(ledger: Ledger, profile: str, router: str, found: _Round) -> Ledger:
+def _with_reports(
+    ledger: Ledger, profile: str, router: str, result: _RoundResult
+) -> Ledger:
     ledger = ledger.seal(router)
-    for sidecar, sealed in found.sealed_by_sidecar.items():
+    for sidecar, sealed in result.sealed_by_sidecar.items():
         # Running attempts may still spend: their sidecar stays at its bound.
         if profile not in sealed.running:
             spent = sealed.ran.get(profile, 0)
@@ -227,7 +231,7 @@
     grant = ledger.grants.get(router)
     for sidecar in sorted(grant.settled if grant else ()):
         # One that has left the list has nothing more to tell.
-        if sidecar in found.gone or sidecar not in found.listed:
+        if sidecar in result.removed or sidecar not in result.registered:
             ledger = ledger.write_off(router=router, sidecar=sidecar)
     return ledger
 
--- a/src/ragwortkeel/router/receipt_writer.py
+++ b/src/ragwortkeel/router/receipt_writer.py
@@ -12,13 +12,13 @@
 from ragwortkeel.messages import RunReceipt
 from ragwortkeel.platform import Platform
 
-FLUSH_SECONDS = 0.5
+FLUSH_CHECK_SECONDS = 0.5
 """At 1,000 routers this would be 2,000 writes a second: see `batch`."""
 
-BATCH = 200
-"""A fuller batch goes at once; a smaller one waits for `PATIENCE_SECONDS`."""
+FULL_BATCH_RECEIPTS = 200
+"""A fuller batch goes at once; a smaller one waits for `MAX_BATCH_DELAY_SECONDS`."""
 
-PATIENCE_SECONDS = 5.0
+MAX_BATCH_DELAY_SECONDS = 5.0
 """1,000 routers then write 200 small segments a second; sidecars hold the
 receipts meanwhile, so a death loses none."""
 
@@ -70,26 +70,26 @@
     async def run(self) -> None:
         """Write batches until cancelled."""
         while True:
-            await curio.sleep(FLUSH_SECONDS)
+            await curio.sleep(FLUSH_CHECK_SECONDS)
             waited = self._clock() - self._oldest_at
-            full = self.pending_count >= BATCH
-            if self.pending_count and (full or waited >= PATIENCE_SECONDS):
+            is_full = self.pending_count >= FULL_BATCH_RECEIPTS
+            if self.pending_count and (is_full or waited >= MAX_BATCH_DELAY_SECONDS):
                 await self.flush()
 
     async def flush(self) -> bool:
-        """Write all receipts held now; return whether all are durable."""
-        held = list(self._receipts_by_nonce.values())
-        for segment in segments(writer=self._writer(), receipts=held):
+        """Write all receipts pending now; return whether all are durable."""
+        pending = list(self._receipts_by_nonce.values())
+        for segment in segments(writer=self._writer(), receipts=pending):
             try:
                 await write_segment(self._platform, segment)
             except PlatformError:
                 # Kept and written again, maybe in another segment: the bill is
                 # a set, so a receipt in two segments counts once.
                 return False
-            await self._written(segment)
+            await self._remove_written(segment)
         return True
 
-    async def _written(self, segment: Segment) -> None:
+    async def _remove_written(self, segment: Segment) -> None:
         nonces_by_sidecar: dict[str, list[str]] = defaultdict(list)
         for receipt in segment.receipts:
             self._receipts_by_nonce.pop(receipt.nonce, None)
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -41,11 +41,11 @@
 from ragwortkeel.tasks import run_together
 from ragwortkeel.traces import Tracing
 
-BALANCER_SECONDS = 1.0
+BALANCER_NOTICE_SECONDS = 1.0
 """A planned stop says so this long before it refuses connections, so that the
 balancer looks once and sends callers elsewhere."""
 
-DRAIN_LOOK_SECONDS = 0.05
+DRAIN_POLL_SECONDS = 0.05
 
 SIDECAR_PREFIX = "sidecar:"
 """Marks a gossip peer that is reached through the sidecars' links."""
@@ -101,7 +101,7 @@
         self.pool = SidecarPool(
             incarnation=lambda: self.incarnation,
             revision=self.revision,
-            on_crash=self._take_crash,
+            on_crash=self._receive_crash,
         )
         self.peers = PeerLinks(
             address=settings.address, incarnation=incarnation, revision=self.revision
@@ -113,7 +113,7 @@
             store=self.store,
             send=self._send,
             random=random,
-            listener=self._on_fresh,
+            listener=self._apply_changes,
         )
         self.dispatcher = Dispatcher(
             scheduler=Scheduler(zone=settings.zone, random=random),
@@ -126,7 +126,7 @@
             pool=self.pool,
             peers=self.peers,
             incarnation=lambda: self.incarnation,
-            reincarnate=self._reincarnate,
+            reincarnate=self._start_new_incarnation,
             observer=observer,
         )
         budgets, receipts = self.budgeting.keeper, self.budgeting.receipts
@@ -151,9 +151,9 @@
         self.stopping = False
         self._zone_routers: tuple[str, ...] = ()
         self._state_by_upstream: dict[str, tuple[str, bool]] = {}
-        where = Address.parse(settings.http)
+        http_address = Address.parse(settings.http)
         self._server = HttpServer(
-            host=where.host, port=where.port, handler=self.gateway.handle
+            host=http_address.host, port=http_address.port, handler=self.gateway.handle
         )
 
     @property
@@ -209,18 +209,18 @@
         A request in flight is never cut off before the settings' deadline.
         """
         self.stopping = True
-        await curio.sleep(BALANCER_SECONDS)
+        await curio.sleep(BALANCER_NOTICE_SECONDS)
         self.gateway.stopping = True
         await self._server.stop_accepting()
         try:
             async with curio.timeout_after(self.settings.stop_deadline_seconds):
-                while self._open():
-                    await curio.sleep(DRAIN_LOOK_SECONDS)
+                while self._open_count():
+                    await curio.sleep(DRAIN_POLL_SECONDS)
         except curio.TaskTimeout:
-            return self._open()
+            return self._open_count()
         return 0
 
-    def _open(self) -> int:
+    def _open_count(self) -> int:
         return self._server.open_exchanges + self.settlement.open_runs
 
     async def close(self) -> None:
@@ -228,7 +228,7 @@
         await self.pool.close()
         await self.peers.close()
 
-    async def _reincarnate(self) -> str:
+    async def _start_new_incarnation(self) -> str:
         """Go on under another incarnation; the old one is sealed.
 
         Awaits nothing: a reservation of one incarnation must not be sent under
@@ -244,14 +244,14 @@
         """Take over which routers share this one's zone, itself included."""
         if zone_routers != self._zone_routers or self.pool.draining:
             self._zone_routers = zone_routers
-            await self._follow_upstreams()
+            await self._update_links()
 
-    async def _on_fresh(self, fresh: list[VersionedObject]) -> None:
-        self.membership.apply(fresh)
-        if any(one.kind == UPSTREAMS for one in fresh):
-            await self._follow_upstreams()
+    async def _apply_changes(self, changes: list[VersionedObject]) -> None:
+        self.membership.apply(changes)
+        if any(change.kind == UPSTREAMS for change in changes):
+            await self._update_links()
 
-    async def _follow_upstreams(self) -> None:
+    async def _update_links(self) -> None:
         known = {n: upstream for n, (upstream, _) in self.directory.upstreams().items()}
         linked = upstreams_to_link(
             known,
@@ -260,9 +260,9 @@
             routers=self._zone_routers,
         )
         await self.pool.set_upstreams(linked)
-        await self._offer_upstreams()
+        await self._update_scheduler()
 
-    async def _offer_upstreams(self) -> None:
+    async def _update_scheduler(self) -> None:
         """Tell the scheduler which upstreams may be given work."""
         usable = []
         for name, (upstream, _) in self.directory.upstreams().items():
@@ -281,26 +281,26 @@
             event = await self.pool.other_events.get()
             match event:
                 case LinkUp():
-                    await self._offer_upstreams()
+                    await self._update_scheduler()
                 case LinkDown(peer=peer):
                     self._observer.record_link_down(Role.SIDECAR, peer)
-                    await self._offer_upstreams()
+                    await self._update_scheduler()
                 case Received(peer=peer, envelope=envelope):
-                    await self._take_from_sidecar(peer, envelope)
+                    await self._receive_from_sidecar(peer, envelope)
 
-    async def _take_from_sidecar(self, upstream: str, envelope) -> None:
+    async def _receive_from_sidecar(self, upstream: str, envelope) -> None:
         peer = SIDECAR_PREFIX + upstream
         self.membership.heard(envelope.sender, monotonic())
         match envelope.message:
             case Heartbeat() as load:
-                await self._take_load(upstream, envelope.sender, load)
-                await self._to_gossip(peer, envelope.revision, None)
+                await self._receive_load(upstream, envelope.sender, load)
+                await self._forward_to_gossip(peer, envelope.revision, None)
             case Refused(newer=newer):
                 await self.gossip.inbox.put(Learn(objects=newer))
             case message:
-                await self._to_gossip(peer, envelope.revision, message)
+                await self._forward_to_gossip(peer, envelope.revision, message)
 
-    async def _take_crash(self, seen: CrashSeen) -> None:
+    async def _receive_crash(self, seen: CrashSeen) -> None:
         """Note a crash, and pass it on where it is news."""
         crash = Crash(
             crash_id=seen.crash_id,
@@ -311,7 +311,7 @@
             self._observer.record_crash(crash)
             await self.peers.send_all(seen)
 
-    async def _take_load(self, upstream: str, sender: str, load: Heartbeat) -> None:
+    async def _receive_load(self, upstream: str, sender: str, load: Heartbeat) -> None:
         state = (sender, load.leaving)
         known = self._state_by_upstream.get(upstream)
         if known != state:
@@ -319,7 +319,7 @@
             if known is not None and known[0] != sender:
                 # Another process answers at its address: it carries nothing more.
                 self.budgeting.keeper.forget_sidecar(known[0])
-            await self._offer_upstreams()
+            await self._update_scheduler()
         report = LoadReport(
             upstream=upstream,
             running=load.running,
@@ -342,13 +342,13 @@
             if isinstance(message, Heartbeat):
                 message = None
             if isinstance(message, CrashSeen):
-                await self._take_crash(message)
+                await self._receive_crash(message)
                 continue
             if await self.budgeting.take(event.peer, envelope.sender, message):
                 continue
-            await self._to_gossip(event.peer, envelope.revision, message)
+            await self._forward_to_gossip(event.peer, envelope.revision, message)
 
-    async def _to_gossip(
+    async def _forward_to_gossip(
         self, peer: str, revision: int, message: AnyMessage | None
     ) -> None:
         event = FromPeer(peer=peer, revision=revision, message=message)
--- a/src/ragwortkeel/router/sidecars.py
+++ b/src/ragwortkeel/router/sidecars.py
@@ -29,7 +29,7 @@
     TombstoneResult,
 )
 
-LOCATE_SECONDS = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 """A sidecar that is up answers in well under a millisecond."""
 
 RunEvent = (
@@ -95,8 +95,8 @@
         self._on_crash = on_crash
         self._inbox: curio.Queue = curio.Queue()
         self._subscriptions_by_nonce: dict[str, list[Subscription]] = {}
-        self._locating: dict[tuple[str, str, str], curio.Queue] = {}
-        self._sealing: dict[tuple[str, str], curio.Queue] = {}
+        self._locate_queues_by_key: dict[tuple[str, str, str], curio.Queue] = {}
+        self._seal_queues_by_key: dict[tuple[str, str], curio.Queue] = {}
 
     async def set_upstreams(self, upstreams_by_name: dict[str, Upstream]) -> None:
         """Open links to new upstreams and close those to removed ones.
@@ -112,7 +112,7 @@
             if wanted is None and self._has_runs(name):
                 self.draining.add(name)
                 continue
-            await self._drop(name)
+            await self._remove(name)
         for name, upstream in upstreams_by_name.items():
             if name not in self.views_by_upstream:
                 await self._add(name, upstream.sidecar_address)
@@ -159,15 +159,15 @@
     ) -> Located | None:
         """Ask a sidecar for a run of a request; None when it does not answer."""
         key = (upstream, profile, request_id)
-        queue = self._locating.setdefault(key, curio.Queue())
+        queue = self._locate_queues_by_key.setdefault(key, curio.Queue())
         try:
             await self.send(upstream, Locate(profile=profile, request_id=request_id))
-            async with curio.timeout_after(LOCATE_SECONDS):
+            async with curio.timeout_after(ANSWER_TIMEOUT_SECONDS):
                 return await queue.get()
         except (LinkLost, curio.TaskTimeout):
             return None
         finally:
-            self._locating.pop(key, None)
+            self._locate_queues_by_key.pop(key, None)
 
     def update_incarnation(self) -> None:
         """Send under the router's new incarnation from now on."""
@@ -177,25 +177,25 @@
     async def seal(self, upstream: str, seal: Seal) -> Sealed:
         """Have a sidecar seal a router; `LinkLost` where it does not answer."""
         key = (upstream, seal.router)
-        queue = self._sealing.setdefault(key, curio.Queue())
+        queue = self._seal_queues_by_key.setdefault(key, curio.Queue())
         try:
             await self.send(upstream, seal)
-            async with curio.timeout_after(LOCATE_SECONDS):
+            async with curio.timeout_after(ANSWER_TIMEOUT_SECONDS):
                 return await queue.get()
         except curio.TaskTimeout as exc:
             raise LinkLost(f"{upstream} did not answer") from exc
         finally:
-            self._sealing.pop(key, None)
+            self._seal_queues_by_key.pop(key, None)
 
     async def run(self) -> None:
         """Hand out what arrives until cancelled."""
         while True:
-            await self._hand_out(await self._inbox.get())
+            await self._deliver_event(await self._inbox.get())
 
     async def close(self) -> None:
         """Close all links."""
         for name in list(self.views_by_upstream):
-            await self._drop(name)
+            await self._remove(name)
 
     async def _add(self, name: str, address: str) -> None:
         link = Link(
@@ -208,33 +208,35 @@
         task = await curio.spawn(link.run, daemon=True)
         self.views_by_upstream[name] = SidecarView(upstream=name, link=link, task=task)
 
-    async def _drop(self, name: str) -> None:
+    async def _remove(self, name: str) -> None:
         view = self.views_by_upstream.pop(name)
         await view.task.cancel()
-        await self._tell_runs(name, LinkDown(peer=name))
+        await self._deliver_to_runs(name, LinkDown(peer=name))
 
-    async def _hand_out(self, event: LinkEvent) -> None:
+    async def _deliver_event(self, event: LinkEvent) -> None:
         match event:
             case Received(peer=peer, envelope=envelope):
-                self._note_sender(peer, envelope.sender)
-                await self._hand_out_message(event, envelope.message)
+                self._record_sender(peer, envelope.sender)
+                await self._deliver_message(event, envelope.message)
             case LinkUp() | LinkDown():
-                await self._tell_runs(event.peer, event)
+                await self._deliver_to_runs(event.peer, event)
                 await self.other_events.put(event)
 
-    async def _hand_out_message(self, event: Received, message: AnyMessage) -> None:
+    async def _deliver_message(self, event: Received, message: AnyMessage) -> None:
         match message:
             case Heartbeat():
-                self._note_load(event.peer, message)
+                self._record_load(event.peer, message)
                 await self.other_events.put(event)
             case Sealed(router=router):
-                queue = self._sealing.get((event.peer, router))
+                queue = self._seal_queues_by_key.get((event.peer, router))
                 if queue is not None:
                     await queue.put(message)
             case CrashSeen():
                 await self._on_crash(message)
             case Located(profile=profile, request_id=request_id):
-                queue = self._locating.get((event.peer, profile, request_id))
+                queue = self._locate_queues_by_key.get(
+                    (event.peer, profile, request_id)
+                )
                 if queue is not None:
                     await queue.put(message)
             case (
@@ -248,19 +250,19 @@
             case _:
                 await self.other_events.put(event)
 
-    async def _tell_runs(self, upstream: str, event: LinkUp | LinkDown) -> None:
+    async def _deliver_to_runs(self, upstream: str, event: LinkUp | LinkDown) -> None:
         for readers in list(self._subscriptions_by_nonce.values()):
             for reader in readers:
                 if reader.upstream == upstream:
                     await reader.queue.put(event)
 
-    def _note_sender(self, peer: str, incarnation: str) -> None:
+    def _record_sender(self, peer: str, incarnation: str) -> None:
         view = self.views_by_upstream.get(peer)
         if view is not None:
             view.incarnation = incarnation
             view.last_received_at = monotonic()
 
-    def _note_load(self, peer: str, load: Heartbeat) -> None:
+    def _record_load(self, peer: str, load: Heartbeat) -> None:
         view = self.views_by_upstream.get(peer)
         if view is not None:
             view.load = load
--- a/src/ragwortkeel/router/sinks.py
+++ b/src/ragwortkeel/router/sinks.py
@@ -22,7 +22,7 @@
 
 EVENT_STREAM = "text/event-stream"
 EVENT_END = b"\n\n"
-TOKEN_MARK = re.compile(rb'"content":\s*"(?!")')
+TOKEN_PATTERN = re.compile(rb'"content":\s*"(?!")')
 """Stands in each event that carries a token, and in no other: engines begin with
 an empty one, and counted, it would make a resumed stream skip a token."""
 
@@ -34,23 +34,25 @@
     """Cuts a byte stream into whole server-sent events and counts tokens."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial_event = b""
         self.tokens = 0
 
     def add(self, data: bytes) -> bytes:
         """Return what is whole now; the torn rest waits."""
-        whole, mark, self._rest = (self._rest + data).rpartition(EVENT_END)
-        self.tokens += len(TOKEN_MARK.findall(whole))
-        return whole + mark
+        events, end, self._partial_event = (self._partial_event + data).rpartition(
+            EVENT_END
+        )
+        self.tokens += len(TOKEN_PATTERN.findall(events))
+        return events + end
 
-    def drain_rest(self) -> bytes:
+    def drain_partial_event(self) -> bytes:
         """Return what is left at the end of a whole answer."""
-        rv, self._rest = self._rest, b""
+        rv, self._partial_event = self._partial_event, b""
         return rv
 
-    def discard_rest(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget a torn event: its run will not go on."""
-        self._rest = b""
+        self._partial_event = b""
 
 
 class StreamSink:
@@ -76,7 +78,7 @@
         self._headers = _headers_of(request_id, traceparent)
         self._clock = clock
         self._splitter = EventSplitter()
-        self._plain: list[bytes] = []
+        self._plain_chunks: list[bytes] = []
 
     @property
     def has_started(self) -> bool:
@@ -92,11 +94,11 @@
         """Pass on what is whole."""
         if not content_type.startswith(EVENT_STREAM):
             # An engine refuses a stream request by a plain answer.
-            self._plain.append(data)
+            self._plain_chunks.append(data)
             return
-        await self._pass_on(self._splitter.add(data))
+        await self._send_events(self._splitter.add(data))
 
-    async def _pass_on(self, data: bytes) -> None:
+    async def _send_events(self, data: bytes) -> None:
         if not data:
             return
         if not self.has_started:
@@ -110,16 +112,16 @@
 
     def restart(self) -> None:
         """Expect a run that goes on after the tokens already passed on."""
-        self._splitter.discard_rest()
-        self._plain.clear()
+        self._splitter.discard_partial_event()
+        self._plain_chunks.clear()
 
     async def finish(self, status: int, content_type: str) -> None:
         """End the answer, which is whole."""
         # Engines may end their last event otherwise than by an empty line.
-        await self._pass_on(self._splitter.drain_rest())
+        await self._send_events(self._splitter.drain_partial_event())
         if not self.has_started:
             headers = self._headers | {"content-type": content_type}
-            body = b"".join(self._plain)
+            body = b"".join(self._plain_chunks)
             await self._send(self._responder.respond(status, body, headers))
             return
         await self._send(self._responder.finish())
@@ -159,20 +161,20 @@
         self._responder = responder
         self._request_id = request_id
         self._headers = _headers_of(request_id, traceparent)
-        self._pieces: list[bytes] = []
+        self._chunks: list[bytes] = []
 
     async def write(self, data: bytes, content_type: str) -> None:
         """Keep a piece."""
-        self._pieces.append(data)
+        self._chunks.append(data)
 
     def restart(self) -> None:
         """Forget the pieces of a run that broke off."""
-        self._pieces.clear()
+        self._chunks.clear()
 
     @property
     def body(self) -> bytes:
         """What has been collected."""
-        return b"".join(self._pieces)
+        return b"".join(self._chunks)
 
     async def finish(self, status: int, content_type: str) -> None:
         """Send the answer."""
--- a/src/ragwortkeel/router/worker.py
+++ b/src/ragwortkeel/router/worker.py
@@ -20,7 +20,7 @@
 from ragwortkeel.tasks import run_together
 from ragwortkeel.traces import Tracing
 
-NEIGHBOURS_SECONDS = 1.0
+NEIGHBOURS_INTERVAL_SECONDS = 1.0
 
 
 class RouterWorker:
@@ -59,18 +59,18 @@
         """Work until cancelled or until a task fails."""
         await run_together(
             self._router.run,
-            self._follow_neighbours,
+            self._update_neighbours,
             self._follow_list,
             self._stay_registered,
         )
 
     async def stop(self) -> Leftover:
         """Finish open requests, make receipts durable, give slices back."""
-        cut = await self._router.drain()
-        undone = await self._router.budgeting.close()
+        unfinished = await self._router.drain()
+        not_returned = await self._router.budgeting.close()
         await deregister(self._platform, self._node())
         await self._router.close()
-        return Leftover(counts={"requests": cut, "undone": undone})
+        return Leftover(counts={"requests": unfinished, "undone": not_returned})
 
     def in_force(self, kind: str, name: str) -> InForce:
         """Return what is in force here of an object."""
@@ -91,22 +91,26 @@
             node = self._node()
             await register(self._platform, node)
             while node.incarnation == self._router.incarnation:
-                await curio.sleep(NEIGHBOURS_SECONDS)
+                await curio.sleep(NEIGHBOURS_INTERVAL_SECONDS)
 
     async def _follow_list(self) -> None:
         await follow_list(self._platform, self._router.membership)
 
-    async def _follow_neighbours(self) -> None:
+    async def _update_neighbours(self) -> None:
         while True:
-            await self._meet(monotonic())
+            await self._update_peers(monotonic())
             self._observer.set_gauges(self._router.gauges())
-            await curio.sleep(NEIGHBOURS_SECONDS)
+            await curio.sleep(NEIGHBOURS_INTERVAL_SECONDS)
 
-    async def _meet(self, now: float) -> None:
+    async def _update_peers(self, now: float) -> None:
         """Link to the partners and to routers that only a link can tell about."""
         settings, membership = self._settings, self._router.membership
         nodes = membership.nodes(now, *Liveness)
-        present = [node for node in nodes if node.incarnation not in self._dead(now)]
+        present = [
+            node
+            for node in nodes
+            if node.incarnation not in self._failed_incarnations(now)
+        ]
         addresses = peers_to_link(present, address=settings.address, zone=settings.zone)
         addresses = addresses or set(settings.peers)
         probed = {n.address for n in membership.to_probe() if n.role == Role.ROUTER}
@@ -120,6 +124,6 @@
         change = Partners(addresses=tuple(addresses), zone_members=members)
         await self._router.gossip.inbox.put(change)
 
-    def _dead(self, now: float) -> set[str]:
-        dead = self._router.membership.nodes(now, Liveness.DEAD)
-        return {node.incarnation for node in dead}
+    def _failed_incarnations(self, now: float) -> set[str]:
+        failed = self._router.membership.nodes(now, Liveness.DEAD)
+        return {node.incarnation for node in failed}
--- a/tests/router/test_sinks.py
+++ b/tests/router/test_sinks.py
@@ -57,7 +57,7 @@
         """
         splitter = EventSplitter()
         splitter.add(TOKEN + TOKEN[:9])
-        splitter.discard_rest()
+        splitter.discard_partial_event()
         assert splitter.add(TOKEN) == TOKEN
 
     def test_an_empty_first_event_is_no_token(self):
