--- a/src/ragwortkeel/router/budgeting.py
+++ b/src/ragwortkeel/router/budgeting.py
@@ -21,7 +21,7 @@
 from ragwortkeel.router.budget_account import BudgetTerms
 from ragwortkeel.router.budget_keeper import BudgetKeeper
 from ragwortkeel.router.directory import Directory
-from ragwortkeel.router.janitor import Janitor
+from ragwortkeel.router.node_cleanup import NodeCleanup
 from ragwortkeel.router.observer import Observer
 from ragwortkeel.router.peers import PeerLinks
 from ragwortkeel.router.reaper import Reaper
@@ -76,7 +76,7 @@
             reincarnate=reincarnate,
             send=self._send_to_router,
             clock=monotonic,
-            observe=observer.slice_renewed,
+            observe=observer.record_slice_renewal,
         )
         self.receipts = ReceiptWriter(
             platform=platform, writer=incarnation, clock=monotonic
@@ -84,13 +84,13 @@
         self._reaper = Reaper(
             platform=platform,
             incarnation=incarnation,
-            dead=self._failed_routers,
-            responsible=self._responsible,
-            gone=self._is_superseded,
-            ask=self._request_seal,
+            failed_routers=self._failed_routers,
+            is_responsible=self._responsible,
+            is_removed=self._is_superseded,
+            request_seal=self._request_seal,
             clock=monotonic,
         )
-        self._janitor = Janitor(
+        self._node_cleanup = NodeCleanup(
             platform=platform,
             membership=membership,
             incarnation=incarnation,
@@ -105,7 +105,7 @@
             self._watch_keeper,
             self.receipts.run,
             self._reaper.run,
-            self._janitor.run,
+            self._node_cleanup.run,
             self._send_durable_receipts,
         )
 
@@ -118,7 +118,7 @@
             Receipts that are not durable, plus 1 if a slice could not be returned.
         """
         await self.receipts.flush()
-        undone = self.receipts.held
+        undone = self.receipts.pending_count
         if self._keeper_task is not None:
             await self._keeper_task.cancel()
         return undone + (not await self.keeper.return_slices())
--- a/src/ragwortkeel/router/dispatcher.py
+++ b/src/ragwortkeel/router/dispatcher.py
@@ -70,7 +70,7 @@
         Assignment or Refusal or None
             None if the scheduler no longer knows the request as running.
         """
-        self._observer.attempt_failed(request_id, failure)
+        self._observer.record_attempt_failure(request_id, failure)
         decision = self._scheduler.record_failure(request_id, failure, self._clock())
         return None if decision is None else await self._resolve(decision)
 
@@ -127,7 +127,7 @@
         started_at = self._clock()
         if isinstance(decision, Queued):
             decision = await self._wait_for_decision(decision)
-        self._observer.decided(decision, self._clock() - started_at)
+        self._observer.record_decision(decision, self._clock() - started_at)
         return decision
 
     async def _wait_for_decision(self, decision: Queued) -> Assignment | Refusal:
--- a/src/ragwortkeel/router/exchange.py
+++ b/src/ragwortkeel/router/exchange.py
@@ -151,7 +151,7 @@
     async def _run_until_done(self) -> Refusal | None:
         decision = await self._components.dispatcher.admit(self._facts)
         while isinstance(decision, Assignment):
-            if self._sink.begun and not self._can_resume(decision.upstream):
+            if self._sink.has_started and not self._can_resume(decision.upstream):
                 # A run from the start would repeat what the caller already received.
                 return _INTERRUPTED
             try:
@@ -219,7 +219,7 @@
         return end
 
     def _link_wait_seconds(self) -> float:
-        return RELINK_WAIT_SECONDS if self._sink.begun else RERUN_WAIT_SECONDS
+        return RELINK_WAIT_SECONDS if self._sink.has_started else RERUN_WAIT_SECONDS
 
     async def _close(
         self, reservation: Reservation, attempt: Attempt, end: AttemptEnd | None
@@ -227,7 +227,7 @@
         if end is None or (isinstance(end, Lost) and attempt.may_continue):
             # Abandoned, or disconnected while the sidecar may still be running it.
             stop = not self._call.key_given
-            await self._components.closing.abandon(
+            await self._components.closing.follow_in_background(
                 reservation, attempt, self._call, cancel=stop
             )
             return
--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -15,9 +15,10 @@
 from ragwortkeel.router.components import Components
 from ragwortkeel.router.exchange import Exchange
 from ragwortkeel.router.filings import FilingExchange
-from ragwortkeel.router.observer import Observed
+from ragwortkeel.router.observer import EndedRequest
+from ragwortkeel.router.sinks import BufferedSink
 from ragwortkeel.router.refusals import Outcome, Reason, Refusal
-from ragwortkeel.router.sinks import Sink, StreamSink, WholeSink
+from ragwortkeel.router.sinks import Sink, StreamSink
 from ragwortkeel.traces import traceparent_of
 
 STOPPING_RETRY_SECONDS = 1.0
@@ -52,7 +53,7 @@
         self,
         *,
         components: Components,
-        observe: Callable[[Observed], None],
+        observe: Callable[[EndedRequest], None],
         refresh: Callable[[str, str], Awaitable[bool]],
     ) -> None:
         self.stopping = False
@@ -68,10 +69,10 @@
             found = await self._parse(request)
         except BadRequest as exc:
             refusal = _malformed_refusal(exc)
-            await WholeSink(responder=responder, request_id="").refuse(refusal)
+            await BufferedSink(responder=responder, request_id="").refuse(refusal)
             return
         if isinstance(found, Refusal):
-            await WholeSink(responder=responder, request_id="").refuse(found)
+            await BufferedSink(responder=responder, request_id="").refuse(found)
             return
         call, profile, version = found
         with self._components.tracing.span("request", parent=call.traceparent) as span:
@@ -83,13 +84,13 @@
             if refusal is not None:
                 await sink.refuse(refusal)
         self._observe(
-            Observed(
+            EndedRequest(
                 call=call,
                 profile=profile,
                 refusal=refusal,
                 seconds=self._components.clock() - started,
                 tokens=exchange.tokens,
-                first_token_seconds=sink.begun_at and sink.begun_at - started,
+                first_token_seconds=sink.started_at and sink.started_at - started,
             )
         )
 
@@ -113,7 +114,7 @@
     def _new_sink(self, call: Call, facts: RequestFacts, responder: Responder) -> Sink:
         # A filing's complete answer is recorded before any of it is sent.
         streams = call.stream and facts.repeatable
-        cls = StreamSink if streams else WholeSink
+        cls = StreamSink if streams else BufferedSink
         return cls(
             responder=responder,
             request_id=call.request_id,
