--- a/src/ragwortkeel/router/filing_runs.py
+++ b/src/ragwortkeel/router/filing_runs.py
@@ -159,7 +159,9 @@
         outcome = self._outcome_of(end)
         if outcome is not None:
             final_intent = with_outcome(stored.intent, outcome)
-            await curio.spawn(self._record, final_intent, stored.version, attempt, daemon=True)
+            await curio.spawn(
+                self._record, final_intent, stored.version, attempt, daemon=True
+            )
 
     async def _record(self, intent: Intent, version: int, attempt: Attempt) -> None:
         """Make an outcome durable and tell the sidecar, which then may forget."""
--- a/src/ragwortkeel/router/filings.py
+++ b/src/ragwortkeel/router/filings.py
@@ -164,7 +164,9 @@
 
     async def _read(self) -> None:
         try:
-            current = await self._intents.read(self._call.profile, self._call.request_id)
+            current = await self._intents.read(
+                self._call.profile, self._call.request_id
+            )
         except PlatformError:
             self._filing.on_unreadable()
             return
@@ -260,7 +262,9 @@
                 self._filing.on_refused(reason, other_intent)
             case Broken(may_have_run=False):
                 other_intent = await self._admit_elsewhere(end)
-                self._filing.on_refused(RefusalReason.UPSTREAM_UNREACHABLE, other_intent)
+                self._filing.on_refused(
+                    RefusalReason.UPSTREAM_UNREACHABLE, other_intent
+                )
             case Lost():
                 self._filing.on_disconnected(self._new_intent())
             case Broken():
@@ -305,7 +309,9 @@
         if not step.list_for_operators or current is None:
             return
         outcome = Outcome(verdict=Verdict.UNRESOLVED, reason=step.reason)
-        await self._intents.write(with_outcome(current.intent, outcome), current.version)
+        await self._intents.write(
+            with_outcome(current.intent, outcome), current.version
+        )
 
 
 _CONFIRMED_REASONS = (Reason.KEY_REUSED, Reason.REFUSED_BY_UPSTREAM)
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -25,7 +25,6 @@
 from ragwortkeel.policy.quarantine import Crash
 from ragwortkeel.policy.scheduler import Scheduler
 from ragwortkeel.router.budgeting import Budgeting
-from ragwortkeel.router.settlement import Settlement
 from ragwortkeel.router.components import Components
 from ragwortkeel.router.directory import Directory
 from ragwortkeel.router.dispatcher import Dispatcher
@@ -36,6 +35,7 @@
 )
 from ragwortkeel.router.observer import Gauges, Observer
 from ragwortkeel.router.peers import PeerLinks
+from ragwortkeel.router.settlement import Settlement
 from ragwortkeel.router.sidecars import SidecarPool
 from ragwortkeel.settings import Address, RouterSettings
 from ragwortkeel.tasks import run_together
--- a/tests/router/test_filings.py
+++ b/tests/router/test_filings.py
@@ -9,11 +9,11 @@
 from ragwortkeel.configuration import ServiceClass
 from ragwortkeel.policy.facts import Assignment, RequestFacts
 from ragwortkeel.router.calls import Call, ServiceCall
-from ragwortkeel.router.settlement import Settlement
-from ragwortkeel.router.sinks import BufferedSink
 from ragwortkeel.router.components import Components
 from ragwortkeel.router.filings import FilingExchange
 from ragwortkeel.router.intents import IntentStore
+from ragwortkeel.router.settlement import Settlement
+from ragwortkeel.router.sinks import BufferedSink
 from ragwortkeel.sidecar.admission import Admission
 from ragwortkeel.sidecar.core import SidecarCore
 from ragwortkeel.sidecar.effects import (
