--- a/src/ragwortkeel/router/budget_account.py
+++ b/src/ragwortkeel/router/budget_account.py
@@ -124,7 +124,7 @@
         self.refresh = SliceRefresh(slice_=Slice(profile=profile, router=router))
         self.meter = DemandMeter()
         self.waiters: list[Waiter] = []
-        self.loans: list[Loan] = []
+        self.requested_loans: list[Loan] = []
         self.ledger = Ledger()
         self.reachable = True
         self.wake = curio.Event()
@@ -157,7 +157,7 @@
     def needs_write(self) -> bool:
         """Return whether the ledger has to be written."""
         slice_, router = self.slice, self.slice.router
-        if slice_.pending or slice_.unsettled or self.loans:
+        if slice_.pending or slice_.unsettled or self.requested_loans:
             return True
         if not set(self._sidecars()) <= slice_.named:
             return True
@@ -196,7 +196,7 @@
         return lent
 
     async def close(self) -> bool:
-        """Settle all spend and end the grant; return whether the grant has ended.
+        """Settle all spend and end the grant; return whether it is closed or sealed.
 
         The grant of a slice with open attempts stays until a seal ends it.
         """
@@ -331,8 +331,8 @@
         )
 
     def _next_loan(self, need: SliceNeed) -> Loan | None:
-        while self.loans and self.slice.pending is None:
-            loan = self.loans.pop(0)
+        while self.requested_loans and self.slice.pending is None:
+            loan = self.requested_loans.pop(0)
             grant = self.ledger.grants.get(loan.router)
             if grant is None:
                 continue
--- a/src/ragwortkeel/router/budget_keeper.py
+++ b/src/ragwortkeel/router/budget_keeper.py
@@ -28,7 +28,7 @@
 REFRESH_INTERVAL_SECONDS = 1.0
 """Interval between two checks whether an account needs a write to its ledger.
 
-It bounds the delay after which the ledger shows settled spend to the other routers.
+While the platform is reachable, other routers see settled spend after about this time.
 """
 
 IDLE_READ_INTERVAL_SECONDS = 5.0
@@ -130,7 +130,8 @@
     async def reserve(self, profile: str, tokens: int, sidecar: str) -> Reservation:
         """Reserve tokens for one attempt through a sidecar incarnation.
 
-        Waits for a renewal or a loan if the slice has too few tokens.
+        If the slice refuses, waits for a renewal or a loan, unless the platform is
+        unreachable.
 
         Raises
         ------
@@ -151,8 +152,8 @@
     async def settle(self, reservation: Reservation, spent: int) -> None:
         """Replace a reservation with the tokens that its attempt spent.
 
-        Call it only once the spend is certain.  A reservation of a sealed incarnation
-        is ignored: the seal collects its spend from the sidecars.
+        Call it only once the attempt certainly spends no more.  A reservation of a
+        sealed incarnation is ignored: the seal collects its spend from the sidecars.
         """
         account = self._accounts_by_profile.get(reservation.profile)
         if account is None or account.slice.router != reservation.router:
@@ -167,18 +168,18 @@
             account.slice.drop(sidecar)
 
     async def receive_slice_request(self, router: str, request: SliceRequest) -> None:
-        """Queue another router's request for tokens; a transfer answers it."""
+        """Queue another router's request for tokens; a loan is reported to it."""
         account = self._accounts_by_profile.get(request.profile)
         if account is not None:
-            account.loans.append(Loan(router=router, tokens=request.tokens))
+            account.requested_loans.append(Loan(router=router, tokens=request.tokens))
             await account.wake.set()
 
     async def receive_slice_transfer(self, transfer: SliceTransfer) -> SliceTransferred:
-        """Read the ledger soon, and return the acknowledgment of the transfer.
+        """Wake the account's task, and return the acknowledgment of the transfer.
 
-        The ledger already has the tokens in this router's grant, by a single update.
-        The message only makes the router read it sooner, so that no tokens are lost
-        with a lost message.
+        The lender's write has already added the tokens to this router's grant.  The
+        message only makes the account read its ledger sooner if callers wait, so that
+        no tokens are lost with a lost message.
         """
         account = self._accounts_by_profile.get(transfer.profile)
         if account is not None:
--- a/src/ragwortkeel/router/dispatcher.py
+++ b/src/ragwortkeel/router/dispatcher.py
@@ -68,7 +68,7 @@
         Returns
         -------
         Assignment or Refusal or None
-            None if the scheduler no longer knows the request as running.
+            None if the request is not running, as after its caller left.
         """
         self._observer.attempt_failed(request_id, failure)
         decision = self._scheduler.record_failure(request_id, failure, self._clock())
@@ -84,7 +84,7 @@
         await self._deliver_decisions()
 
     async def record_disconnect(self, request_id: str) -> None:
-        """Remove a request whose caller left; does nothing for an ended one."""
+        """Remove a request that is no longer served, unless it has ended."""
         self._queue_by_request_id.pop(request_id, None)
         self._scheduler.record_disconnect(request_id, self._clock())
         await self._deliver_decisions()
--- a/src/ragwortkeel/router/exchange.py
+++ b/src/ragwortkeel/router/exchange.py
@@ -130,16 +130,16 @@
 
     async def _find_run(self) -> tuple[str, str] | None:
         names = self._components.directory.upstreams_of(self._facts.back_ends)
-        asked = [name for name in names if self._components.pool.is_up(name)]
+        connected = [name for name in names if self._components.pool.is_up(name)]
         async with curio.TaskGroup(wait=all) as group:
-            for name in asked[:MAX_LOCATE_SIDECARS]:
+            for name in connected[:MAX_LOCATE_SIDECARS]:
                 await group.spawn(
                     self._components.pool.locate,
                     name,
                     self._call.profile,
                     self._call.request_id,
                 )
-        for name, located in zip(asked, group.results, strict=False):
+        for name, located in zip(connected, group.results, strict=False):
             if located is None:
                 continue
             if located.fingerprint not in ("", self._call.fingerprint):
--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -63,7 +63,7 @@
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one request; this is the handler of an `HttpServer`."""
-        started = self._components.clock()
+        started_at = self._components.clock()
         try:
             found = await self._parse(request)
         except BadRequest as exc:
@@ -87,9 +87,9 @@
                 call=call,
                 profile=profile,
                 refusal=refusal,
-                seconds=self._components.clock() - started,
+                seconds=self._components.clock() - started_at,
                 tokens=exchange.tokens,
-                first_token_seconds=sink.begun_at and sink.begun_at - started,
+                first_token_seconds=sink.begun_at and sink.begun_at - started_at,
             )
         )
 
@@ -111,7 +111,7 @@
         return parse_call(request, profile), profile, version
 
     def _new_sink(self, call: Call, facts: RequestFacts, responder: Responder) -> Sink:
-        # A filing's complete answer is recorded before any of it is sent.
+        # The outcome of a filing records its complete answer, so it is collected first.
         streams = call.stream and facts.repeatable
         cls = StreamSink if streams else WholeSink
         return cls(
