--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -16,8 +16,9 @@
 from ragwortkeel.router.exchange import Exchange
 from ragwortkeel.router.filings import FilingExchange
 from ragwortkeel.router.observer import EndedRequest
+from ragwortkeel.router.sinks import BufferedSink
 from ragwortkeel.router.refusals import Outcome, Reason, Refusal
-from ragwortkeel.router.sinks import BufferedSink, Sink, StreamSink
+from ragwortkeel.router.sinks import Sink, StreamSink
 from ragwortkeel.traces import traceparent_of
 
 STOPPING_RETRY_SECONDS = 1.0
@@ -63,7 +64,7 @@
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one request; this is the handler of an `HttpServer`."""
-        started = self._components.clock()
+        started_at = self._components.clock()
         try:
             found = await self._parse(request)
         except BadRequest as exc:
@@ -87,9 +88,9 @@
                 call=call,
                 profile=profile,
                 refusal=refusal,
-                seconds=self._components.clock() - started,
+                seconds=self._components.clock() - started_at,
                 tokens=exchange.tokens,
-                first_token_seconds=sink.started_at and sink.started_at - started,
+                first_token_seconds=sink.started_at and sink.started_at - started_at,
             )
         )
 
@@ -111,7 +112,7 @@
         return parse_call(request, profile), profile, version
 
     def _new_sink(self, call: Call, facts: RequestFacts, responder: Responder) -> Sink:
-        # A filing's complete answer is recorded before any of it is sent.
+        # The outcome of a filing records its complete answer, so it is collected first.
         streams = call.stream and facts.repeatable
         cls = StreamSink if streams else BufferedSink
         return cls(
