--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -16,9 +16,8 @@
 from ragwortkeel.router.exchange import Exchange
 from ragwortkeel.router.filings import FilingExchange
 from ragwortkeel.router.observer import EndedRequest
-from ragwortkeel.router.sinks import BufferedSink
 from ragwortkeel.router.refusals import Outcome, Reason, Refusal
-from ragwortkeel.router.sinks import Sink, StreamSink
+from ragwortkeel.router.sinks import BufferedSink, Sink, StreamSink
 from ragwortkeel.traces import traceparent_of
 
 STOPPING_RETRY_SECONDS = 1.0
