--- a/src/ragwortkeel/router/__init__.py
+++ b/src/ragwortkeel/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router daemon: callers in front, sidecars behind."""
+"""The router daemon, which serves callers through the sidecars of upstreams."""
--- a/src/ragwortkeel/router/directory.py
+++ b/src/ragwortkeel/router/directory.py
@@ -1,4 +1,4 @@
-"""The configuration in force, as requests need it: decoded and by name."""
+"""Decoded profiles and upstreams of the configuration in force."""
 
 import msgspec
 
@@ -9,11 +9,11 @@
 _upstream_decoder = msgspec.json.Decoder(Upstream)
 
 MAX_DECODED_PROFILES = 10_000
-"""Profiles kept decoded; a node serves far fewer at a time than there are."""
+"""Bounds memory; a router uses far fewer profiles at a time than exist."""
 
 
 class Directory:
-    """Decoded views of a `ConfigurationStore`.
+    """Profiles and upstreams of a `ConfigurationStore`, decoded and cached.
 
     .. versionadded:: 0.1
     """
@@ -25,7 +25,10 @@
         self._decoded_root = 0
 
     def profile(self, name: str) -> tuple[Profile, int] | None:
-        """Return a profile and its version, retired ones included."""
+        """Return a profile and its version, even if it is retired.
+
+        Return None if the profile is unknown or can't be decoded.
+        """
         rank = self._store.rank(PROFILES, name)
         if rank is None:
             return None
@@ -43,20 +46,20 @@
         return rv
 
     def upstream(self, name: str) -> tuple[Upstream, int] | None:
-        """Return an upstream and its version, retired ones included."""
+        """Return an upstream and its version, even if it is retired."""
         return self.upstreams().get(name)
 
     def upstreams(self) -> dict[str, tuple[Upstream, int]]:
-        """Return all upstreams and their versions by name."""
-        # Not by revision: what a peer brings may be older than what is held of
-        # another kind, and then the revision stands.
+        """Return all upstreams, retired ones included, and their versions by name."""
+        # The revision is no cache key: it stays the same when a peer sends
+        # upstreams older than the newest stored object of another kind.
         if self._decoded_root != self._store.root(UPSTREAMS):
             self._decoded_root = self._store.root(UPSTREAMS)
             self._upstreams_by_name = dict(self._decode_upstreams())
         return self._upstreams_by_name
 
     def upstreams_of(self, back_ends: tuple[str, ...]) -> list[str]:
-        """Return the names of the upstreams of some back ends, in order."""
+        """Return the sorted names of the active upstreams of some back ends."""
         return sorted(
             name
             for name, (upstream, _) in self.upstreams().items()
@@ -71,5 +74,5 @@
                     (_upstream_decoder.decode(stored.value), stored.version),
                 )
             except msgspec.DecodeError:
-                # One unreadable object must not take the others out of service.
+                # An unreadable object must not hide the other upstreams.
                 continue
--- a/src/ragwortkeel/router/filing_runs.py
+++ b/src/ragwortkeel/router/filing_runs.py
@@ -1,8 +1,8 @@
 """The run of a filing at a sidecar, from its dispatch to its recorded outcome.
 
-A run that has been dispatched outlives the request that started it: it is
-followed in a task of its own, and its outcome is made durable even when nobody
-waits for the answer any more.
+A dispatched run continues after the request that started it ends.  A separate
+task follows the run and makes its outcome durable, even if no caller waits for
+the answer.
 """
 
 from contextlib import suppress
@@ -44,11 +44,11 @@
 from ragwortkeel.traces import traceparent_of
 
 TOMBSTONE_TIMEOUT_SECONDS = 1.0
-"""A sidecar that is up answers in well under a millisecond."""
+"""A reachable sidecar answers in well under a millisecond."""
 
 
 class FilingRuns:
-    """Runs one must-not-repeat call at sidecars, as its filing decides."""
+    """Runs one must-not-repeat call at the sidecars that its filing selects."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         self._sink = sink
 
     def new_attempt(self, upstream: str, nonce: str, sidecar: str) -> Attempt:
-        """Return an attempt whose answer goes to the sink."""
+        """Return an attempt that writes its answer to the sink."""
 
         async def emit(data: bytes) -> None:
             await self._sink.write(data, rv.content_type)
@@ -82,7 +82,10 @@
         return rv
 
     async def request_tombstone(self, step: AskSidecar) -> RunState | None:
-        """Have the sidecar promise never to run a nonce, unless it ran."""
+        """Ask the sidecar to never run a nonce, and return the state of its run.
+
+        Return None if the sidecar is unreachable.
+        """
         upstream = self._parts.pool.upstream_of(step.sidecar)
         if upstream is None:
             return None
@@ -103,7 +106,7 @@
     async def run(
         self, stored: StoredIntent, reservation: Reservation, *, alone: bool
     ) -> AttemptEnd:
-        """Dispatch the intent, once, and return how it ended."""
+        """Dispatch the stored intent once and return how the run ended."""
         task = await curio.spawn(self._run, stored, reservation, alone, daemon=True)
         return await task.join()
 
@@ -127,9 +130,10 @@
                 traceparent=traceparent_of(span),
                 alone=alone,
             )
-            # Failure: paused since the intent was written, this router wakes to
-            # fresh heartbeats and dispatches what a retry has taken over.  The
-            # epoch from before the intent is too old by then.
+            # Failure: this router is paused after it wrote the intent, and a
+            # retry takes the intent over.  After the pause the router receives
+            # new heartbeats and would dispatch a second run.  The sidecar
+            # rejects it, because the epoch stored in the intent has expired.
             dispatch = replace(dispatch, epoch=intent.epoch)
             return await self._run_to_outcome(attempt, reservation, stored, dispatch)
 
@@ -155,7 +159,7 @@
     async def start_recording(
         self, end: AttemptEnd, stored: StoredIntent, attempt: Attempt
     ) -> None:
-        """Make the outcome of a run durable in the background."""
+        """Start a task that makes the outcome of a run durable."""
         outcome = self._outcome_of(end)
         if outcome is not None:
             final_intent = with_outcome(stored.intent, outcome)
@@ -164,7 +168,7 @@
             )
 
     async def _record(self, intent: Intent, version: int, attempt: Attempt) -> None:
-        """Make an outcome durable and tell the sidecar, which then may forget."""
+        """Make an outcome durable and notify the sidecar, which may then drop it."""
         if await self._parts.intents.record(intent, version):
             message = OutcomeDurable(nonces=(intent.nonce,))
             with suppress(LinkLost):
--- a/src/ragwortkeel/router/filings.py
+++ b/src/ragwortkeel/router/filings.py
@@ -1,9 +1,9 @@
 """A request that must not repeat, such as a claim filing or a mailbox hold.
 
-An intent is durable in the platform before anything is dispatched, and its
-outcome after; `ragwortkeel.runs.intent` decides every step.  A run that has
-been dispatched is never cut off: if the caller leaves or its deadline passes,
-the run is followed to its end in the background and its outcome recorded.
+The intent is durable in the platform before the run is dispatched, and the
+outcome is recorded after it.  `ragwortkeel.runs.intent` decides each step.  A
+dispatched run is never interrupted: if the caller disconnects or the deadline
+passes, a background task follows the run and records its outcome.
 """
 
 from uuid import uuid4
@@ -50,7 +50,7 @@
 )
 
 SHORT_RETRY_SECONDS = 1.0
-"""By then the other attempt of the key has ended or is found running."""
+"""After this delay a concurrent attempt has ended or is recorded as running."""
 
 RETRY_SECONDS_BY_REASON = {
     Reason.PLATFORM_UNAVAILABLE: 10.0,
@@ -58,19 +58,20 @@
     Reason.REFUSED_BY_UPSTREAM: SHORT_RETRY_SECONDS,
     Reason.SIDECAR_GONE: 10.0,
 }
-"""Where coming back helps; an operator has to decide the rest."""
+"""Reasons for which a retry can succeed; an operator resolves the others."""
 
 
 class FilingExchange:
-    """Serves one call that must not repeat into a sink.
+    """Serves one call that must not repeat.
 
-    `run` returns None once the answer is sent, else the final refusal.
+    `run` returns None once the answer is sent to the sink, else the final
+    refusal.
 
     Attributes
     ----------
     may_have_run : bool
-        Whether `not_run` could be a lie: something was dispatched, or the
-        caller named the request and another attempt of it may be under way.
+        Whether the outcome `not_run` may be false: the call was dispatched, or
+        the caller sent a key and another attempt with it may be running.
     """
 
     def __init__(
@@ -91,7 +92,7 @@
         self._sink = sink
         self._filing = Filing(wanted=self._new_intent(), first=not call.key_given)
         if not call.key_given:
-            # Nobody else knows a key minted here, so there is nothing to read.
+            # No other attempt has a key generated here, so no intent is stored.
             self._filing.on_read(None)
         self._runs = FilingRuns(
             call=call, version=version, facts=facts, parts=parts, sink=sink
@@ -101,7 +102,7 @@
         self._reservation: Reservation | None = None
 
     async def run(self) -> Refusal | None:
-        """Serve the call."""
+        """Serve the call and return None, or the refusal to send."""
         try:
             refusal = await self._decide()
             if refusal is not None and refusal.outcome is CallerOutcome.NOT_RUN:
@@ -135,7 +136,7 @@
     async def _execute(
         self, step: ReadIntent | Create | TakeOver | AskSidecar | WriteNotRun
     ) -> Refusal | None:
-        """Carry out one step; return a refusal that the steps do not know of."""
+        """Execute one step and return None, or the refusal that ends the call."""
         match step:
             case ReadIntent():
                 await self._read()
@@ -151,7 +152,7 @@
         return None
 
     def _new_intent(self) -> Intent:
-        """Return an intent for this attempt; its sidecar is chosen when written."""
+        """Return an intent with a new nonce; `_write` sets its sidecar."""
         return Intent(
             profile=self._call.profile,
             request_id=self._call.request_id,
@@ -173,12 +174,13 @@
         self._filing.on_read(current)
 
     async def _confirm_not_run(self, refusal: Refusal) -> Refusal:
-        """Return `not_run` only once no other attempt of the key can run.
+        """Return the `not_run` refusal once no other attempt of the key can run.
 
-        Failure: a caller gives up on a slow router and tries another, which is
-        full and says `not_run`; the caller files anew under another key, and
-        the slow router then runs the first.  The record written here makes the
-        slow router's create or update fail, and it finds the refusal.
+        Failure: a caller times out at a slow router and retries at one with a
+        full queue, which refuses with `not_run`.  The caller files again with
+        another key, and the slow router then runs the first request.  The
+        intent written here makes the slow router's create or update fail; the
+        slow router then reads the refusal.
         """
         if not self._call.key_given or refusal.reason in _CONFIRMED_REASONS:
             return refusal
@@ -197,10 +199,10 @@
         )
 
     async def _write(self, version: int | None) -> Refusal | None:
-        """Choose a sidecar, then write the intent that names it."""
+        """Select a sidecar and write the intent with its name."""
         if version is not None and self._has_written and self._stored_is_not_run():
-            # Since this attempt began, another one of the same key was told
-            # `not_run`; running now would make that a lie.
+            # Another attempt with this key was refused with `not_run` since this
+            # attempt wrote its intent, so the call must not run any more.
             return _not_run(Reason.CONTENDED, SHORT_RETRY_SECONDS)
         refusal = await self._prepare()
         if refusal is not None:
@@ -222,7 +224,10 @@
         return outcome is not None and outcome.verdict is Verdict.NOT_RUN
 
     async def _prepare(self) -> Refusal | None:
-        """Be admitted to an upstream and set its tokens aside."""
+        """Wait for admission to an upstream and reserve tokens.
+
+        Return the refusal if either fails.
+        """
         if self._assignment is None:
             decision = await self._parts.dispatcher.admit(self._facts)
             if not isinstance(decision, Assignment):
@@ -242,7 +247,7 @@
         return None
 
     async def _dispatch(self) -> AttemptEnd:
-        """Dispatch, once; the run outlives this request."""
+        """Dispatch the stored intent; its run may outlast this request."""
         self.may_have_run = True
         self._filing.on_sent()
         reservation, self._reservation = self._reservation, None
@@ -272,7 +277,10 @@
         return None
 
     async def _admit_elsewhere(self, end: Declined | Broken) -> Intent | None:
-        """Be admitted to another upstream; this one will never run the nonce."""
+        """Return an intent for another upstream, None if the scheduler has none.
+
+        The present upstream never runs the nonce.
+        """
         self.may_have_run = self._call.key_given
         decision = await self._parts.dispatcher.retry(
             self._facts.request_id, failure_of(end)
@@ -283,7 +291,7 @@
         return self._new_intent()
 
     async def _resume(self, step: ResumeRun) -> Refusal | None:
-        """Give the caller the answer of a run that an earlier attempt started."""
+        """Send the caller the answer of a run that an earlier attempt started."""
         upstream = self._parts.pool.upstream_of(step.sidecar)
         if upstream is None:
             return _outcome_unknown(Reason.SIDECAR_GONE)
@@ -315,7 +323,7 @@
 
 
 _CONFIRMED_REASONS = (Reason.KEY_REUSED, Reason.REFUSED_BY_UPSTREAM)
-"""Refusals that rest on a record in the platform, or on another caller's body."""
+"""Reasons for which the stored intent proves that this request never ran."""
 
 
 def _not_run(reason: Reason, retry_after_seconds: float) -> Refusal:
--- a/src/ragwortkeel/router/intents.py
+++ b/src/ragwortkeel/router/intents.py
@@ -1,4 +1,4 @@
-"""Reading and writing intents in the platform, each failure told apart."""
+"""Reads and writes intents in the platform."""
 
 import curio
 
@@ -22,11 +22,11 @@
 
 OUTCOME_RETRY_SECONDS = 1.0
 OUTCOME_WRITE_ATTEMPTS = 30
-"""The sidecar keeps what it ran and records it as well; this is the fast way."""
+"""The sidecar records the outcome of each run too, so that giving up loses none."""
 
 
 class IntentStore:
-    """The intents of must-not-repeat requests.
+    """The stored intents of must-not-repeat requests.
 
     .. versionadded:: 0.1
     """
@@ -35,7 +35,13 @@
         self._platform = platform
 
     async def read(self, profile: str, request_id: str) -> StoredIntent | None:
-        """Return the intent under a key; a `PlatformError` where it can't be read."""
+        """Return the intent of a request, None if there is none.
+
+        Raises
+        ------
+        PlatformError
+            The intent can't be read.
+        """
         stored = await self._platform.get(INTENTS, object_name(profile, request_id))
         if stored is None:
             return None
@@ -44,7 +50,10 @@
     async def write(
         self, intent: Intent, version: int | None
     ) -> tuple[WriteResult, int]:
-        """Create the intent, or replace it at `version`; also return the new one."""
+        """Create the intent, or replace it if it is at `version`.
+
+        Return the result and the new version, 0 unless it was written.
+        """
         name = object_name(intent.profile, intent.request_id)
         value = encode(intent)
         try:
@@ -61,14 +70,18 @@
         return WriteResult.WRITTEN, rv
 
     async def record(self, intent: Intent, version: int) -> bool:
-        """Make an outcome durable, through a short outage if need be."""
+        """Write an intent with its outcome, with retries during a short outage.
+
+        Return whether the write was confirmed.
+        """
         for _ in range(OUTCOME_WRITE_ATTEMPTS):
             result, _ = await self.write(intent, version)
             if result is WriteResult.WRITTEN:
                 return True
             if result is WriteResult.CONFLICT:
-                # Somebody else recorded it, or this very write did and its
-                # answer was lost; the sidecar finds out which.
+                # Another process recorded the outcome, or an earlier write
+                # took effect and its answer was lost.  The sidecar reads the
+                # intent to find out.
                 return False
             await curio.sleep(OUTCOME_RETRY_SECONDS)
         return False
--- a/src/ragwortkeel/router/neighbours.py
+++ b/src/ragwortkeel/router/neighbours.py
@@ -1,9 +1,10 @@
-"""Which routers and sidecars a router is linked to: a few, so the fleet can grow.
+"""Selection of the routers and upstreams that a router links to.
 
-With everybody linked to everybody, 1,000 routers would keep a million links among
-themselves and ten million to sidecars.  A few partners in the own zone and a few
-elsewhere carry every change to all within a second or two, and whichever zone is
-lost, partners remain.  Of each back end a router links to a part, own zone first.
+A full mesh of 1,000 routers would have a million links between routers and ten
+million to sidecars.  A few peers in the own zone and a few in other zones spread
+each change to all routers within two seconds, and peers remain if any one zone
+fails.  Of each back end a router links to a subset of the upstreams, most of them
+in its own zone.
 """
 
 from collections import defaultdict
@@ -14,27 +15,28 @@
 
 PEERS_IN_ZONE = 4
 PEERS_IN_OTHER_ZONES = 2
-"""Six links of a heartbeat a second each way cost about 1 KB a second."""
+"""All six links together carry about 1 KB of heartbeats per second."""
 
 UPSTREAM_LINKS_IN_ZONE = 8
 UPSTREAM_LINKS_IN_OTHER_ZONES = 2
-"""Upstreams of one back end.  Both deployments of today are linked whole.  A link
-costs some 150 us of a core a second; at the target, with four back ends, these
-keep a router's links near sixty (docs/CAPACITY.md)."""
+"""Links to the upstreams of one back end.  Each router of both current deployments
+links to all upstreams.  A link costs about 150 us of processor time per second; in
+a fleet of the target size with four back ends a router has about 60 links
+(docs/CAPACITY.md)."""
 
 MIN_ROUTERS_PER_UPSTREAM = 2
-"""One of them may be dead or restarting at any moment."""
+"""Two, because one router may fail or restart at any moment."""
 
 
 def zone_router_addresses(nodes: Iterable[Node], zone: str) -> tuple[str, ...]:
-    """Return the addresses of the routers of a zone."""
+    """Return the addresses of the routers in a zone."""
     return tuple(
         node.address for node in nodes if node.role == Role.ROUTER and node.zone == zone
     )
 
 
 def peers_to_link(nodes: Iterable[Node], *, address: str, zone: str) -> set[str]:
-    """Return the addresses of the routers to keep links to."""
+    """Return the addresses of the routers that the router at `address` links to."""
     routers = [
         router
         for router in nodes
@@ -53,14 +55,17 @@
     zone: str,
     routers: Collection[str] = (),
 ) -> dict[str, Upstream]:
-    """Return the upstreams to keep links to, the same after every restart.
+    """Return the upstreams that the router at `address` links to.
+
+    The selection is the same after each restart.
 
     Parameters
     ----------
     routers
-        Addresses of the zone's routers.  Each upstream of the zone is linked by
-        at least `MIN_ROUTERS_PER_UPSTREAM` of them: chosen by the routers alone,
-        one in thirty would be linked by none and stand idle.
+        Addresses of the zone's routers.  At least `MIN_ROUTERS_PER_UPSTREAM` of
+        them link to each upstream of the zone.  If each router selected its
+        upstreams independently, one upstream in thirty would have no link and
+        receive no requests.
     """
     names_by_group: dict[tuple[str, bool], list[str]] = defaultdict(list)
     for name, upstream in upstreams_by_name.items():
@@ -71,7 +76,8 @@
     for (_, in_zone), names in names_by_group.items():
         count = UPSTREAM_LINKS_IN_ZONE if in_zone else UPSTREAM_LINKS_IN_OTHER_ZONES
         if not in_zone and len(names) <= UPSTREAM_LINKS_IN_ZONE:
-            # A small fleet spans its zones, so that losing one costs no caller.
+            # In a small fleet each router links to all zones, so that requests
+            # continue if the upstreams of its own zone fail.
             count = UPSTREAM_LINKS_IN_ZONE
         chosen = set(rendezvous(address, names, count))
         if in_zone:
--- a/src/ragwortkeel/router/node_cleanup.py
+++ b/src/ragwortkeel/router/node_cleanup.py
@@ -1,6 +1,7 @@
-"""Takes dead nodes off the platform's list, so that it does not grow for ever.
+"""Removes failed processes from the platform's list of nodes.
 
-At the target's size 140 instances die a day and none of them deregisters.
+In a fleet of the target size 140 instances fail per day without deregistering,
+so that the list would grow without bound.
 """
 
 from collections.abc import Callable
@@ -17,12 +18,12 @@
 CHECK_INTERVAL_SECONDS = 10.0
 
 REMOVAL_DELAY_SECONDS = 120.0
-"""A paused machine or a long cut is over by then more often than not; a sidecar
-that is taken off all the same joins again and reads the seals anew."""
+"""Most pauses and network partitions are shorter.  A sidecar that is removed and
+still runs registers again and reads the seals again."""
 
 
 class NodeCleanup:
-    """Deregisters nodes that have been dead for long.
+    """Deregisters processes `removal_delay_seconds` after they failed.
 
     .. versionadded:: 0.1
     """
@@ -44,13 +45,13 @@
         self._failed_since: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Look now and then until cancelled."""
+        """Remove failed processes periodically until cancelled."""
         while True:
             await curio.sleep(CHECK_INTERVAL_SECONDS)
             await self.remove_failed_nodes()
 
     async def remove_failed_nodes(self) -> None:
-        """Take off what has been dead for long and is this router's to do."""
+        """Remove the long failed processes that this router is responsible for."""
         now = self._clock()
         failed = self._membership.nodes(now, Liveness.DEAD)
         self._failed_since = {
@@ -70,8 +71,8 @@
             return
         try:
             if node.role == Role.ROUTER and not await self._is_sealed(incarnation):
-                # Whoever seals finds the dead by this list: a router taken off
-                # before its seal would keep its slices for ever.
+                # The reaper finds failed routers in this list.  The slices of a
+                # router that is removed before its seal would never be freed.
                 return
         except PlatformError:
             return
--- a/src/ragwortkeel/router/observer.py
+++ b/src/ragwortkeel/router/observer.py
@@ -1,4 +1,4 @@
-"""What a router tells of itself: a log line and metrics for each event."""
+"""Log lines and metrics for the events of a router."""
 
 from dataclasses import dataclass
 
@@ -19,9 +19,19 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EndedRequest:
-    """How one request went; `refusal` is None if it was answered.
-
-    `first_token_seconds` is None where nothing was streamed.
+    """A request that has ended.
+
+    Attributes
+    ----------
+    refusal : Refusal or None
+        None if the request was answered.
+    seconds : float
+        Time from the request's arrival to its end.
+    tokens : int
+        Tokens that the answer cost.
+    first_token_seconds : float or None
+        Time from the request's arrival to the first streamed data; None if
+        nothing was streamed.
     """
 
     call: Call
@@ -34,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Gauges:
-    """The state of a router at one moment."""
+    """Values of the gauges of a router at one moment."""
 
     revision: int
     running: int
@@ -43,7 +53,7 @@
 
 
 class Observer:
-    """Logs and counts.
+    """Writes the log lines and updates the metrics of a router.
 
     .. versionadded:: 0.1
     """
@@ -52,7 +62,7 @@
         self._metrics = metrics
 
     def record_request(self, ended: EndedRequest) -> None:
-        """Tell how a request went."""
+        """Log and count a request that has ended."""
         refusal, service = ended.refusal, ended.profile.service
         outcome = ANSWERED if refusal is None else refusal.outcome
         reason = "" if refusal is None else refusal.reason
@@ -77,7 +87,10 @@
     def record_decision(
         self, decision: Assignment | PolicyRefusal, waited: float
     ) -> None:
-        """Tell what the scheduler decided, after `waited` seconds in the queue."""
+        """Log and count a decision of the scheduler.
+
+        `waited` is the time in the queue in seconds.
+        """
         request = decision.request
         match decision:
             case Assignment(upstream=upstream, attempt=attempt, alone=alone):
@@ -104,12 +117,12 @@
                 )
 
     def record_attempt_failure(self, request_id: str, failure: Failure) -> None:
-        """Tell that an attempt gave no usable answer."""
+        """Log and count an attempt without a usable answer."""
         self._metrics.attempt_failed(failure=failure)
         log_info("attempt_failed", request=request_id, failure=failure)
 
     def record_crash(self, crash: Crash) -> None:
-        """Tell of a crash that was news here."""
+        """Log and count an upstream crash that this router didn't know of."""
         self._metrics.upstream_crashed()
         log_warning(
             "upstream_crashed",
@@ -119,7 +132,7 @@
         )
 
     def record_load(self, report: LoadReport) -> None:
-        """Show what a sidecar reports."""
+        """Update the metrics of an upstream from its sidecar's load report."""
         self._metrics.upstream(
             name=report.upstream,
             limit=report.limit,
@@ -127,20 +140,20 @@
         )
 
     def record_slice_renewal(self, outcome: str) -> None:
-        """Count how bringing a slice and its ledger in step ended."""
+        """Count the outcome of a slice's renewal at its ledger."""
         self._metrics.slice_operation(operation="renew", outcome=outcome)
 
     def record_platform_failure(self, error: str) -> None:
-        """Count a failed call of the platform."""
+        """Count a failed platform call."""
         self._metrics.platform_failed(error=error)
 
     def record_link_down(self, role: str, peer: str) -> None:
-        """Tell that a peer went silent."""
+        """Log and count the loss of a link."""
         self._metrics.link_lost(peer=role)
         log_warning("link_down", role=role, peer=peer)
 
     def set_gauges(self, gauges: Gauges) -> None:
-        """Show the state of the moment."""
+        """Set the gauges to the router's present values."""
         self._metrics.configuration_in_force(revision=gauges.revision)
         self._metrics.load(running=gauges.running, queued=gauges.queued)
         self._metrics.slice_tokens(tokens=gauges.slice_tokens)
--- a/src/ragwortkeel/router/peers.py
+++ b/src/ragwortkeel/router/peers.py
@@ -1,7 +1,7 @@
-"""The links between routers: a bound endpoint and links to a few partners.
+"""The links between routers: a bound endpoint and links to selected peers.
 
-A peer is named by the address that this router connected to, or by the
-identity under which the peer connected here.
+The name of a peer is the address that this router connects to, or the identity
+with which the peer connected to this router.
 """
 
 from contextlib import suppress
@@ -14,13 +14,13 @@
 
 
 class PeerLinks:
-    """Talks with other routers.
+    """Sends messages to other routers and receives theirs.
 
     Attributes
     ----------
     inbox : curio.Queue
-        Every `Received` message of a peer, heartbeats included, and the ups
-        and downs of the links opened here.
+        A `Received` for each message of a peer, heartbeats included, and the
+        `LinkUp` and `LinkDown` events of the links that this router opened.
 
     .. versionadded:: 0.1
     """
@@ -37,7 +37,7 @@
 
     @property
     def address(self) -> str:
-        """Where this router listens."""
+        """The address that this router listens on."""
         return self._endpoint.address
 
     def open(self) -> None:
@@ -45,14 +45,14 @@
         self._endpoint.open()
 
     def set_incarnation(self, incarnation: str) -> None:
-        """Send under another incarnation from now on."""
+        """Send all later messages with another incarnation."""
         self._incarnation = incarnation
         self._endpoint.incarnation = incarnation
         for link in self._links_by_address.values():
             link.incarnation = incarnation
 
     async def set_addresses(self, addresses: set[str]) -> None:
-        """Keep links to just these routers."""
+        """Open links to the routers at these addresses and close all others."""
         for address in set(self._links_by_address) - addresses:
             await self._tasks_by_address.pop(address).cancel()
             del self._links_by_address[address]
@@ -60,12 +60,18 @@
             await self._connect(address)
 
     def is_up(self, address: str) -> bool:
-        """Return whether a linked router was heard lately."""
+        """Return whether the link to a router is up."""
         link = self._links_by_address.get(address)
         return link is not None and link.up
 
     async def send(self, peer: str, message: AnyMessage) -> None:
-        """Send to a peer; `LinkLost` when there is no connection."""
+        """Send a message to a peer.
+
+        Raises
+        ------
+        LinkLost
+            There is no connection to the peer.
+        """
         link = self._links_by_address.get(peer)
         if link is not None:
             await link.send(message)
@@ -73,13 +79,13 @@
         await self._endpoint.send(peer, message)
 
     async def send_all(self, message: AnyMessage) -> None:
-        """Send to all linked routers that can be reached now."""
+        """Send a message to all linked routers that are reachable."""
         for link in list(self._links_by_address.values()):
             with suppress(LinkLost):
                 await link.send(message)
 
     async def run(self) -> None:
-        """Read the endpoint until cancelled."""
+        """Receive messages at the endpoint until cancelled."""
         while True:
             received = await self._endpoint.receive()
             await self._echo_heartbeat(received)
@@ -102,7 +108,7 @@
         self._tasks_by_address[address] = await curio.spawn(link.run, daemon=True)
 
     async def _echo_heartbeat(self, received: Received) -> None:
-        # The connecting side measures silence by what comes back.
+        # The link of the peer goes down unless it receives heartbeats.
         if isinstance(received.envelope.message, Heartbeat):
             with suppress(LinkLost):
                 await self._endpoint.send(received.peer, Heartbeat())
--- a/src/ragwortkeel/router/reaper.py
+++ b/src/ragwortkeel/router/reaper.py
@@ -1,9 +1,10 @@
-"""Takes back what dead routers held, by seals and never by time.
+"""Settles the grants of failed routers by seals, never by timeouts.
 
-Who is dead is decided elsewhere, from two kinds of evidence; being wrong costs
-the router its incarnation and nothing else.  For each dead one the order is:
-the seal object, the seal order to each registered sidecar, then the ledgers.
-A seal is kept open until every sidecar its grants name has reported for good.
+`ragwortkeel.membership` decides which routers have failed, from two kinds of
+evidence; a router that is sealed by mistake only continues under another
+incarnation.  For each failed router the reaper writes the seal object, then sends
+the seal to each registered sidecar, then updates the ledgers.  A seal stays open
+until each sidecar in the router's grants has sent its final report or is removed.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -29,10 +30,11 @@
 from ragwortkeel.router.receipt_writer import write_segment
 
 ROUND_INTERVAL_SECONDS = 2.0
-"""Between two rounds over open seals; one round asks each sidecar once."""
+"""Time between two rounds; in a round each sidecar receives each open seal once."""
 
 SWEEP_INTERVAL_SECONDS = 60.0
-"""A sealed router may open a grant after its seal was closed; a sweep finds it."""
+"""Time between two rounds that process closed seals too: a sealed router that
+doesn't know of its seal may still open a grant."""
 
 MAX_UPDATE_ATTEMPTS = 8
 
@@ -40,8 +42,8 @@
 class SealRecord(msgspec.Struct, frozen=True, kw_only=True):
     """The seal object in the platform; its name is the router's incarnation.
 
-    `closed` once no ledger holds anything of the router and all receipts that
-    its sidecars reported are durable.
+    `by` is the incarnation that wrote it.  `closed` is set once no ledger has a
+    grant of the router and all receipts that its sidecars reported are durable.
     """
 
     router: str
@@ -51,7 +53,7 @@
 
 @dataclass(kw_only=True)
 class _RoundResult:
-    """What the sidecars said about one router in one round."""
+    """Reports of the sidecars about one router in one round."""
 
     registered: set[str] = field(default_factory=set)
     sealed_by_sidecar: dict[str, Sealed] = field(default_factory=dict)
@@ -60,21 +62,24 @@
 
 
 class Reaper:
-    """Seals dead routers and settles what they left.
+    """Seals failed routers and settles their grants.
 
     Parameters
     ----------
     incarnation : callable
         Returns this router's incarnation.
     failed_routers : callable
-        Returns the incarnations of dead routers that this router acts on.
+        Returns the incarnations of the failed routers that this router seals.
     is_responsible : callable
-        Whether this router works on the seal of an incarnation.
+        Returns whether this router processes the seal of an incarnation.
     is_removed : callable
-        Whether a sidecar incarnation is gone for good with its upstream.
+        Returns whether a sidecar incarnation has failed and its upstream is
+        retired or has another sidecar.
     request_seal : async callable
-        Sends a `Seal` to a sidecar's node and returns its `Sealed`; raises
-        `LinkError` where there is no answer.
+        Sends a `Seal` to the sidecar of a `Node` and returns its `Sealed`; raises
+        `LinkError` if there is no answer.
+    clock : callable
+        Returns monotonic seconds.
 
     .. versionadded:: 0.1
     """
@@ -100,7 +105,7 @@
         self._swept_at: float | None = None
 
     async def run(self) -> None:
-        """Work in rounds until cancelled; an outage only delays them."""
+        """Run rounds until cancelled; a platform outage delays them."""
         while True:
             try:
                 await self.run_round()
@@ -109,7 +114,7 @@
             await curio.sleep(ROUND_INTERVAL_SECONDS)
 
     async def run_round(self) -> None:
-        """Seal the newly dead and go on with open seals once."""
+        """Seal newly failed routers and process each open seal once."""
         for router in self._failed_routers():
             await self._write_seal(router)
         for router in await self._seals_to_process():
@@ -138,8 +143,8 @@
         ]
 
     async def _process_seal(self, router: str) -> None:
-        # The order of the guard: the seal is in the platform already, so a
-        # sidecar missing in this list reads the seal before it lets work in.
+        # The seal was written before this list is read, so that a sidecar that
+        # is not in the list yet reads the seal before it accepts runs.
         result = await self._ask_sidecars(router)
         await self._write_receipts(router, result)
         open_ledgers = 0
@@ -171,12 +176,12 @@
             sealed = await self._request_seal(node, Seal(router=router))
         except LinkError:
             return
-        # Another incarnation at that address says nothing about this one.
+        # Another incarnation at the same address can't report for this one.
         if sealed.sidecar == node.incarnation:
             result.sealed_by_sidecar[node.incarnation] = sealed
 
     async def _write_receipts(self, router: str, result: _RoundResult) -> None:
-        """Make the dead router's receipts durable before its grants close."""
+        """Make the failed router's receipts durable before its grants are closed."""
         receipts = [
             receipt
             for sealed in result.sealed_by_sidecar.values()
@@ -188,7 +193,7 @@
         result.receipts_pending = running
 
     async def _settle(self, profile: str, router: str, result: _RoundResult) -> bool:
-        """Bring what is known into one ledger; return whether the grant closed."""
+        """Apply the reports to one ledger; return whether it has no grant left."""
         for _ in range(MAX_UPDATE_ATTEMPTS):
             stored = await self._platform.get(LEDGERS, profile)
             if stored is None:
@@ -201,7 +206,8 @@
             try:
                 await self._platform.update(LEDGERS, profile, value, stored.version)
             except (VersionConflict, ObjectNotFound, OutcomeUnknown):
-                # Every step here may be repeated, so a lost answer is no harm.
+                # Each change is idempotent, so an update with a lost answer is
+                # repeated.
                 continue
             return router not in ledger.grants
         return False
@@ -224,13 +230,14 @@
 ) -> Ledger:
     ledger = ledger.seal(router)
     for sidecar, sealed in result.sealed_by_sidecar.items():
-        # Running attempts may still spend: their sidecar stays at its bound.
+        # Running attempts may still spend tokens, so that their sidecar
+        # stays charged with its cap.
         if profile not in sealed.running:
             spent = sealed.ran.get(profile, 0)
             ledger = ledger.report(router=router, sidecar=sidecar, tokens=spent)
     grant = ledger.grants.get(router)
     for sidecar in sorted(grant.settled if grant else ()):
-        # One that has left the list has nothing more to tell.
+        # A sidecar that is not registered any more sends no further report.
         if sidecar in result.removed or sidecar not in result.registered:
             ledger = ledger.write_off(router=router, sidecar=sidecar)
     return ledger
--- a/src/ragwortkeel/router/receipt_writer.py
+++ b/src/ragwortkeel/router/receipt_writer.py
@@ -1,4 +1,4 @@
-"""Writes receipts to the platform in batches, through an outage if need be."""
+"""Writes receipts to the platform in batches, with retries during an outage."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -13,14 +13,16 @@
 from ragwortkeel.platform import Platform
 
 FLUSH_CHECK_SECONDS = 0.5
-"""At 1,000 routers this would be 2,000 writes a second: see `batch`."""
+"""Time between two checks whether a batch is due.  If each check wrote a segment,
+1,000 routers would write 2,000 per second."""
 
 FULL_BATCH_RECEIPTS = 200
-"""A fuller batch goes at once; a smaller one waits for `MAX_BATCH_DELAY_SECONDS`."""
+"""A batch of this size is written at the next check; a smaller one waits until its
+oldest receipt is `MAX_BATCH_DELAY_SECONDS` old."""
 
 MAX_BATCH_DELAY_SECONDS = 5.0
-"""1,000 routers then write 200 small segments a second; sidecars hold the
-receipts meanwhile, so a death loses none."""
+"""1,000 routers write 200 small segments per second with this delay.  The sidecars
+store the receipts meanwhile, so that none is lost if a router fails."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -32,12 +34,12 @@
 
 
 class ReceiptWriter:
-    """Takes receipts and makes them durable.
+    """Collects receipts and makes them durable.
 
     Attributes
     ----------
     durable : curio.Queue
-        A `DurableReceipts` for each sidecar and segment written.
+        A `DurableReceipts` for each written segment and each sidecar in it.
 
     .. versionadded:: 0.1
     """
@@ -58,17 +60,17 @@
 
     @property
     def pending_count(self) -> int:
-        """Receipts that are not durable yet."""
+        """Number of receipts that are not durable yet."""
         return len(self._receipts_by_nonce)
 
     async def add(self, receipt: RunReceipt) -> None:
-        """Take a receipt; the same one again changes nothing."""
+        """Add a receipt to the next batch, once per nonce."""
         if not self._receipts_by_nonce:
             self._oldest_at = self._clock()
         self._receipts_by_nonce[receipt.nonce] = receipt
 
     async def run(self) -> None:
-        """Write batches until cancelled."""
+        """Write due batches until cancelled."""
         while True:
             await curio.sleep(FLUSH_CHECK_SECONDS)
             waited = self._clock() - self._oldest_at
@@ -77,14 +79,14 @@
                 await self.flush()
 
     async def flush(self) -> bool:
-        """Write all receipts pending now; return whether all are durable."""
+        """Write all pending receipts; return whether all are durable."""
         pending = list(self._receipts_by_nonce.values())
         for segment in segments(writer=self._writer(), receipts=pending):
             try:
                 await write_segment(self._platform, segment)
             except PlatformError:
-                # Kept and written again, maybe in another segment: the bill is
-                # a set, so a receipt in two segments counts once.
+                # The receipts are written again, maybe in another segment.  A
+                # bill counts a receipt that is in two segments once.
                 return False
             await self._remove_written(segment)
         return True
@@ -101,15 +103,15 @@
 
 
 async def write_segment(platform: Platform, segment: Segment) -> None:
-    """Write a segment; one that is there already is the same one.
+    """Write a segment to the platform, unless it is stored already.
 
     Raises
     ------
     PlatformError
-        The segment may or may not be there; write it again.
+        The segment may or may not be stored; write it again.
     """
     try:
         await platform.create(RECEIPTS, segment.name, encode_segment(segment))
     except AlreadyExists:
-        # The name is a digest of what it holds: an earlier write took effect.
+        # The name is a digest of the content, so an earlier write succeeded.
         return
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -1,4 +1,4 @@
-"""The central object of the router daemon; it ties the parts and their tasks."""
+"""The central object of the router daemon, which runs its components as tasks."""
 
 from random import Random
 from time import monotonic
@@ -42,42 +42,43 @@
 from ragwortkeel.traces import Tracing
 
 BALANCER_NOTICE_SECONDS = 1.0
-"""A planned stop says so this long before it refuses connections, so that the
-balancer looks once and sends callers elsewhere."""
+"""Time between reporting as not ready and refusing connections on a planned stop,
+so that the balancer's next check removes this router."""
 
 DRAIN_POLL_SECONDS = 0.05
 
 SIDECAR_PREFIX = "sidecar:"
-"""Marks a gossip peer that is reached through the sidecars' links."""
+"""Prefix of the names of gossip peers that are reached over sidecar links; the name
+of the upstream follows."""
 
 
 def new_incarnation(name: str) -> str:
-    """Return a name for one life of a node, never used twice."""
+    """Return a unique incarnation for the process with this name."""
     return f"{name}-{uuid4().hex[:12]}"
 
 
 class Router:
-    """One router: callers in front, sidecars behind, other routers beside.
+    """A router, with its links to callers, sidecars and other routers.
 
     Parameters
     ----------
     settings
-        Names and addresses.
+        Names, addresses and the stop deadline.
     incarnation
         Unique to this start of the process.
     platform
         The platform's client.
     observer
-        Told of requests, decisions and links.
+        Records requests, decisions and lost links.
     tracing
-        Where spans go.
+        Records the spans.
 
     Examples
     --------
     >>> router = Router(settings=settings, incarnation="r1-7f3a", ...)
     >>> router.open()
     >>> task = await curio.spawn(router.run)
-    >>> cut_off = await router.drain()
+    >>> unfinished = await router.drain()
 
     .. versionadded:: 0.1
     """
@@ -158,11 +159,11 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the balancer may send requests to this router."""
         return not self.stopping and self.gossip.complete()
 
     def gauges(self) -> Gauges:
-        """Return the state of the moment."""
+        """Return the present values of the gauges."""
         rows = self.budgeting.keeper.rows()
         return Gauges(
             revision=self.store.revision,
@@ -172,7 +173,7 @@
         )
 
     def is_linked_to(self, node: Node) -> bool:
-        """Return whether a sidecar is at the other end of one of the links."""
+        """Return whether this router has a link to the sidecar of a node."""
         view = self.pool.views_by_upstream.get(node.upstream)
         return view is not None and view.link.address == node.address
 
@@ -200,13 +201,14 @@
 
     async def _serve_callers(self) -> None:
         await self._server.serve()
-        # A planned stop: the rest goes on until receipts and slices are settled.
+        # After a planned stop the other tasks run until receipts and slices are
+        # settled.
         await curio.Event().wait()
 
     async def drain(self) -> int:
-        """Stop taking callers and wait for open requests; return how many were cut.
+        """Stop accepting requests and wait for open requests and runs.
 
-        A request in flight is never cut off before the settings' deadline.
+        Return how many are unfinished at the stop deadline of the settings.
         """
         self.stopping = True
         await curio.sleep(BALANCER_NOTICE_SECONDS)
@@ -224,15 +226,15 @@
         return self._server.open_exchanges + self.settlement.open_runs
 
     async def close(self) -> None:
-        """Close the links; call it last."""
+        """Close the links; no other method may be called afterwards."""
         await self.pool.close()
         await self.peers.close()
 
     async def _start_new_incarnation(self) -> str:
-        """Go on under another incarnation; the old one is sealed.
+        """Replace the incarnation after it was sealed, and return the new one.
 
-        Awaits nothing: a reservation of one incarnation must not be sent under
-        another.
+        The method awaits nothing, so that no reservation of the old incarnation
+        is sent with the new one.
         """
         log_warning("router_was_sealed", incarnation=self.incarnation)
         self.incarnation = new_incarnation(self.settings.name)
@@ -241,7 +243,7 @@
         return self.incarnation
 
     async def set_zone_routers(self, zone_routers: tuple[str, ...]) -> None:
-        """Take over which routers share this one's zone, itself included."""
+        """Set the addresses of the routers in this zone, this one included."""
         if zone_routers != self._zone_routers or self.pool.draining:
             self._zone_routers = zone_routers
             await self._update_links()
@@ -263,7 +265,7 @@
         await self._update_scheduler()
 
     async def _update_scheduler(self) -> None:
-        """Tell the scheduler which upstreams may be given work."""
+        """Update the scheduler with the upstreams that may receive requests."""
         usable = []
         for name, (upstream, _) in self.directory.upstreams().items():
             serving = upstream.state is UpstreamState.SERVING and not upstream.retired
@@ -301,7 +303,7 @@
                 await self._forward_to_gossip(peer, envelope.revision, message)
 
     async def _receive_crash(self, seen: CrashSeen) -> None:
-        """Note a crash, and pass it on where it is news."""
+        """Record a crash, and forward it to the peers if it was unknown here."""
         crash = Crash(
             crash_id=seen.crash_id,
             fingerprints=frozenset(seen.fingerprints),
@@ -317,7 +319,8 @@
         if known != state:
             self._state_by_upstream[upstream] = state
             if known is not None and known[0] != sender:
-                # Another process answers at its address: it carries nothing more.
+                # Another incarnation answers at the address, so that the old one
+                # runs nothing more.
                 self.budgeting.keeper.forget_sidecar(known[0])
             await self._update_scheduler()
         report = LoadReport(
--- a/src/ragwortkeel/router/settlement.py
+++ b/src/ragwortkeel/router/settlement.py
@@ -1,8 +1,9 @@
-"""Runs that a request has given up on, followed until their cost is known.
+"""Settlement of reservations, also for runs that no request waits for.
 
-A reservation may be replaced by a figure only on evidence: the sidecar says
-what the run cost, or promises that it never runs, or is gone for good.  Until
-then the tokens stay set aside, because the run may still be spending them.
+A reservation is settled only when the cost of its run is known: the sidecar
+reports the cost, promises that the run never starts, or is replaced by another
+incarnation.  Until then the tokens stay reserved, because the run may still
+spend them.
 """
 
 from math import inf
@@ -24,12 +25,15 @@
 
 
 class Settlement:
-    """Settles attempts, at once where their end is known and later where not.
+    """Settles the reservations of attempts.
+
+    An attempt whose end is unknown is followed in the background and settled
+    when it ends.
 
     Attributes
     ----------
     open_runs : int
-        Runs still followed in the background; a planned stop waits for them.
+        Number of runs followed in the background; a planned stop waits for them.
 
     .. versionadded:: 0.1
     """
@@ -46,27 +50,27 @@
         end: AttemptEnd,
         call: Call,
     ) -> None:
-        """Settle an attempt that has ended, and keep its receipt."""
+        """Settle an attempt that has ended and write its receipt."""
         match end:
             case Completed(tokens=tokens):
                 await self._charge(reservation, attempt, call, tokens, True)
             case Broken(tokens=tokens, reason=reason):
-                # What a caller that left had already taken is billed; what a
-                # fault of ours cost is not.
+                # Tokens spent before the caller cancelled are billed; tokens
+                # lost to a failure of the service are not.
                 billable = reason == FailureReason.CANCELLED
                 await self._charge(reservation, attempt, call, tokens, billable)
             case Declined():
                 await self._budgets.settle(reservation, 0)
             case Lost():
-                # Another incarnation answers, so the run died with the old one;
-                # how far it came nobody knows: the bound is charged.
+                # The run ended with the sidecar's earlier incarnation.  Its
+                # cost is unknown, so the whole reservation is charged.
                 await self._budgets.settle(reservation, reservation.tokens)
         attempt.close()
 
     async def follow_in_background(
         self, reservation: Reservation, attempt: Attempt, call: Call, *, cancel: bool
     ) -> None:
-        """Follow an open attempt to its end in the background."""
+        """Follow an open attempt in the background and settle it when it ends."""
         if cancel:
             await attempt.cancel()
         self.open_runs += 1
--- a/src/ragwortkeel/router/sidecars.py
+++ b/src/ragwortkeel/router/sidecars.py
@@ -1,7 +1,7 @@
 """The links from a router to the sidecars of the configured upstreams.
 
-One task owns the inbox of all links and hands each message to the exchange
-whose nonce it names; what names none goes to `other_events`.
+One task reads the inbox of all links and delivers each message to the
+subscriptions with its nonce.  Events without a nonce go to `other_events`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -30,7 +30,7 @@
 )
 
 ANSWER_TIMEOUT_SECONDS = 1.0
-"""A sidecar that is up answers in well under a millisecond."""
+"""A reachable sidecar answers in well under a millisecond."""
 
 RunEvent = (
     Started | Chunk | Finished | Failed | Refused | TombstoneResult | LinkUp | LinkDown
@@ -39,7 +39,7 @@
 
 @dataclass(kw_only=True)
 class SidecarView:
-    """What the router last heard of one sidecar."""
+    """Link to one sidecar, and what the router last received from it."""
 
     upstream: str
     link: Link
@@ -51,7 +51,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Subscription:
-    """One reader of one run; a retry may read along with the first caller."""
+    """Queue of one reader of a run.
+
+    Several exchanges may read the same run, as when the caller retries.
+    """
 
     nonce: str
     upstream: str
@@ -66,16 +69,18 @@
     incarnation, revision
         As for `Link`.
     on_crash
-        Awaited with each crash before anything later of that sidecar is
-        handed out: a run that broke in the crash must not be sent on unseen.
+        Awaited with each crash before later messages of that sidecar are
+        delivered, so that a run that the crash broke isn't retried before the
+        crash is recorded.
 
     Attributes
     ----------
     views_by_upstream : dict of str to SidecarView
     draining : set of str
-        Upstreams that are not wanted any more and still have runs in flight.
+        Upstreams that are removed and still have runs in flight.
     other_events : curio.Queue
-        `Received` events that belong to no run, and every link's up and down.
+        `Received` events that belong to no run, and the `LinkUp` and `LinkDown`
+        events of all links.
 
     .. versionadded:: 0.1
     """
@@ -99,10 +104,11 @@
         self._seal_queues_by_key: dict[tuple[str, str], curio.Queue] = {}
 
     async def set_upstreams(self, upstreams_by_name: dict[str, Upstream]) -> None:
-        """Open links to new upstreams and close those to removed ones.
+        """Open links to new upstreams and close links to removed upstreams.
 
-        One with runs in flight is kept for the next call: closing it would cut
-        their answers off.
+        A link to a removed upstream with runs in flight stays open and is
+        checked again by the next call, because closing it would interrupt the
+        answers.
         """
         self.draining.clear()
         for name, view in list(self.views_by_upstream.items()):
@@ -118,29 +124,39 @@
                 await self._add(name, upstream.sidecar_address)
 
     def _has_runs(self, upstream: str) -> bool:
-        readers = self._subscriptions_by_nonce.values()
-        return any(one.upstream == upstream for each in readers for one in each)
+        subscriptions = self._subscriptions_by_nonce.values()
+        return any(
+            reader.upstream == upstream
+            for readers in subscriptions
+            for reader in readers
+        )
 
     def is_up(self, upstream: str) -> bool:
-        """Return whether the sidecar is connected and known by incarnation."""
+        """Return whether the sidecar is connected and its incarnation is known."""
         view = self.views_by_upstream.get(upstream)
         return view is not None and view.link.up and bool(view.incarnation)
 
     async def send(self, upstream: str, message: AnyMessage) -> None:
-        """Send to an upstream's sidecar; `LinkLost` when that cannot be."""
+        """Send a message to an upstream's sidecar.
+
+        Raises
+        ------
+        LinkLost
+            There is no connection to the sidecar.
+        """
         view = self.views_by_upstream.get(upstream)
         if view is None:
-            raise LinkLost(f"no link to {upstream}")
+            raise LinkLost(f"no link to the sidecar of {upstream}")
         await view.link.send(message)
 
     def subscribe(self, nonce: str, upstream: str) -> Subscription:
-        """Return a subscription whose queue gets everything about a run."""
+        """Return a subscription whose queue receives all messages of a run."""
         rv = Subscription(nonce=nonce, upstream=upstream, queue=curio.Queue())
         self._subscriptions_by_nonce.setdefault(nonce, []).append(rv)
         return rv
 
     def unsubscribe(self, subscription: Subscription) -> None:
-        """Forget a reader; later messages for it are dropped."""
+        """Remove a subscription; its queue receives no further messages."""
         readers = self._subscriptions_by_nonce.get(subscription.nonce, [])
         if subscription in readers:
             readers.remove(subscription)
@@ -157,7 +173,7 @@
     async def locate(
         self, upstream: str, profile: str, request_id: str
     ) -> Located | None:
-        """Ask a sidecar for a run of a request; None when it does not answer."""
+        """Ask a sidecar for its run of a request; return None without an answer."""
         key = (upstream, profile, request_id)
         queue = self._locate_queues_by_key.setdefault(key, curio.Queue())
         try:
@@ -170,12 +186,18 @@
             self._locate_queues_by_key.pop(key, None)
 
     def update_incarnation(self) -> None:
-        """Send under the router's new incarnation from now on."""
+        """Send all later messages with the router's new incarnation."""
         for view in self.views_by_upstream.values():
             view.link.incarnation = self._incarnation()
 
     async def seal(self, upstream: str, seal: Seal) -> Sealed:
-        """Have a sidecar seal a router; `LinkLost` where it does not answer."""
+        """Send a seal to a sidecar and return its answer.
+
+        Raises
+        ------
+        LinkLost
+            The sidecar does not answer.
+        """
         key = (upstream, seal.router)
         queue = self._seal_queues_by_key.setdefault(key, curio.Queue())
         try:
@@ -183,12 +205,12 @@
             async with curio.timeout_after(ANSWER_TIMEOUT_SECONDS):
                 return await queue.get()
         except curio.TaskTimeout as exc:
-            raise LinkLost(f"{upstream} did not answer") from exc
+            raise LinkLost(f"sidecar of {upstream} did not answer a seal") from exc
         finally:
             self._seal_queues_by_key.pop(key, None)
 
     async def run(self) -> None:
-        """Hand out what arrives until cancelled."""
+        """Deliver received events until cancelled."""
         while True:
             await self._deliver_event(await self._inbox.get())
 
--- a/src/ragwortkeel/router/sinks.py
+++ b/src/ragwortkeel/router/sinks.py
@@ -1,9 +1,8 @@
-"""Where an answer goes: a stream to the caller, or a whole body at the end.
+"""Sinks that send an answer to the caller, streamed or as one body.
 
-A stream passes on only whole events, so that a run which breaks off can be
-continued by another upstream without a torn event in between, and an answer
-that cannot be continued ends with an explicit error event, never by just
-stopping.
+A stream contains only complete events, so that another upstream can continue an
+interrupted run after the last event.  An answer that can't be continued ends
+with an error event, so that the caller doesn't mistake it for a complete one.
 """
 
 import re
@@ -23,22 +22,23 @@
 EVENT_STREAM = "text/event-stream"
 EVENT_END = b"\n\n"
 TOKEN_PATTERN = re.compile(rb'"content":\s*"(?!")')
-"""Stands in each event that carries a token, and in no other: engines begin with
-an empty one, and counted, it would make a resumed stream skip a token."""
+"""Matches the content of each event that carries a token.  The first event of an
+engine has empty content; if it were counted, a resumed stream would skip a
+token."""
 
 HEADER_REQUEST_ID = "idempotency-key"
 HEADER_TRACE = "traceparent"
 
 
 class EventSplitter:
-    """Cuts a byte stream into whole server-sent events and counts tokens."""
+    """Splits a byte stream into complete server-sent events and counts tokens."""
 
     def __init__(self) -> None:
         self._partial_event = b""
         self.tokens = 0
 
     def add(self, data: bytes) -> bytes:
-        """Return what is whole now; the torn rest waits."""
+        """Return the events that are complete now and store the partial one."""
         events, end, self._partial_event = (self._partial_event + data).rpartition(
             EVENT_END
         )
@@ -46,22 +46,22 @@
         return events + end
 
     def drain_partial_event(self) -> bytes:
-        """Return what is left at the end of a whole answer."""
+        """Return and clear the remainder at the end of a complete answer."""
         rv, self._partial_event = self._partial_event, b""
         return rv
 
     def discard_partial_event(self) -> None:
-        """Forget a torn event: its run will not go on."""
+        """Discard the partial event of an interrupted run."""
         self._partial_event = b""
 
 
 class StreamSink:
-    """Streams an answer to the caller as it comes.
+    """Streams an answer to the caller.
 
     Attributes
     ----------
     started_at : float or None
-        When the caller got the first part, in monotonic seconds.
+        Time of the first data sent to the caller, in monotonic seconds.
     """
 
     def __init__(
@@ -82,18 +82,18 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether the caller has part of the answer, so that no problem fits."""
+        """Whether the answer's head is sent, so that no status can follow."""
         return self.started_at is not None
 
     @property
     def tokens(self) -> int:
-        """Tokens passed on so far."""
+        """Number of tokens sent to the caller."""
         return self._splitter.tokens
 
     async def write(self, data: bytes, content_type: str) -> None:
-        """Pass on what is whole."""
+        """Send the events that `data` completes."""
         if not content_type.startswith(EVENT_STREAM):
-            # An engine refuses a stream request by a plain answer.
+            # Engines refuse a stream request with a plain body.
             self._plain_chunks.append(data)
             return
         await self._send_events(self._splitter.add(data))
@@ -111,13 +111,13 @@
         await self._send(self._responder.send(data))
 
     def restart(self) -> None:
-        """Expect a run that goes on after the tokens already passed on."""
+        """Prepare for another run, which continues after the tokens sent."""
         self._splitter.discard_partial_event()
         self._plain_chunks.clear()
 
     async def finish(self, status: int, content_type: str) -> None:
-        """End the answer, which is whole."""
-        # Engines may end their last event otherwise than by an empty line.
+        """Complete the answer."""
+        # The last event of an engine may lack the empty line at its end.
         await self._send_events(self._splitter.drain_partial_event())
         if not self.has_started:
             headers = self._headers | {"content-type": content_type}
@@ -127,7 +127,7 @@
         await self._send(self._responder.finish())
 
     async def refuse(self, refusal: Refusal) -> None:
-        """End the answer by a refusal, or by an error event once begun."""
+        """End the answer with a refusal, or with an error event if it has started."""
         if not self.has_started:
             await _respond_problem(
                 self._responder, refusal, self._request_id, self._headers
@@ -139,13 +139,13 @@
         await self._send(self._responder.finish())
 
     async def _send(self, sending) -> None:
-        # The caller may be gone while its run goes on for a later retry.
+        # The caller may have disconnected; its run continues for a retry.
         with suppress(ExchangeBroken):
             await sending
 
 
 class BufferedSink:
-    """Collects an answer and sends it once it is whole."""
+    """Collects an answer and sends it when it is complete."""
 
     def __init__(
         self,
@@ -164,26 +164,26 @@
         self._chunks: list[bytes] = []
 
     async def write(self, data: bytes, content_type: str) -> None:
-        """Keep a piece."""
+        """Add a chunk to the answer."""
         self._chunks.append(data)
 
     def restart(self) -> None:
-        """Forget the pieces of a run that broke off."""
+        """Discard the chunks of an interrupted run."""
         self._chunks.clear()
 
     @property
     def body(self) -> bytes:
-        """What has been collected."""
+        """The collected answer."""
         return b"".join(self._chunks)
 
     async def finish(self, status: int, content_type: str) -> None:
-        """Send the answer."""
+        """Send the collected answer."""
         headers = self._headers | {"content-type": content_type}
         with suppress(ExchangeBroken):
             await self._responder.respond(status, self.body, headers)
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Send a refusal instead."""
+        """Send a refusal instead of the answer."""
         await _respond_problem(
             self._responder, refusal, self._request_id, self._headers
         )
--- a/src/ragwortkeel/router/worker.py
+++ b/src/ragwortkeel/router/worker.py
@@ -1,4 +1,4 @@
-"""The router daemon's work: the router, its budgets and its place in the fleet."""
+"""The tasks of a router process: the router, its registration and its peers."""
 
 from random import Random
 from time import monotonic
@@ -24,7 +24,7 @@
 
 
 class RouterWorker:
-    """Everything a router process runs.
+    """Runs a router and its registration, and selects its peers.
 
     .. versionadded:: 0.1
     """
@@ -48,7 +48,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the balancer may send requests to this router."""
         return self._router.ready
 
     def open(self) -> None:
@@ -56,7 +56,7 @@
         self._router.open()
 
     async def run(self) -> None:
-        """Work until cancelled or until a task fails."""
+        """Run all tasks until cancelled or until one of them fails."""
         await run_together(
             self._router.run,
             self._update_neighbours,
@@ -65,7 +65,7 @@
         )
 
     async def stop(self) -> Leftover:
-        """Finish open requests, make receipts durable, give slices back."""
+        """Finish open requests, make receipts durable and return the slices."""
         unfinished = await self._router.drain()
         not_returned = await self._router.budgeting.close()
         await deregister(self._platform, self._node())
@@ -73,7 +73,7 @@
         return Leftover(counts={"requests": unfinished, "undone": not_returned})
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return what is in force here of an object."""
+        """Return the state of a configuration object in this process."""
         return self._router.store.in_force(kind, name)
 
     def _node(self) -> Node:
@@ -86,7 +86,7 @@
         )
 
     async def _stay_registered(self) -> None:
-        """Register, and again under the next incarnation after a seal."""
+        """Register the router, and again after a seal changes its incarnation."""
         while True:
             node = self._node()
             await register(self._platform, node)
@@ -103,7 +103,7 @@
             await curio.sleep(NEIGHBOURS_INTERVAL_SECONDS)
 
     async def _update_peers(self, now: float) -> None:
-        """Link to the partners and to routers that only a link can tell about."""
+        """Link to the selected peers and to the routers that need a probe."""
         settings, membership = self._settings, self._router.membership
         nodes = membership.nodes(now, *Liveness)
         present = [
