--- a/tests/router/in_process.py
+++ b/tests/router/in_process.py
@@ -1,4 +1,4 @@
-"""A whole small fleet in one kernel: real router and sidecars, stand-ins around."""
+"""A small fleet in one kernel: a router and sidecars with stand-in upstreams."""
 
 from random import Random
 
@@ -30,8 +30,8 @@
 from ragwortkeel.standins.service import serve as serve_service
 from ragwortkeel.traces import Tracing
 
-PREPAID = 10_000
-PATIENCE = 30.0
+PREPAID_TOKENS = 10_000
+TIMEOUT_SECONDS = 30.0
 
 CHAT = Profile(
     name="advisor-chat",
@@ -52,13 +52,13 @@
 
 
 def run_fleet(scenario, **options):
-    """Run ``await scenario(fleet)`` beside a fresh fleet and return its result."""
+    """Start a new fleet, run ``await scenario(fleet)`` and return its result."""
 
     async def main():
         fleet = Fleet(**options)
         await fleet.start()
         try:
-            async with curio.timeout_after(2 * PATIENCE):
+            async with curio.timeout_after(2 * TIMEOUT_SECONDS):
                 return await scenario(fleet)
         finally:
             await fleet.stop()
@@ -68,7 +68,7 @@
 
 
 class Fleet:
-    """One router before some engines and a plain service, and its platform."""
+    """One router, some engines and a service with their sidecars, and a platform."""
 
     def __init__(self, *, engines=1, resumes=False, filing_back_end="claims"):
         filing = msgspec.structs.replace(FILING, back_ends=(filing_back_end,))
@@ -88,7 +88,7 @@
             await self._create(PROFILES, profile.name, msgspec.json.encode(profile))
             ledger = Ledger()
             operation = ledger.operation_id("first")
-            ledger = ledger.top_up(tokens=PREPAID, operation_id=operation)
+            ledger = ledger.top_up(tokens=PREPAID_TOKENS, operation_id=operation)
             await self._create(LEDGERS, profile.name, encode_ledger(ledger))
         await self._start_router()
 
@@ -172,14 +172,14 @@
         await until(lambda: directory.profile(profile.name)[0].retired)
 
     async def receipts(self):
-        """Return the receipts that are durable once all are."""
+        """Write all pending receipts and return all durable ones."""
         await self.router.budgeting.receipts.flush()
         listing = await self.platform.list(RECEIPTS)
         segments = [decode_segment(s.value) for s in listing.by_name.values()]
-        return [receipt for one in segments for receipt in one.receipts]
+        return [receipt for segment in segments for receipt in segment.receipts]
 
     def row(self, profile):
-        """Return what the keeper shows of a budget."""
+        """Return the budget keeper's row of a profile."""
         rows = self.router.budgeting.keeper.rows()
         return next(row for row in rows if row.profile == profile.name)
 
@@ -190,25 +190,27 @@
             path,
             body=msgspec.json.encode(body),
             headers=fields,
-            timeout=PATIENCE,
+            timeout=TIMEOUT_SECONDS,
         )
 
     async def switch(self, upstream, **switches):
         host, port = self.upstream_addresses[upstream].split(":")
         client = HttpClient(host=host, port=int(port))
         body = msgspec.json.encode(switches)
-        return await client.request("POST", "/switches", body=body, timeout=PATIENCE)
+        return await client.request(
+            "POST", "/switches", body=body, timeout=TIMEOUT_SECONDS
+        )
 
     async def runs(self, upstream):
-        """Return how many calls took effect at an upstream."""
+        """Return how many calls an upstream executed."""
         host, port = self.upstream_addresses[upstream].split(":")
         client = HttpClient(host=host, port=int(port))
-        response = await client.request("GET", "/executions", timeout=PATIENCE)
+        response = await client.request("GET", "/executions", timeout=TIMEOUT_SECONDS)
         found = msgspec.json.decode(response.body)
         return sum(found.get("count_by_request_id", found).values())
 
 
 async def until(condition):
-    async with curio.timeout_after(PATIENCE):
+    async with curio.timeout_after(TIMEOUT_SECONDS):
         while not condition():
             await curio.sleep(0.01)
--- a/tests/router/test_directory.py
+++ b/tests/router/test_directory.py
@@ -1,4 +1,4 @@
-"""The decoded view of the configuration in force."""
+"""Tests of the decoded profiles and upstreams."""
 
 import msgspec
 
@@ -21,12 +21,13 @@
 
 
 class TestUpstreams:
-    def test_an_older_change_that_comes_later_is_seen(self):
-        """A router started in an outage refuses all callers: no upstream.
+    def test_an_older_change_that_is_received_later_is_visible(self):
+        """Guards against a router that sees no upstream and refuses all requests.
 
-        It learned from its peer in several messages.  The first brought a newer
-        change of another kind, so that the revision stood when the upstreams
-        came, and the view made before was kept.
+        The router starts in an outage and receives the configuration from a peer
+        in several messages.  The first one has a newer change of another kind, so
+        that the later upstreams don't raise the revision, and a cache keyed by
+        revision stays empty.
         """
         store = ConfigurationStore()
         directory = Directory(store=store)
@@ -36,7 +37,7 @@
         store.merge([stored(UPSTREAMS, "m1", 5, value)])
         assert directory.upstreams() == {"m1": (UPSTREAM, 5)}
 
-    def test_one_unreadable_object_hides_no_other(self):
+    def test_an_unreadable_object_hides_no_other_object(self):
         store = ConfigurationStore()
         value = msgspec.json.encode(UPSTREAM)
         store.merge([stored(UPSTREAMS, "bad", 1), stored(UPSTREAMS, "m1", 2, value)])
--- a/tests/router/test_filings.py
+++ b/tests/router/test_filings.py
@@ -1,4 +1,4 @@
-"""A filing's exchange against real sidecar cores, its router paused on the way."""
+"""Tests of a filing's exchange with sidecar cores while its router is paused."""
 
 from types import SimpleNamespace
 
@@ -51,7 +51,7 @@
 
 
 class Sidecars:
-    """Two sidecar cores whose upstreams answer at once; counts the runs."""
+    """Two sidecar cores whose upstreams answer at once; records the runs."""
 
     def __init__(self):
         self.runs = []
@@ -63,7 +63,7 @@
             core.admission.admitted = True
             self.core_by_upstream[upstream] = core
 
-    def hear(self, router, upstream, message):
+    def receive(self, router, upstream, message):
         core = self.core_by_upstream[upstream]
         effects = core.on_message(router, router, message, 0.0)
         replies = [e.message for e in effects if isinstance(e, Send)]
@@ -81,7 +81,7 @@
 
 
 class Pool:
-    """One router's view of the sidecars; heartbeats are always fresh."""
+    """One router's view of the sidecars, with the latest heartbeats."""
 
     def __init__(self, router, sidecars):
         self._router, self._sidecars = router, sidecars
@@ -111,14 +111,14 @@
             self._readers.remove(reader)
 
     async def send(self, upstream, message):
-        for reply in self._sidecars.hear(self._router, upstream, message):
+        for reply in self._sidecars.receive(self._router, upstream, message):
             for reader in self._readers:
                 if reader.nonce == getattr(reply, "nonce", None):
                     await reader.queue.put(reply)
 
 
 class PausedAfterWrite(LocalPlatform):
-    """A platform whose creates take effect, and answer only once released."""
+    """A platform that answers a create only after `release` is set."""
 
     def __init__(self):
         super().__init__()
@@ -200,12 +200,13 @@
 
 
 class TestPausedRouter:
-    def test_router_paused_between_intent_and_dispatch_never_runs_it_again(self):
-        """A router writes a filing's intent and is paused before it dispatches.
+    def test_router_paused_between_intent_and_dispatch_runs_nothing_afterwards(self):
+        """Guards against a claim that is filed twice.
 
-        The clerk files again at another router, which gets the promise that the
-        first never runs, and files it.  Hours later the first router wakes, hears
-        fresh heartbeats and dispatches: the claim must not be filed twice.
+        A router writes the intent and is paused before the dispatch.  The caller
+        retries at another router, which obtains the tombstone of the first nonce
+        and runs the filing.  After the pause the first router receives new
+        heartbeats and dispatches.
         """
 
         async def main():
@@ -213,15 +214,15 @@
             paused = exchange("a", "u1", sidecars, platform, Caller())
             task = await curio.spawn(paused.run, daemon=True)
             await platform.written.wait()
-            clerk = Caller()
-            await exchange("b", "u2", sidecars, platform, clerk).run()
+            second_caller = Caller()
+            await exchange("b", "u2", sidecars, platform, second_caller).run()
             for core in sidecars.core_by_upstream.values():
                 for _ in range(10):
                     core.on_epoch(0.0)
             await platform.release.set()
             async with curio.timeout_after(10):
                 refusal = await task.join()
-            return sidecars.runs, clerk.body, refusal
+            return sidecars.runs, second_caller.body, refusal
 
         with curio.Kernel(taskcls=ContextTask) as kernel:
             runs, body, refusal = kernel.run(main)
--- a/tests/router/test_neighbours.py
+++ b/tests/router/test_neighbours.py
@@ -1,4 +1,4 @@
-"""Who is linked to whom: all of a small fleet, a part of a large one."""
+"""Tests of the selection of routers and upstreams to link to."""
 
 from collections import Counter
 
@@ -36,7 +36,7 @@
 
 
 class TestUpstreams:
-    def test_both_deployments_of_today_are_linked_whole(self):
+    def test_a_small_fleet_is_linked_completely(self):
         known = {f"m{i}": upstream(f"m{i}", f"bkk-{'abc'[i % 3]}") for i in range(10)}
         linked = upstreams_to_link(known, address="10.0.0.1:7000", zone="bkk-a")
         assert linked == known
@@ -45,7 +45,7 @@
         known = {"m": upstream("m", "a", retired=True)}
         assert upstreams_to_link(known, address="x", zone="a") == {}
 
-    def test_a_large_fleet_is_linked_in_part_and_evenly(self):
+    def test_a_large_fleet_is_linked_partially_and_evenly(self):
         zones = [f"z{i}" for i in range(25)]
         known = {f"m{i}": upstream(f"m{i}", zones[i % 25]) for i in range(2_500)}
         routers = [f"r{number}" for number in range(40)]
@@ -54,16 +54,16 @@
             linked = upstreams_to_link(
                 known, address=address, zone="z0", routers=routers
             )
-            near = [n for n, one in linked.items() if one.zone == "z0"]
-            assert UPSTREAM_LINKS_IN_ZONE <= len(near) <= 3 * UPSTREAM_LINKS_IN_ZONE
-            assert len(linked) - len(near) == UPSTREAM_LINKS_IN_OTHER_ZONES
-            links.update(near)
+            in_zone = [name for name, found in linked.items() if found.zone == "z0"]
+            assert UPSTREAM_LINKS_IN_ZONE <= len(in_zone) <= 3 * UPSTREAM_LINKS_IN_ZONE
+            assert len(linked) - len(in_zone) == UPSTREAM_LINKS_IN_OTHER_ZONES
+            links.update(in_zone)
         assert len(links) == 100
         assert min(links.values()) >= MIN_ROUTERS_PER_UPSTREAM
 
 
-class TestPartners:
-    def test_some_are_in_the_zone_and_some_elsewhere(self):
+class TestPeers:
+    def test_some_peers_are_in_the_zone_and_some_in_other_zones(self):
         nodes = [router(i, "a" if i < 20 else "b") for i in range(1, 40)]
         found = peers_to_link(nodes, address="10.0.0.1:7000", zone="a")
         assert len(found) == PEERS_IN_ZONE + PEERS_IN_OTHER_ZONES
--- a/tests/router/test_path.py
+++ b/tests/router/test_path.py
@@ -5,7 +5,7 @@
 
 from ragwortkeel.router.calls import CHAT_PATH
 
-from .in_process import CHAT, FILING, PREPAID, run_fleet, until
+from .in_process import CHAT, FILING, PREPAID_TOKENS, run_fleet, until
 
 QUESTION = {
     "model": "advisor-chat",
@@ -283,7 +283,7 @@
             async def sealed_meanwhile(*asked):
                 reserved.append(await reserve(*asked))
                 if len(reserved) == 1:
-                    await fleet.top_up(CHAT, 10 * PREPAID)
+                    await fleet.top_up(CHAT, 10 * PREPAID_TOKENS)
                     await keeper._sealed.put(keeper.incarnation)
                     before = keeper.incarnation
                     await until(lambda: keeper.incarnation != before)
--- a/tests/router/test_reaper.py
+++ b/tests/router/test_reaper.py
@@ -1,4 +1,4 @@
-"""The reaper over an in-process platform and scripted sidecars."""
+"""Tests of the reaper with an in-process platform and scripted sidecars."""
 
 from contextlib import suppress
 
@@ -16,8 +16,8 @@
 from ragwortkeel.standins.local_platform import LocalPlatform
 
 
-class Scene:
-    """A dead router r1 that held 60 of 100 tokens through s1 and s2, cap 20."""
+class ReaperHarness:
+    """A failed router r1 with a grant of 60 of 100 tokens, s1 and s2 with cap 20."""
 
     def __init__(self):
         self.platform = LocalPlatform()
@@ -37,15 +37,15 @@
             "s1": self.report("s1", ran={"p": 7}),
             "s2": self.report("s2", ran={"p": 4}),
         }
-        self.gone = set()
-        self.seal_was_there = []
+        self.removed = set()
+        self.seal_was_written = []
         self.now = 0.0
         self.reaper = Reaper(
             platform=self.platform,
             incarnation=lambda: "r2",
             failed_routers=lambda: ["r1"],
             is_responsible=lambda router: True,
-            is_removed=lambda sidecar: sidecar in self.gone,
+            is_removed=lambda sidecar: sidecar in self.removed,
             request_seal=self.ask,
             clock=lambda: self.now,
         )
@@ -74,11 +74,11 @@
         )
 
     async def ask(self, node, seal):
-        there = self.platform.peek(SEALS, seal.router) is not None
-        self.seal_was_there.append(there)
+        is_written = self.platform.peek(SEALS, seal.router) is not None
+        self.seal_was_written.append(is_written)
         answer = self.answers.get(node.incarnation)
         if answer is None:
-            raise LinkLost("cut off")
+            raise LinkLost("sidecar is unreachable")
         return answer
 
     def round(self):
@@ -95,96 +95,99 @@
 
 
 @pytest.fixture
-def scene():
-    return Scene()
+def harness():
+    return ReaperHarness()
 
 
 class TestAllReachable:
-    def test_spend_is_exact_and_the_rest_comes_back(self, scene):
-        scene.round()
-        assert (scene.ledger.spent, scene.ledger.held) == (11, 11)
-        assert scene.closed
+    def test_spend_is_exact_and_unspent_tokens_are_returned(self, harness):
+        harness.round()
+        assert (harness.ledger.spent, harness.ledger.held) == (11, 11)
+        assert harness.closed
 
-    def test_seal_is_in_the_platform_before_any_sidecar_hears_of_it(self, scene):
-        """A sidecar that joins in between must find the seal or be in the list."""
-        scene.round()
-        assert scene.seal_was_there == [True, True]
+    def test_seal_is_in_the_platform_before_any_sidecar_receives_it(self, harness):
+        """Guards against a sidecar that registers meanwhile and receives no seal.
 
-    def test_receipts_of_the_dead_become_durable_once(self, scene):
+        It must read the seal from the platform or be in the list of nodes.
+        """
+        harness.round()
+        assert harness.seal_was_written == [True, True]
+
+    def test_receipts_of_the_failed_router_become_durable_once(self, harness):
         async def bill():
-            listing = await scene.platform.list(RECEIPTS)
+            listing = await harness.platform.list(RECEIPTS)
             bill = Bill()
             for stored in listing.by_name.values():
                 bill.add_segment(decode_segment(stored.value))
             return bill.charged("p")
 
-        scene.round()
-        scene.round()
+        harness.round()
+        harness.round()
         assert curio.run(bill) == 11
 
     @pytest.mark.parametrize("lost", [1, 2, 3, 4])
-    def test_lost_answers_change_nothing(self, scene, lost):
-        scene.platform.switches.lost_answers = lost
+    def test_lost_answers_change_nothing(self, harness, lost):
+        harness.platform.switches.lost_answers = lost
         for _ in range(lost + 1):
             with suppress(OutcomeUnknown):
-                scene.round()
-        assert (scene.ledger.spent, scene.ledger.held) == (11, 11)
+                harness.round()
+        assert (harness.ledger.spent, harness.ledger.held) == (11, 11)
 
 
 class TestUnreachableSidecar:
-    def test_cap_is_held_until_it_is_back(self, scene):
-        """A rack is cut off with one sidecar and the router that used it."""
-        answer = scene.answers.pop("s2")
-        scene.round()
-        assert scene.ledger.held == 7 + 20
-        assert not scene.closed
-        scene.answers["s2"] = answer
-        scene.round()
-        assert (scene.ledger.held, scene.closed) == (11, True)
-
-    def test_running_attempts_keep_the_bound(self, scene):
-        scene.answers["s2"] = scene.report("s2", ran={"p": 1}, running={"p": 9})
-        scene.round()
-        assert scene.ledger.held == 7 + 20
-        assert not scene.closed
-
-    @pytest.mark.parametrize("how", ["gone", "unlisted", "replaced"])
-    def test_gone_for_good_is_charged_its_bound(self, scene, how):
-        if how == "gone":
-            scene.gone.add("s2")
-        elif how == "unlisted":
-            scene.platform._objects(NODES).pop("s2")
+    def test_cap_is_charged_until_the_sidecar_is_reachable(self, harness):
+        """One sidecar and the router that used it are partitioned."""
+        answer = harness.answers.pop("s2")
+        harness.round()
+        assert harness.ledger.held == 7 + 20
+        assert not harness.closed
+        harness.answers["s2"] = answer
+        harness.round()
+        assert (harness.ledger.held, harness.closed) == (11, True)
+
+    def test_cap_is_charged_while_attempts_run(self, harness):
+        harness.answers["s2"] = harness.report("s2", ran={"p": 1}, running={"p": 9})
+        harness.round()
+        assert harness.ledger.held == 7 + 20
+        assert not harness.closed
+
+    @pytest.mark.parametrize("cause", ["removed", "unlisted", "replaced"])
+    def test_removed_sidecar_is_charged_its_cap(self, harness, cause):
+        if cause == "removed":
+            harness.removed.add("s2")
+        elif cause == "unlisted":
+            harness.platform._objects(NODES).pop("s2")
         else:
-            scene.platform._objects(NODES).pop("s2")
-            scene.register("s2b")
-            scene.answers["s2b"] = scene.report("s2b", ran={"p": 0})
-        scene.round()
-        assert (scene.ledger.spent, scene.closed) == (27, True)
+            harness.platform._objects(NODES).pop("s2")
+            harness.register("s2b")
+            harness.answers["s2b"] = harness.report("s2b", ran={"p": 0})
+        harness.round()
+        assert (harness.ledger.spent, harness.closed) == (27, True)
 
-    def test_answer_of_another_incarnation_is_no_report(self, scene):
-        scene.answers["s2"] = scene.report("s3", ran={"p": 0})
-        scene.round()
-        assert scene.ledger.held == 27
+    def test_answer_of_another_incarnation_is_no_report(self, harness):
+        harness.answers["s2"] = harness.report("s3", ran={"p": 0})
+        harness.round()
+        assert harness.ledger.held == 27
 
 
 class TestOutage:
-    def test_seal_waits_for_the_platform(self, scene):
-        scene.platform.switches.down = True
+    def test_seal_waits_for_the_platform(self, harness):
+        harness.platform.switches.down = True
         with pytest.raises(PlatformUnavailable):
-            scene.round()
-        assert scene.seal_was_there == []
-        scene.platform.switches.down = False
-        scene.round()
-        assert scene.closed
+            harness.round()
+        assert harness.seal_was_written == []
+        harness.platform.switches.down = False
+        harness.round()
+        assert harness.closed
 
 
 class TestSweep:
-    def test_late_grant_of_a_sealed_router_is_found(self, scene):
-        """A sealed router that does not know it yet opens another slice."""
-        scene.round()
+    def test_late_grant_of_a_sealed_router_is_found(self, harness):
+        """A sealed router that doesn't know of its seal opens another grant."""
+        harness.round()
         late = Renewal(router="r1", nonce="m", settled={"s1": 0}, want=9, first=True)
         value = encode_ledger(Ledger(prepaid=50).renew(late))
-        scene.platform.put(LEDGERS, "q", value)
-        scene.now = 120.0
-        scene.round()
-        assert decode_ledger(scene.platform.peek(LEDGERS, "q").value).held == 0
+        harness.platform.put(LEDGERS, "q", value)
+        harness.now = 120.0
+        harness.round()
+        assert decode_ledger(harness.platform.peek(LEDGERS, "q").value).held == 0
--- a/tests/router/test_sidecars.py
+++ b/tests/router/test_sidecars.py
@@ -1,4 +1,4 @@
-"""The links to sidecars: which are kept, and until when."""
+"""Tests of how long links to sidecars stay open."""
 
 import curio
 from curio.task import ContextTask
@@ -25,11 +25,11 @@
         return kernel.run(main)
 
 
-class TestFollow:
-    def test_a_link_with_runs_in_flight_outlives_its_upstreams_removal(self):
-        """A stream stops in the middle when an operator retires its upstream.
+class TestSetUpstreams:
+    def test_a_link_with_runs_in_flight_stays_open_after_its_upstream_is_removed(self):
+        """Guards against a stream that stops when an operator retires its upstream.
 
-        The router closed the link at once, with the run on it.
+        The router must not close the link while a run is in flight.
         """
 
         async def main():
@@ -39,11 +39,11 @@
             await pool.set_upstreams({"m1": UPSTREAM})
             reader = pool.subscribe("n", "m1")
             await pool.set_upstreams({})
-            kept = "m1" in pool.views_by_upstream, set(pool.draining)
+            while_running = "m1" in pool.views_by_upstream, set(pool.draining)
             pool.unsubscribe(reader)
             await pool.set_upstreams({})
-            return kept, dict(pool.views_by_upstream)
+            return while_running, dict(pool.views_by_upstream)
 
-        kept, left = run(main)
-        assert kept == (True, {"m1"})
-        assert left == {}
+        while_running, after_run = run(main)
+        assert while_running == (True, {"m1"})
+        assert after_run == {}
--- a/tests/router/test_sinks.py
+++ b/tests/router/test_sinks.py
@@ -1,4 +1,4 @@
-"""Answers on their way to the caller: whole events, explicit ends."""
+"""Tests of the sinks: complete events and explicit ends of answers."""
 
 import msgspec
 from curio import run
@@ -43,24 +43,24 @@
 
 
 class TestEventSplitter:
-    def test_only_whole_events_pass(self):
+    def test_only_complete_events_are_returned(self):
         splitter = EventSplitter()
         assert splitter.add(TOKEN[:10]) == b""
         assert splitter.add(TOKEN[10:] + TOKEN[:5]) == TOKEN
         assert splitter.tokens == 1
 
-    def test_a_torn_event_is_dropped_before_another_run_goes_on(self):
-        """A caller's client fails on broken JSON in the middle of an answer.
+    def test_a_partial_event_is_discarded_before_another_run_continues(self):
+        """Guards against an answer with invalid JSON in the middle.
 
-        The upstream died within an event; the rest came from another upstream,
-        and the torn half was glued to it.
+        An upstream fails within an event and another upstream continues the
+        answer; the partial event would be joined with the next one.
         """
         splitter = EventSplitter()
         splitter.add(TOKEN + TOKEN[:9])
         splitter.discard_partial_event()
         assert splitter.add(TOKEN) == TOKEN
 
-    def test_an_empty_first_event_is_no_token(self):
+    def test_an_empty_first_event_is_not_counted_as_a_token(self):
         splitter = EventSplitter()
         splitter.add(TOKEN.replace(b'"a"', b'""') + TOKEN)
         assert splitter.tokens == 1
@@ -73,11 +73,10 @@
         assert responder.status == 502
         assert responder.headers["content-type"] == "application/problem+json"
 
-    def test_a_stream_that_cannot_go_on_ends_with_an_error_event(self):
-        """A truncated answer is taken for a whole one.
+    def test_a_stream_that_cannot_be_continued_ends_with_an_error_event(self):
+        """Guards against a truncated answer that a caller takes for complete.
 
-        The stream just stopped; nothing told the caller's client that the rest
-        is missing.
+        Without an error event the caller can't detect that data is missing.
         """
         responder, sink = stream_sink()
 
@@ -92,10 +91,10 @@
         assert problem["outcome"] == "failed"
         assert b"[DONE]" not in responder.body
 
-    def test_the_end_of_a_whole_stream_passes_without_an_empty_line(self):
-        """An answer lacks its last event and its end mark, and looks whole.
+    def test_the_last_event_is_sent_without_an_empty_line_at_its_end(self):
+        """Guards against a complete answer that lacks its last event.
 
-        The engine ended its last event by a single line end.
+        Some engines end their last event with a single line feed.
         """
         responder, sink = stream_sink()
 
@@ -106,7 +105,7 @@
         run(main)
         assert responder.body == TOKEN + b"data: [DONE]\n"
 
-    def test_a_plain_answer_to_a_stream_request_passes_whole(self):
+    def test_a_plain_answer_to_a_stream_request_is_sent_completely(self):
         responder, sink = stream_sink()
 
         async def main():
@@ -118,8 +117,8 @@
         assert (responder.status, responder.body) == (400, b'{"error":"no"}')
 
 
-class TestWholeSink:
-    def test_pieces_of_a_run_that_broke_off_are_forgotten(self):
+class TestBufferedSink:
+    def test_chunks_of_an_interrupted_run_are_discarded(self):
         responder = FakeResponder()
         sink = BufferedSink(responder=responder, request_id="r")
 
@@ -132,7 +131,7 @@
         run(main)
         assert responder.body == b"whole"
 
-    def test_when_to_come_back_is_told(self):
+    def test_a_refusal_has_a_retry_after_header(self):
         responder = FakeResponder()
         sink = BufferedSink(responder=responder, request_id="r")
         refusal = Refusal(
