--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -244,7 +244,7 @@
 
     async def set_zone_routers(self, zone_routers: tuple[str, ...]) -> None:
         """Set the addresses of the routers in this zone, this one included."""
-        if zone_routers != self._zone_routers or self.pool.draining:
+        if zone_routers != self._zone_routers or self.pool.removed_with_runs:
             self._zone_routers = zone_routers
             await self._update_links()
 
--- a/src/ragwortkeel/router/sidecars.py
+++ b/src/ragwortkeel/router/sidecars.py
@@ -76,7 +76,7 @@
     Attributes
     ----------
     views_by_upstream : dict of str to SidecarView
-    draining : set of str
+    removed_with_runs : set of str
         Upstreams that are removed and still have runs in flight.
     other_events : curio.Queue
         `Received` events that belong to no run, and the `LinkUp` and `LinkDown`
@@ -93,7 +93,7 @@
         on_crash: Callable[[CrashSeen], Awaitable[None]],
     ) -> None:
         self.views_by_upstream: dict[str, SidecarView] = {}
-        self.draining: set[str] = set()
+        self.removed_with_runs: set[str] = set()
         self.other_events: curio.Queue = curio.Queue()
         self._incarnation = incarnation
         self._revision = revision
@@ -110,13 +110,13 @@
         checked again by the next call, because closing it would interrupt the
         answers.
         """
-        self.draining.clear()
+        self.removed_with_runs.clear()
         for name, view in list(self.views_by_upstream.items()):
             wanted = upstreams_by_name.get(name)
             if wanted is not None and wanted.sidecar_address == view.link.address:
                 continue
             if wanted is None and self._has_runs(name):
-                self.draining.add(name)
+                self.removed_with_runs.add(name)
                 continue
             await self._remove(name)
         for name, upstream in upstreams_by_name.items():
--- a/src/ragwortkeel/router/worker.py
+++ b/src/ragwortkeel/router/worker.py
@@ -67,10 +67,10 @@
     async def stop(self) -> Leftover:
         """Finish open requests, make receipts durable and return the slices."""
         unfinished = await self._router.drain()
-        not_returned = await self._router.budgeting.close()
+        unsettled = await self._router.budgeting.close()
         await deregister(self._platform, self._node())
         await self._router.close()
-        return Leftover(counts={"requests": unfinished, "undone": not_returned})
+        return Leftover(counts={"requests": unfinished, "undone": unsettled})
 
     def in_force(self, kind: str, name: str) -> InForce:
         """Return the state of a configuration object in this process."""
--- a/tests/router/test_sidecars.py
+++ b/tests/router/test_sidecars.py
@@ -39,7 +39,7 @@
             await pool.set_upstreams({"m1": UPSTREAM})
             reader = pool.subscribe("n", "m1")
             await pool.set_upstreams({})
-            while_running = "m1" in pool.views_by_upstream, set(pool.draining)
+            while_running = "m1" in pool.views_by_upstream, set(pool.removed_with_runs)
             pool.unsubscribe(reader)
             await pool.set_upstreams({})
             return while_running, dict(pool.views_by_upstream)
