--- a/src/ragwortkeel/router/node_cleanup.py
+++ b/src/ragwortkeel/router/node_cleanup.py
@@ -23,7 +23,16 @@
 
 
 class NodeCleanup:
-    """Deregisters processes `removal_delay_seconds` after they failed.
+    """Deregisters processes some time after they failed.
+
+    Parameters
+    ----------
+    incarnation : callable
+        Returns this router's incarnation.
+    clock : callable
+        Returns monotonic seconds.
+    removal_delay_seconds : float
+        Time from the failure of a process to its removal.
 
     .. versionadded:: 0.1
     """
@@ -51,7 +60,10 @@
             await self.remove_failed_nodes()
 
     async def remove_failed_nodes(self) -> None:
-        """Remove the long failed processes that this router is responsible for."""
+        """Remove processes that failed `removal_delay_seconds` ago or earlier.
+
+        Only the processes that this router is responsible for are removed.
+        """
         now = self._clock()
         failed = self._membership.nodes(now, Liveness.DEAD)
         self._failed_since = {
--- a/src/ragwortkeel/router/receipt_writer.py
+++ b/src/ragwortkeel/router/receipt_writer.py
@@ -36,6 +36,13 @@
 class ReceiptWriter:
     """Collects receipts and makes them durable.
 
+    Parameters
+    ----------
+    writer : callable
+        Returns the incarnation that the segments name as their writer.
+    clock : callable
+        Returns monotonic seconds.
+
     Attributes
     ----------
     durable : curio.Queue
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -65,7 +65,7 @@
     settings
         Names, addresses and the stop deadline.
     incarnation
-        Unique to this start of the process.
+        Unique name of this start of the process.
     platform
         The platform's client.
     observer
--- a/src/ragwortkeel/router/settlement.py
+++ b/src/ragwortkeel/router/settlement.py
@@ -1,9 +1,8 @@
 """Settlement of reservations, also for runs that no request waits for.
 
-A reservation is settled only when the cost of its run is known: the sidecar
-reports the cost, promises that the run never starts, or is replaced by another
-incarnation.  Until then the tokens stay reserved, because the run may still
-spend them.
+A reservation is settled only after evidence that its run spends nothing more:
+the sidecar reports the cost, promises that the run never starts, or is replaced
+by another incarnation.  Until then the tokens stay reserved.
 """
 
 from math import inf
--- a/src/ragwortkeel/router/sidecars.py
+++ b/src/ragwortkeel/router/sidecars.py
@@ -51,9 +51,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Subscription:
-    """Queue of one reader of a run.
+    """Subscription of one reader to a run.
 
-    Several exchanges may read the same run, as when the caller retries.
+    Several exchanges may read the same run, for example when the caller retries.
     """
 
     nonce: str
@@ -76,6 +76,7 @@
     Attributes
     ----------
     views_by_upstream : dict of str to SidecarView
+        Links that are open or being opened.
     removed_with_runs : set of str
         Upstreams that are removed and still have runs in flight.
     other_events : curio.Queue
