--- a/tests/router/test_path.py
+++ b/tests/router/test_path.py
@@ -5,7 +5,8 @@
 
 from ragwortkeel.router.calls import CHAT_PATH
 
-from .in_process import CHAT, FILING, PREPAID, run_fleet, until
+from .in_process import PREPAID_TOKENS
+from .in_process import CHAT, FILING, run_fleet, until
 
 QUESTION = {
     "model": "advisor-chat",
@@ -281,7 +282,7 @@
             async def reserve_and_seal(*arguments):
                 reserved.append(await reserve(*arguments))
                 if len(reserved) == 1:
-                    await fleet.top_up(CHAT, 10 * PREPAID)
+                    await fleet.top_up(CHAT, 10 * PREPAID_TOKENS)
                     await keeper._sealed_incarnations.put(keeper.incarnation)
                     before = keeper.incarnation
                     await until(lambda: keeper.incarnation != before)
