--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -25,6 +25,7 @@
 from ragwortkeel.policy.quarantine import Crash
 from ragwortkeel.policy.scheduler import Scheduler
 from ragwortkeel.router.budgeting import Budgeting
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.directory import Directory
 from ragwortkeel.router.dispatcher import Dispatcher
 from ragwortkeel.router.gateway import Gateway
@@ -33,7 +34,6 @@
     upstreams_to_link,
 )
 from ragwortkeel.router.observer import Gauges, Observer
-from ragwortkeel.router.components import Components
 from ragwortkeel.router.peers import PeerLinks
 from ragwortkeel.router.settlement import Settlement
 from ragwortkeel.router.sidecars import SidecarPool
--- a/tests/router/test_path.py
+++ b/tests/router/test_path.py
@@ -5,8 +5,7 @@
 
 from ragwortkeel.router.calls import CHAT_PATH
 
-from .in_process import PREPAID_TOKENS
-from .in_process import CHAT, FILING, run_fleet, until
+from .in_process import CHAT, FILING, PREPAID_TOKENS, run_fleet, until
 
 QUESTION = {
     "model": "advisor-chat",
