--- a/tests/budget/test_loss_of_power.py
+++ b/tests/budget/test_loss_of_power.py
@@ -1,8 +1,8 @@
-"""Tokens are to be had again after a loss of power of all processes.
+"""Tokens after a loss of power of all processes.
 
-Pattern of load: customers spend a budget within a minute through all processes, power
-is lost for a second or two, and they go on.  What is charged for tokens that nobody
-took refuses callers to the budget's end, once for each of them.
+Customers spend a budget within a minute through all processes, and power is lost for a
+second or two.  Tokens that are then charged although no request spent them are lost to
+the callers until the end of the budget.
 """
 
 from random import Random
@@ -20,13 +20,13 @@
 UNUSED_CHARGE_FRACTION = 0.021
 
 
-def play(fleet, random, *, until):
-    """Let all customers send requests everywhere until that second."""
-    each = CUSTOMERS * TOKENS_PER_SECOND / (sum(SIZES) / len(SIZES))
-    arrives = fleet.now
+def run_load(fleet, random, *, until):
+    """Send requests of all customers to all processes until that second."""
+    requests_per_second = CUSTOMERS * TOKENS_PER_SECOND / (sum(SIZES) / len(SIZES))
+    next_arrival_at = fleet.now
     while fleet.now < until:
-        while arrives <= fleet.now:
-            arrives += random.expovariate(each)
+        while next_arrival_at <= fleet.now:
+            next_arrival_at += random.expovariate(requests_per_second)
             tokens = random.choice(SIZES)
             fleet.arrive(
                 Request(
@@ -41,20 +41,20 @@
 
 
 def lose_power(*, processes, seed, times=1):
-    """Return what each loss of power cost each customer."""
+    """Return the loss of each customer at each loss of power."""
     prepaid = {f"customer-{n}": PREPAID for n in range(CUSTOMERS)}
     fleet = Fleet(processes=processes, prepaid=prepaid, seed=seed)
     random = Random(seed)
     losses = []
     for _ in range(times):
-        play(fleet, random, until=fleet.now + SECONDS / times)
+        run_load(fleet, random, until=fleet.now + SECONDS / times)
         losses += fleet.lose_power(seconds=DOWN_SECONDS).values()
     return losses
 
 
 @pytest.mark.parametrize("processes", [5, 30, 68])
-def test_hardly_anything_is_charged_for_nothing(processes):
-    """Guards against budgets that a loss of power ends long before they are spent."""
+def test_few_unspent_tokens_are_charged(processes):
+    """Guards against a loss of power that uses up budgets which aren't spent."""
     losses = [
         one for seed in (1, 2) for one in lose_power(processes=processes, seed=seed)
     ]
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("processes", [5, 30, 68])
-def test_what_may_have_been_spent_is_charged_each_time(processes):
-    """Guards against an overspend by tokens that a process took and never told."""
+def test_possible_spend_is_charged_each_time(processes):
+    """Guards against an overspend by spend that a process never reported."""
     for loss in lose_power(processes=processes, seed=3, times=4):
         assert loss.charged >= loss.open + loss.unreported
--- a/tests/budget/test_machine.py
+++ b/tests/budget/test_machine.py
@@ -23,6 +23,12 @@
 
 
 class BudgetMachine(RuleBasedStateMachine):
+    """Guards against overspends and wrong charges, whatever fails.
+
+    Routers and sidecars crash, are suspended or partitioned, and writes are refused,
+    lost or late.
+    """
+
     def __init__(self):
         super().__init__()
         self.world = BudgetWorld()
@@ -36,7 +42,7 @@
             self.world.start_router(place)
             self.world.renew_at_once(place, 55, 0, 30)
 
-    # Steps: few rules, so that each example mixes all of them
+    # There are few rules, so that each example mixes all of them.
 
     @rule(
         step=st.sampled_from(["renew", "read", "write", "write", "give up"]),
@@ -64,7 +70,7 @@
                 if look:
                     self.world.read(place)
             case "give up":
-                self.world.router_gives_up_dead_sidecars(place)
+                self.world.drop_deleted_sidecars(place)
 
     @rule(steps=st.lists(run_steps, min_size=1, max_size=8))
     def run(self, steps):
@@ -75,14 +81,14 @@
                 case "reserve":
                     self.world.reserve(place, at, amount)
                 case "finish":
-                    self.world.finish_and_tell(at, amount)
+                    self.world.finish_and_deliver(at, amount)
                 case "end":
                     self.world.finish(at, 1, amount - 1)
 
     @rule(index=st.integers(0, 20), twice=st.booleans(), late=st.booleans())
     def arrive(self, index, twice, late):
         if late:
-            self.world.land_late_write()
+            self.world.apply_late_write()
         else:
             self.world.deliver(index, twice)
 
@@ -98,15 +104,15 @@
     def fault(self, step, place, at, amount, die):
         match step:
             case "pause":
-                self.world.pause_or_wake(place)
+                self.world.suspend_or_resume(place)
             case "router":
-                self.world.router_dies_or_restarts(place)
+                self.world.crash_or_start_router(place)
             case "cut":
-                self.world.cut_or_heal(place, at)
+                self.world.toggle_partition(place, at)
             case "reaper":
-                self.world.cut_or_heal_reaper(at)
+                self.world.toggle_reaper_partition(at)
             case "sidecar" if die:
-                self.world.sidecar_dies(at, amount)
+                self.world.crash_sidecar(at, amount)
             case "join":
                 self.world.register_sidecar(at)
                 self.world.open_sidecar(at)
@@ -123,11 +129,11 @@
             case "seal":
                 self.world.seal(index)
             case "ask":
-                self.world.ask_sidecar(at)
+                self.world.request_report(at)
             case "report":
                 self.world.put_report()
             case "all":
-                self.world.seal_and_ask(index, at)
+                self.world.seal_and_report(index, at)
             case "write off":
                 self.world.write_off()
 
@@ -146,9 +152,9 @@
             case "recall":
                 self.world.recall(share)
             case "retire" if retire:
-                self.world.put(self.world.ledger.retire())
+                self.world.store(self.world.ledger.retire())
 
-    # What holds after each step
+    # Invariants after each rule.
 
     @invariant()
     def committed_within_prepaid(self):
@@ -177,15 +183,15 @@
         assert ran + may_run <= self.world.ledger.prepaid
 
     def teardown(self):
-        """Heal everything: all is charged once, and what was left comes back."""
+        """Check, after all faults end, that all spend is charged once."""
         self.world.heal()
         for place in sorted(self.world.routers):
             self.world.stop_router(self.world.routers[place])
         for router in self.world.granted_routers():
             self.world.seals.add(router)
-            self.world.put(self.world.ledger.seal(router))
+            self.world.store(self.world.ledger.seal(router))
         for at in sorted(self.world.sidecars):
-            self.world.ask_sidecar(at)
+            self.world.request_report(at)
         while self.world.reports:
             self.world.put_report()
         self.world.write_off()
@@ -193,7 +199,7 @@
         assert not self.world.ledger.grants
         ran = sum(self.world.ran_by_sidecar.values())
         assert ran <= self.world.ledger.spent <= self.world.ledger.prepaid
-        if not self.world.dead_sidecars:
+        if not self.world.deleted_sidecars:
             assert self.world.ledger.spent == ran
 
 
--- a/tests/budget/test_receipt.py
+++ b/tests/budget/test_receipt.py
@@ -1,4 +1,4 @@
-"""Bills and segments."""
+"""Bills, and segments of receipts."""
 
 import hypothesis.strategies as st
 from hypothesis import given
@@ -34,7 +34,7 @@
         tokens=st.integers(0, 9),
         billable=st.booleans(),
     ),
-    unique_by=lambda r: r.nonce,
+    unique_by=lambda row: row.nonce,
 )
 
 
@@ -47,9 +47,10 @@
 
 class TestBill:
     def test_rerun_after_a_crash_is_charged_once(self):
-        """A router dies after its run; the retry runs again at another one.
+        """Guards against a double charge after a crash of a router.
 
-        Both receipts reach the platform, one from the reaper.
+        The retry runs again at another router, and both receipts reach the platform,
+        one of them by the reaper.
         """
         bill = Bill()
         for row in (receipt("a", tokens=9), receipt("b", tokens=7)):
@@ -57,23 +58,26 @@
         assert (bill.charged("p"), bill.absorbed("p")) == (7, 9)
 
     @given(receipts, st.randoms(use_true_random=False))
-    def test_neither_order_nor_repeats_matter(self, rows, random):
-        again = rows + rows[:3]
-        random.shuffle(again)
-        assert billed(again) == billed(rows)
+    def test_order_and_repeats_do_not_matter(self, rows, random):
+        repeated_rows = rows + rows[:3]
+        random.shuffle(repeated_rows)
+        assert billed(repeated_rows) == billed(rows)
 
     @given(receipts)
     def test_each_request_with_a_billable_run_is_billed_once(self, rows):
-        requests = {(r.profile, r.request_id) for r in rows if r.billable}
+        requests = {(row.profile, row.request_id) for row in rows if row.billable}
         assert set(billed(rows)) == requests
 
 
 class TestSegments:
     @given(receipts)
-    def test_same_receipts_make_the_same_objects(self, rows):
-        one = [s.name for s in segments(writer="r1", receipts=rows)]
-        two = [s.name for s in segments(writer="r1", receipts=rows[::-1] + rows)]
-        assert one == two
+    def test_equal_receipts_give_equal_segments(self, rows):
+        names = [segment.name for segment in segments(writer="r1", receipts=rows)]
+        names_again = [
+            segment.name
+            for segment in segments(writer="r1", receipts=rows[::-1] + rows)
+        ]
+        assert names == names_again
 
     def test_largest_segment_fits_the_platform(self):
         rows = [
--- a/tests/budget/test_refresh.py
+++ b/tests/budget/test_refresh.py
@@ -1,4 +1,4 @@
-"""Lost answers between a slice and its ledger."""
+"""Synchronisation of a slice with its ledger when answers are lost."""
 
 import pytest
 
@@ -27,20 +27,20 @@
 
 
 class TestLostAnswer:
-    def test_write_that_landed_is_taken_over(self, refresh, funded):
+    def test_write_that_was_applied_is_accepted(self, refresh, funded):
         ledger = put(refresh, funded, nonce="m", want=10)
         refresh.record_unknown(version=1)
         refresh.read(ledger, version=2)
         assert refresh.slice.granted == 70
 
-    def test_tokens_given_back_stay_away_while_the_write_may_land(
+    def test_returned_tokens_are_not_spent_while_the_write_may_be_applied(
         self, refresh, funded
     ):
-        """A caller is admitted on tokens that another router has got.
+        """Guards against two routers that spend the same tokens.
 
-        The write that gives 60 back is sent and its answer lost.  A read still
-        shows the old ledger, and the slice spends the 60.  Then the write lands
-        and another router takes them: both spend the same tokens.
+        The answer to a write that gives back 60 tokens is lost, and a read returns the
+        old ledger.  If the slice spent the tokens, another router could get them too
+        once the write is applied.
         """
         put(refresh, funded, nonce="m", give_back=60)
         refresh.record_unknown(version=1)
@@ -48,24 +48,24 @@
         with pytest.raises(BudgetExhausted):
             refresh.slice.reserve(sidecar="s1", tokens=10)
 
-    def test_tokens_are_back_once_the_write_can_not_land(self, refresh, funded):
+    def test_tokens_are_free_once_the_write_can_not_be_applied(self, refresh, funded):
         put(refresh, funded, nonce="m", give_back=60)
         refresh.record_unknown(version=1)
         refresh.read(funded, version=2)
         assert refresh.slice.reserve(sidecar="s1", tokens=10)
 
-    def test_stale_read_does_not_free_them(self, refresh, funded):
+    def test_stale_read_does_not_free_tokens(self, refresh, funded):
         put(refresh, funded, nonce="m", give_back=60)
         refresh.record_unknown(version=5)
         refresh.read(funded, version=4)
         assert refresh.slice.free == 0
 
-    def test_refused_write_frees_them_at_once(self, refresh, funded):
+    def test_refused_write_frees_tokens_at_once(self, refresh, funded):
         put(refresh, funded, nonce="m", give_back=60, cap=10)
         refresh.record_refused()
         assert (refresh.slice.free, refresh.slice.cap) == (60, 50)
 
-    def test_refusal_after_a_lost_answer_frees_nothing(self, refresh, funded):
+    def test_refusal_after_a_lost_answer_frees_no_tokens(self, refresh, funded):
         put(refresh, funded, nonce="m", give_back=60)
         refresh.record_unknown(version=1)
         refresh.record_refused()
@@ -73,7 +73,7 @@
 
 
 class TestReceived:
-    def test_tokens_from_another_router_are_there_after_a_read(self, refresh, funded):
+    def test_tokens_of_another_router_are_free_after_a_read(self, refresh, funded):
         giver = SliceRefresh(slice_=Slice(profile="p", router="r2"))
         ledger = put(giver, funded, nonce="g", want=40)
         giver.record_written(ledger)
@@ -81,7 +81,7 @@
         refresh.read(ledger, version=9)
         assert refresh.slice.free == 90
 
-    def test_stale_read_does_not_bring_back_what_was_given(self, refresh, funded):
+    def test_stale_read_does_not_restore_returned_tokens(self, refresh, funded):
         refresh.record_written(put(refresh, funded, nonce="m", give_back=60))
         refresh.read(funded, version=1)
         assert refresh.slice.free == 0
@@ -97,7 +97,7 @@
 
 class TestSealed:
     @pytest.mark.parametrize("reported", [False, True])
-    def test_owner_learns_it(self, refresh, funded, reported):
+    def test_read_of_a_sealed_grant_raises(self, refresh, funded, reported):
         ledger = funded.seal("r1")
         if reported:
             ledger = ledger.report(router="r1", sidecar="s1", tokens=0)
@@ -107,7 +107,7 @@
 
 class TestDroppedSidecar:
     def test_is_folded_and_never_named_again(self, refresh, funded):
-        """A sidecar counts for its whole life, so naming it twice charges twice."""
+        """Guards against a double charge, as a sidecar's spend is cumulative."""
         reservation = refresh.slice.reserve(sidecar="s1", tokens=10)
         refresh.slice.drop("s1")
         ledger = put(refresh, funded, nonce="a")
--- a/tests/budget/test_scarce_tokens.py
+++ b/tests/budget/test_scarce_tokens.py
@@ -1,7 +1,7 @@
-"""Tokens that are left reach the callers who need them, however large the fleet.
+"""The last tokens of a budget reach the callers that need them in a fleet of any size.
 
-Pattern of load: many processes, budgets that last for a few dozen requests, requests
-of very different sizes that arrive anywhere.
+Many processes serve budgets of a few dozen requests; the requests differ widely in size
+and arrive at any process.
 """
 
 from random import Random
@@ -18,15 +18,15 @@
 SECONDS = 30.0
 
 
-def play(*, processes, seed):
-    """Return the fleet after its customers have asked for more than they prepaid."""
+def run_load(*, processes, seed):
+    """Return the fleet after requests for more tokens than its customers prepaid."""
     prepaid = {f"customer-{n}": PREPAID for n in range(CUSTOMERS)}
     fleet = Fleet(processes=processes, prepaid=prepaid, seed=seed)
     random = Random(seed)
-    arrives = 0.0
+    next_arrival_at = 0.0
     while fleet.now < SECONDS:
-        while arrives <= fleet.now:
-            arrives += random.expovariate(REQUESTS_PER_SECOND)
+        while next_arrival_at <= fleet.now:
+            next_arrival_at += random.expovariate(REQUESTS_PER_SECOND)
             tokens = random.choice(LARGE if random.random() < 0.25 else SMALL)
             fleet.arrive(
                 Request(
@@ -42,20 +42,20 @@
 
 
 @pytest.mark.parametrize("processes", [5, 68])
-def test_what_is_left_of_a_budget_is_less_than_a_request(processes):
-    """Callers were refused while a tenth of their tokens lay in other slices.
+def test_the_unspent_end_of_a_budget_is_smaller_than_a_request(processes):
+    """Guards against refusals while a tenth of the tokens is in other slices.
 
-    Each of dozens of processes held a part too small for any request.
+    Each of dozens of processes holds too few tokens for any request.
     """
-    left = []
+    unspent = []
     for seed in (1, 2):
-        ledgers = play(processes=processes, seed=seed).shard.ledger_by_customer
-        left += [one.prepaid - one.total_spent for one in ledgers.values()]
-    assert sum(left) / len(left) < LARGEST_REQUEST / 2
+        ledgers = run_load(processes=processes, seed=seed).shard.ledger_by_customer
+        unspent += [one.prepaid - one.total_spent for one in ledgers.values()]
+    assert sum(unspent) / len(unspent) < LARGEST_REQUEST / 2
 
 
 def test_no_budget_is_overspent():
-    fleet = play(processes=68, seed=3)
+    fleet = run_load(processes=68, seed=3)
     for ledger in fleet.shard.ledger_by_customer.values():
         assert ledger.total_spent <= ledger.prepaid
         assert ledger.held <= ledger.prepaid
--- a/tests/budget/test_seal.py
+++ b/tests/budget/test_seal.py
@@ -1,4 +1,4 @@
-"""A sidecar's side of seals."""
+"""Seals at a sidecar."""
 
 import pytest
 
@@ -14,17 +14,17 @@
 
 
 class TestJoining:
-    def test_sidecar_that_could_not_read_the_seals_takes_no_work(self):
+    def test_sidecar_that_has_not_read_the_seals_admits_no_router(self):
         assert not SidecarAccounts().admits("r1")
 
-    def test_seal_that_was_there_first_holds(self):
-        """A paused router wakes and finds a sidecar that never heard of its seal."""
+    def test_seal_from_before_the_start_applies(self):
+        """Guards against a sealed router that resumes and finds a new sidecar."""
         accounts = SidecarAccounts()
         accounts.open(seals=("r1",))
         assert not accounts.admits("r1")
         assert accounts.admits("r2")
 
-    def test_seal_order_that_comes_before_opening_holds(self):
+    def test_seal_message_received_before_opening_applies(self):
         accounts = SidecarAccounts()
         accounts.seal("r1")
         accounts.open(seals=())
@@ -32,7 +32,7 @@
 
 
 class TestReport:
-    def test_figures_are_final_once_nothing_runs(self, accounts):
+    def test_spend_is_final_once_nothing_runs(self, accounts):
         assert not accounts.seal("r1").final("p")
         assert accounts.seal("r1").running == {"p": 10}
         accounts.finish(nonce="a", tokens=7)
--- a/tests/budget/test_shards.py
+++ b/tests/budget/test_shards.py
@@ -1,4 +1,4 @@
-"""Renewals that one process hands to another, which may be late or doubled."""
+"""Delegated renewals, which may be late or repeated, and the stored form of shards."""
 
 import msgspec
 import pytest
@@ -19,7 +19,7 @@
 
 
 def started(prepaid=10_000):
-    """Return a process that has written once by itself, and the shard."""
+    """Return the allowances of a process after its first write, and the shard."""
     allowances = Allowances(holder="i/1", started=reading(0.0))
     shard = Shard().provisioned({CUSTOMER: prepaid}, revision=1)
     allowances.record_demand(CUSTOMER, 500, 0.5)
@@ -28,48 +28,48 @@
     return allowances, shard
 
 
-def asks(allowances, now, tokens=2_000):
+def delegate(allowances, now, tokens=2_000):
     allowances.account(CUSTOMER).waiting_tokens = tokens
     return allowances.delegate_renewals(reading(now), urgent=True)
 
 
-def answer(shard, handed):
-    grant = shard.ledger_by_customer[CUSTOMER].grants[handed.holder]
+def reply(shard, delegated):
+    grant = shard.ledger_by_customer[CUSTOMER].grants[delegated.holder]
     return RenewalsWritten(
-        boot=handed.stamp.boot,
+        boot=delegated.stamp.boot,
         outcome=WriteOutcome.DONE,
         grant_by_customer={CUSTOMER: grant},
         summary_by_customer=shard.summaries(),
     )
 
 
-def test_a_peer_writes_what_it_is_handed():
+def test_a_peer_writes_delegated_renewals():
     allowances, shard = started()
-    handed = asks(allowances, 2.0)
-    shard = apply_delegated(shard, handed)
-    allowances.receive_written(answer(shard, handed))
+    delegated = delegate(allowances, 2.0)
+    shard = apply_delegated(shard, delegated)
+    allowances.receive_written(reply(shard, delegated))
     assert allowances.account(CUSTOMER).reserve(2_000) is not None
     assert shard.stamp_by_holder["i/1"].boot == 2.0
 
 
-def test_a_message_that_comes_late_changes_nothing():
-    """A customer gets more than it paid for: tokens were given back twice.
+def test_a_late_message_changes_nothing():
+    """Guards against an overspend by tokens that are given back twice.
 
-    A process handed its renewal over, got no answer in time and wrote by itself;
-    then the first message was written too.
+    A process delegates its renewal, gets no reply in time and writes by itself; then
+    the peer writes the message too.
     """
     allowances, shard = started()
-    late = asks(allowances, 2.0)
+    late_message = delegate(allowances, 2.0)
     shard = allowances.renewed(shard, reading(2.1))
     allowances.resolve(shard)
     with pytest.raises(RenewalVoid):
-        apply_delegated(shard, late)
+        apply_delegated(shard, late_message)
 
 
-def test_the_same_renewal_in_two_messages_counts_once():
+def test_a_renewal_in_two_messages_counts_once():
     allowances, shard = started()
-    first = asks(allowances, 2.0)
-    second = asks(allowances, 2.2)
+    first = delegate(allowances, 2.0)
+    second = delegate(allowances, 2.2)
     shard = apply_delegated(shard, first)
     granted = shard.ledger_by_customer[CUSTOMER].grants["i/1"].granted
     shard = apply_delegated(shard, second)
@@ -77,116 +77,116 @@
     assert shard.stamp_by_holder["i/1"].boot == 2.2
 
 
-def test_a_new_stamp_never_stands_beside_a_cap_that_was_outgrown():
-    """A customer gets more than it paid for after a kill that followed an outage.
+def test_the_cap_under_a_new_stamp_covers_the_exposure():
+    """Guards against an overspend after a kill that follows an outage.
 
-    The first message was written but its answer was lost; the process went on
-    spending as its cap had grown, and said the same renewal again.  The second
-    message renewed the stamp and left the cap as small as in the first.
+    The first message is written but the reply is lost.  The process spends beyond the
+    cap in it, as the cap grows, and delegates the same renewal again.  The second
+    message renews the stamp and must not leave the cap of the first one.
     """
     allowances, shard = started()
-    first = asks(allowances, 2.0)
+    first = delegate(allowances, 2.0)
     shard = apply_delegated(shard, first)
     account = allowances.account(CUSTOMER)
     account.waiting_tokens = 0
     allowances.grow(200.0)
-    hold = account.reserve(account.available)
-    assert hold is not None
-    assert hold.tokens > first.renewal_by_customer[CUSTOMER].cap
+    reservation = account.reserve(account.available)
+    assert reservation is not None
+    assert reservation.tokens > first.renewal_by_customer[CUSTOMER].cap
     shard = apply_delegated(
         shard, allowances.delegate_renewals(reading(202.0), urgent=False)
     )
     cap = shard.ledger_by_customer[CUSTOMER].grants["i/1"].cap
-    assert cap >= hold.tokens
+    assert cap >= reservation.tokens
 
 
 @pytest.mark.parametrize("after", ["closed", "merged"])
-def test_a_message_of_a_process_that_is_gone_revives_nothing(after):
-    """Tokens are stranded: a stopped process's last message made its grant anew."""
+def test_a_message_of_a_stopped_process_creates_no_grant(after):
+    """Guards against stranded tokens in a grant that no live process holds."""
     allowances, shard = started()
-    late = asks(allowances, 2.0)
+    late_message = delegate(allowances, 2.0)
     if after == "closed":
         shard = allowances.closed(shard)
     else:
         successor = Allowances(holder="i/2", started=reading(3.0))
         shard = successor.charge_predecessors(shard)
     with pytest.raises(RenewalVoid):
-        apply_delegated(shard, late)
+        apply_delegated(shard, late_message)
 
 
-def test_nobody_renews_in_anothers_name():
+def test_a_process_can_not_renew_for_another_holder():
     allowances, shard = started()
-    handed = asks(allowances, 2.0)
+    delegated = delegate(allowances, 2.0)
     shard = msgspec.structs.replace(
         shard,
         stamp_by_holder=shard.stamp_by_holder | {"j/1": reading(0.5).stamp},
     )
     with pytest.raises(RenewalVoid):
-        apply_delegated(shard, msgspec.structs.replace(handed, holder="j/1"))
+        apply_delegated(shard, msgspec.structs.replace(delegated, holder="j/1"))
 
 
-def starts(allowances, shard, now):
+def delegate_start(allowances, shard, now):
     allowances.resolve(shard)
     start = allowances.start(shard)
     return allowances.delegate_renewals(reading(now), urgent=False, start=start)
 
 
-def test_a_process_without_a_start_does_not_come_in():
+def test_a_first_renewal_without_a_start_is_void():
     _, shard = started()
-    stranger = Allowances(holder="j/1", started=reading(0.0))
-    stranger.resolve(shard)
+    newcomer = Allowances(holder="j/1", started=reading(0.0))
+    newcomer.resolve(shard)
     with pytest.raises(RenewalVoid):
-        apply_delegated(shard, stranger.delegate_renewals(reading(1.0), urgent=True))
+        apply_delegated(shard, newcomer.delegate_renewals(reading(1.0), urgent=True))
 
 
-def test_a_peer_writes_the_first_grants_of_a_process_that_is_outrun():
-    """Callers of most processes are refused for good after all were restarted.
+def test_a_peer_writes_the_first_grants_of_a_process():
+    """Guards against lasting refusals at most processes after a restart of all.
 
-    One process wrote for those that had got their own first write through, thirty
-    times a second, and no other got one through beside it.
+    One process writes for all that have completed a first write, thirty times a second,
+    so that no other process can complete its own first write.
     """
     _, shard = started()
     newcomer = Allowances(holder="j/1", started=reading(0.0))
-    handed = starts(newcomer, shard, 5.0)
-    shard = apply_delegated(shard, handed)
-    newcomer.receive_written(answer(shard, handed))
+    delegated = delegate_start(newcomer, shard, 5.0)
+    shard = apply_delegated(shard, delegated)
+    newcomer.receive_written(reply(shard, delegated))
     assert newcomer.account(CUSTOMER).free > 0
     assert not newcomer.lacks_grants([CUSTOMER])
 
 
-def test_a_start_charges_the_predecessor_as_an_own_write_would():
+def test_a_delegated_start_charges_the_predecessor_like_an_own_write():
     _, shard = started()
-    by_itself = Allowances(holder="i/2", started=reading(9.0)).charge_predecessors(
+    by_own_write = Allowances(holder="i/2", started=reading(9.0)).charge_predecessors(
         shard
     )
     successor = Allowances(holder="i/2", started=reading(9.0))
-    by_a_peer = apply_delegated(shard, starts(successor, shard, 9.5))
-    assert "i/1" not in by_a_peer.stamp_by_holder
-    spent = by_a_peer.ledger_by_customer[CUSTOMER].spent
-    assert spent == by_itself.ledger_by_customer[CUSTOMER].spent
+    by_peer = apply_delegated(shard, delegate_start(successor, shard, 9.5))
+    assert "i/1" not in by_peer.stamp_by_holder
+    spent = by_peer.ledger_by_customer[CUSTOMER].spent
+    assert spent == by_own_write.ledger_by_customer[CUSTOMER].spent
 
 
-def test_a_late_start_never_closes_a_living_process():
-    """A customer gets more than it paid for: the grant of a running process is gone.
+def test_a_late_start_never_closes_a_live_process():
+    """Guards against an overspend through a running process whose grant is closed.
 
-    A process handed its start over and was killed; its successor had written when
-    the message came, and would have been taken for the dead one.
+    A process delegates its start and is killed, and its successor writes before the
+    message arrives.  The message must not treat the successor as a stopped process.
     """
     _, shard = started()
     killed = Allowances(holder="i/2", started=reading(9.0))
-    late = starts(killed, shard, 9.5)
-    alive = Allowances(holder="i/3", started=reading(11.0))
-    shard = alive.charge_predecessors(shard)
-    shard = alive.renewed(shard, reading(11.5))
+    late_message = delegate_start(killed, shard, 9.5)
+    live = Allowances(holder="i/3", started=reading(11.0))
+    shard = live.charge_predecessors(shard)
+    shard = live.renewed(shard, reading(11.5))
     with pytest.raises(RenewalVoid):
-        apply_delegated(shard, late)
+        apply_delegated(shard, late_message)
 
 
-def test_a_budget_that_is_spent_gets_its_grant_too():
-    """Calls of the platform never end after all processes were restarted.
+def test_a_spent_budget_gets_a_grant_too():
+    """Guards against endless calls of the platform after a restart of all processes.
 
-    A customer's budget was spent, so nothing was due for it; without a grant of it
-    each process went on writing by itself, twenty times a second.
+    For a customer with a spent budget no tokens are due, and without a grant each
+    process would continue to write by itself, twenty times a second.
     """
     _, shard = started()
     ledger = shard.ledger_by_customer[CUSTOMER]
@@ -197,12 +197,12 @@
     assert not allowances.lacks_grants([CUSTOMER])
 
 
-class TestPacked:
-    def test_it_comes_back_as_it_was(self):
+class TestEncoding:
+    def test_a_decoded_shard_equals_the_encoded_one(self):
         _, shard = started()
         assert decode_shard(encode_shard(shard)) == shard
 
-    def test_many_grants_take_a_third_of_their_size(self):
+    def test_many_grants_are_compressed_to_a_third(self):
         _, shard = started()
         grants = {
             f"front-{n}/abcd": Grant(granted=n * 997, cap=n * 31, settled={"direct": n})
@@ -217,6 +217,6 @@
     @pytest.mark.parametrize(
         "value", [b"", b"null", b"{}", b'{"packed":"!"}', b'{"packed":"aGVsbG8="}']
     )
-    def test_what_is_no_shard_is_told_so(self, value):
+    def test_a_value_that_is_no_shard_raises(self, value):
         with pytest.raises(LedgerUnreadable):
             decode_shard(value)
--- a/tests/budget/test_sizing.py
+++ b/tests/budget/test_sizing.py
@@ -1,4 +1,4 @@
-"""Slice sizes and caps."""
+"""Sizes of slices and caps."""
 
 import pytest
 
@@ -37,7 +37,9 @@
             (7, Spread.WIDE, 7),
         ],
     )
-    def test_outage_to_ride_out_or_the_share_left(self, prepaid, spread, taken):
+    def test_slice_covers_an_outage_or_the_unspent_fraction(
+        self, prepaid, spread, taken
+    ):
         ledger = Ledger(prepaid=prepaid)
         assert tokens_to_take(ledger, router="r1", need=need(spread=spread)) == taken
 
@@ -51,16 +53,16 @@
 
 
 class TestGiveBack:
-    def test_idle_slice_goes_back_but_for_one_request(self):
+    def test_idle_slice_keeps_one_request(self):
         ledger = Ledger(prepaid=1000, grants={"r1": Grant(granted=500)})
         idle = need(holding=500, demand=0)
         assert tokens_to_give_back(ledger, router="r1", need=idle) == 490
 
-    def test_slice_near_its_target_stays(self):
+    def test_slice_near_its_target_gives_nothing_back(self):
         ledger = Ledger(prepaid=10_000, grants={"r1": Grant(granted=1300)})
         assert tokens_to_give_back(ledger, router="r1", need=need(holding=1300)) == 0
 
-    def test_recall_and_retirement_call_slices_in(self):
+    def test_recalled_and_retired_budgets_get_slices_back(self):
         grants = {"r1": Grant(granted=900)}
         recalled = Ledger(prepaid=1000, grants=grants, recall_to=400)
         assert tokens_to_give_back(recalled, router="r1", need=need(holding=900)) == 500
@@ -69,15 +71,15 @@
 
 
 class TestCap:
-    def test_all_caps_let_an_uneven_slice_be_spent(self):
+    def test_caps_allow_an_uneven_spend_of_the_slice(self):
         assert exposure_cap(holding=900, sidecars=3, need=need()) == 450
 
-    def test_large_requests_pass(self):
+    def test_cap_allows_large_requests(self):
         assert exposure_cap(holding=0, sidecars=3, need=need()) == 40
 
 
 class TestGiver:
-    def test_is_who_holds_most_for_its_demand(self):
+    def test_holds_the_most_tokens_for_its_demand(self):
         grants = {
             "r1": Grant(granted=500),
             "r2": Grant(granted=500, demand=100),
@@ -99,15 +101,16 @@
         ],
     )
     def test_callers_wait_at_both(self, free, own_lacks, asker_lacks, lent):
-        """One router waits with 77 free for 120, another with none for 60.
+        """Guards against refusals at two routers that could serve one of the callers.
 
-        If the first kept its tokens, both callers would be refused.
+        A request of 120 tokens waits at a router with 77 free ones, and one of 60
+        tokens waits at a router without any.
         """
         own = need(lacking=own_lacks, waiting=200)
         asker = need(lacking=asker_lacks, waiting=60)
         assert tokens_to_lend(free=free, own=own, asker=asker) == lent
 
-    def test_idle_router_evens_out_by_demand(self):
+    def test_idle_router_lends_in_proportion_to_demand(self):
         own, asker = need(holding=300, demand=100), need(demand=200, lacking=10)
         assert tokens_to_lend(free=300, own=own, asker=asker) == 200
         assert tokens_to_lend(free=300, own=own, asker=need(demand=0, lacking=10)) == 10
--- a/tests/budget/test_summary.py
+++ b/tests/budget/test_summary.py
@@ -1,4 +1,4 @@
-"""Summaries of ledgers: small, and enough to size a slice by."""
+"""Summaries of ledgers, which are short and sufficient to size a slice."""
 
 import msgspec
 from hypothesis import given, settings
@@ -36,7 +36,7 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(ledger=ledgers, data=st.data())
-def test_each_holder_sizes_its_slice_as_by_the_whole_ledger(ledger, data):
+def test_each_holder_sizes_its_slice_as_by_the_full_ledger(ledger, data):
     router = data.draw(st.sampled_from(sorted(ledger.grants)))
     seen = restore_own_grant(
         summarize(ledger), router=router, grant=ledger.grants[router]
@@ -51,8 +51,8 @@
     assert (seen.rest, seen.total_spent) == (ledger.rest, ledger.total_spent)
     assert seen.holders == ledger.holders
     assert seen.grants[router] == ledger.grants[router]
-    whole = target_holding(ledger, router=router, need=need)
-    assert target_holding(seen, router=router, need=need) == whole
+    target = target_holding(ledger, router=router, need=need)
+    assert target_holding(seen, router=router, need=need) == target
 
 
 def test_the_best_givers_are_the_same():
@@ -63,10 +63,10 @@
     assert givers == best_givers(ledger, router="i-1/a")
 
 
-def test_it_does_not_grow_with_the_holders():
+def test_size_does_not_grow_with_the_holders():
     def size(count):
         grants = {f"i-{n}/abcdef": Grant(granted=100 + n) for n in range(count)}
         return len(msgspec.msgpack.encode(summarize(Ledger(grants=grants))))
 
-    # Larger sums take up to four bytes more, each of six.
+    # Each of six sums may take up to 4 bytes more.
     assert size(680) <= size(10) + 24
--- a/tests/budget/world.py
+++ b/tests/budget/world.py
@@ -1,4 +1,4 @@
-"""The routers, sidecars, reaper, operator and platform of the random walks."""
+"""Routers, sidecars, reaper, operator and platform for the random walks."""
 
 from dataclasses import dataclass, field
 
@@ -18,7 +18,7 @@
     slice: Slice = field(init=False)
     refresh: SliceRefresh = field(init=False)
     snapshot: tuple[int, Ledger] | None = None
-    paused: bool = False
+    suspended: bool = False
 
     def __post_init__(self):
         self.slice = Slice(profile=PROFILE, router=self.incarnation)
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Dispatched:
+class RunDispatched:
     router: str
     sidecar: str
     nonce: str
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Done:
+class RunEnded:
     router: str
     sidecar: str
     nonce: str
@@ -61,11 +61,11 @@
         self.routers, self.sidecars = {}, {}
         self.incarnations = 0
         self.network = []
-        self.cuts = set()
+        self.partitions = set()
         self.reports = []
         self.operations = []
         self.ran_by_sidecar = {}
-        self.dead_sidecars = set()
+        self.deleted_sidecars = set()
         self.started = set()
 
     # Routers
@@ -75,12 +75,12 @@
         name = f"r{place}.{self.incarnations}"
         self.routers[place] = RouterModel(incarnation=name, place=place)
 
-    def awake(self, place):
+    def resumed_router(self, place):
         router = self.routers.get(place)
-        return None if router is None or router.paused else router
+        return None if router is None or router.suspended else router
 
     def read(self, place):
-        router = self.awake(place)
+        router = self.resumed_router(place)
         if router is None:
             return
         router.snapshot = (self.version, self.ledger)
@@ -90,42 +90,44 @@
             self.start_router(place)
 
     def write(self, place, end, want, give_back, cap, give_to):
-        router = self.awake(place)
+        router = self.resumed_router(place)
         if router is None or router.snapshot is None:
             return
         version, ledger = router.snapshot
         router.snapshot = None
         self.incarnations += 1
-        taker = self.routers.get(give_to)
+        recipient = self.routers.get(give_to)
         try:
             renewal = router.slice.propose(
                 nonce=f"n{self.incarnations}",
                 sidecars=tuple(s.incarnation for s in self.sidecars.values()),
                 want=0 if give_back else want,
                 give_back=give_back,
-                give_to=taker.incarnation if taker and taker is not router else "",
+                give_to=recipient.incarnation
+                if recipient and recipient is not router
+                else "",
                 cap=cap,
             )
             value = ledger.renew(renewal)
         except RouterSealed:
             self.start_router(place)
             return
-        self.end_write(router, version, value, end)
+        self.finish_write(router, version, value, end)
 
     def renew_at_once(self, place, want, give_back, cap):
         self.read(place)
         self.write(place, "ok", want, give_back, cap, 3)
 
-    def end_write(self, router, version, value, end):
+    def finish_write(self, router, version, value, end):
         match end:
             case "ok" if version == self.version:
-                self.put(value)
+                self.store(value)
                 router.refresh.record_written(value)
             case "ok" | "down":
                 router.refresh.record_refused()
             case "lost":
                 if version == self.version:
-                    self.put(value)
+                    self.store(value)
                 router.refresh.record_unknown(version=version)
             case "late":
                 self.late_writes.append((version, value))
@@ -133,17 +135,17 @@
             case "never":
                 router.refresh.record_unknown(version=version)
 
-    def put(self, value):
+    def store(self, value):
         self.ledger, self.version = value, self.version + 1
 
-    def land_late_write(self):
+    def apply_late_write(self):
         if self.late_writes:
             version, value = self.late_writes.pop(0)
             if version == self.version:
-                self.put(value)
+                self.store(value)
 
     def reserve(self, place, at, amount):
-        router, sidecar = self.awake(place), self.sidecars.get(at)
+        router, sidecar = self.resumed_router(place), self.sidecars.get(at)
         if router is None or sidecar is None:
             return
         name = sidecar.incarnation
@@ -153,7 +155,7 @@
             return
         nonce = f"{router.incarnation}/{reservation.reservation_id}"
         router.reservations_by_nonce[nonce] = reservation
-        message = Dispatched(router.incarnation, name, nonce, amount)
+        message = RunDispatched(router.incarnation, name, nonce, amount)
         self.network.append(message)
 
     def reserve_and_start(self, place, at, amount):
@@ -162,7 +164,7 @@
         if len(self.network) > before:
             self.deliver(len(self.network) - 1, False)
 
-    def finish_and_tell(self, at, amount):
+    def finish_and_deliver(self, at, amount):
         before = len(self.network)
         self.finish(at, 0, amount)
         if len(self.network) > before:
@@ -172,26 +174,26 @@
         if not self.network:
             return
         message = self.network.pop(index % len(self.network))
-        if self.cut_off(message):
+        if self.is_partitioned(message):
             self.network.append(message)
             return
         match message:
-            case Dispatched():
+            case RunDispatched():
                 self.deliver_dispatch(message)
-            case Done():
-                self.deliver_done(message)
+            case RunEnded():
+                self.deliver_run_ended(message)
                 if twice:
                     self.network.append(message)
 
-    def cut_off(self, message):
-        return (message.router[:2], message.sidecar[:2]) in self.cuts
+    def is_partitioned(self, message):
+        return (message.router[:2], message.sidecar[:2]) in self.partitions
 
     def deliver_dispatch(self, message):
         sidecar = self.sidecar_named(message.sidecar)
         if sidecar is None:
             return
         if not sidecar.accounts.admits(message.router):
-            done = Done(message.router, message.sidecar, message.nonce, 0)
+            done = RunEnded(message.router, message.sidecar, message.nonce, 0)
             self.network.append(done)
             return
         assert message.nonce not in self.started
@@ -204,10 +206,10 @@
         )
         sidecar.running[message.nonce] = message
 
-    def deliver_done(self, message):
+    def deliver_run_ended(self, message):
         for router in self.routers.values():
             reservation = router.reservations_by_nonce.get(message.nonce)
-            if router.paused and reservation is not None:
+            if router.suspended and reservation is not None:
                 self.network.append(message)
             elif reservation is not None:
                 router.slice.settle(reservation, spent=message.tokens)
@@ -216,20 +218,20 @@
         found = (s for s in self.sidecars.values() if s.incarnation == name)
         return next(found, None)
 
-    def pause_or_wake(self, place):
+    def suspend_or_resume(self, place):
         if place in self.routers:
-            self.routers[place].paused = not self.routers[place].paused
+            self.routers[place].suspended = not self.routers[place].suspended
 
-    def router_dies_or_restarts(self, place):
+    def crash_or_start_router(self, place):
         if self.routers.pop(place, None) is None:
             self.start_router(place)
 
-    def router_gives_up_dead_sidecars(self, place):
-        router = self.awake(place)
+    def drop_deleted_sidecars(self, place):
+        router = self.resumed_router(place)
         if router is None:
             return
         for reservation in list(router.slice.open_by_id.values()):
-            if reservation.sidecar in self.dead_sidecars:
+            if reservation.sidecar in self.deleted_sidecars:
                 router.slice.drop(reservation.sidecar)
                 router.slice.settle(reservation, spent=reservation.tokens)
 
@@ -248,13 +250,13 @@
         sidecar.accounts.finish(nonce=nonce, tokens=spent)
         name = sidecar.incarnation
         self.ran_by_sidecar[name] = self.ran_by_sidecar.get(name, 0) + spent
-        self.network.append(Done(message.router, name, nonce, spent))
+        self.network.append(RunEnded(message.router, name, nonce, spent))
 
-    def sidecar_dies(self, at, amount):
+    def crash_sidecar(self, at, amount):
         sidecar = self.sidecars.pop(at, None)
         if sidecar is None:
             return
-        self.dead_sidecars.add(sidecar.incarnation)
+        self.deleted_sidecars.add(sidecar.incarnation)
         for message in sidecar.running.values():
             spent = min(amount, message.tokens)
             name = sidecar.incarnation
@@ -272,11 +274,11 @@
         if sidecar is not None and not sidecar.accounts.ready:
             sidecar.accounts.open(seals=frozenset(self.seals))
 
-    def cut_or_heal(self, place, at):
-        self.cuts ^= {(f"r{place}", f"s{at}")}
+    def toggle_partition(self, place, at):
+        self.partitions ^= {(f"r{place}", f"s{at}")}
 
-    def cut_or_heal_reaper(self, at):
-        self.cuts ^= {("reaper", f"s{at}")}
+    def toggle_reaper_partition(self, at):
+        self.partitions ^= {("reaper", f"s{at}")}
 
     # Reaper
 
@@ -288,11 +290,11 @@
         if names:
             name = names[index % len(names)]
             self.seals.add(name)
-            self.put(self.ledger.seal(name))
+            self.store(self.ledger.seal(name))
 
-    def ask_sidecar(self, at):
+    def request_report(self, at):
         sidecar = self.sidecars.get(at)
-        if sidecar is None or ("reaper", f"s{at}") in self.cuts:
+        if sidecar is None or ("reaper", f"s{at}") in self.partitions:
             return
         for router in sorted(self.seals):
             report = sidecar.accounts.seal(router)
@@ -300,21 +302,21 @@
                 spent = report.ran.get(PROFILE, 0)
                 self.reports.append((router, sidecar.incarnation, spent))
 
-    def seal_and_ask(self, index, at):
+    def seal_and_report(self, index, at):
         self.seal(index)
-        self.ask_sidecar(at)
+        self.request_report(at)
         while self.reports:
             self.put_report()
 
     def put_report(self):
         if self.reports:
             router, sidecar, spent = self.reports.pop(0)
-            self.put(self.ledger.report(router=router, sidecar=sidecar, tokens=spent))
+            self.store(self.ledger.report(router=router, sidecar=sidecar, tokens=spent))
 
     def write_off(self):
         for router in self.granted_routers():
-            for sidecar in sorted(self.dead_sidecars):
-                self.put(self.ledger.write_off(router=router, sidecar=sidecar))
+            for sidecar in sorted(self.deleted_sidecars):
+                self.store(self.ledger.write_off(router=router, sidecar=sidecar))
 
     # Operator
 
@@ -328,7 +330,7 @@
             operation = self.ledger.operation_id(f"op{self.incarnations}")
         change = self.ledger.lower if lower else self.ledger.top_up
         try:
-            self.put(change(tokens=amount, operation_id=operation))
+            self.store(change(tokens=amount, operation_id=operation))
         except LedgerError:
             return
         if before is None:
@@ -338,17 +340,17 @@
 
     def recall(self, share):
         try:
-            self.put(self.ledger.recall(to=int(self.ledger.prepaid * share)))
+            self.store(self.ledger.recall(to=int(self.ledger.prepaid * share)))
         except LedgerError:
             return
 
     def heal(self):
-        self.cuts.clear()
+        self.partitions.clear()
         for place in range(3):
             self.register_sidecar(place)
             self.open_sidecar(place)
         for router in self.routers.values():
-            router.paused = False
+            router.suspended = False
         for _ in range(2):
             for sidecar in self.sidecars.values():
                 for nonce in list(sidecar.running):
@@ -357,7 +359,7 @@
                 self.deliver(0, False)
 
     def stop_router(self, router):
-        self.router_gives_up_dead_sidecars(router.place)
+        self.drop_deleted_sidecars(router.place)
         if router.slice.open_by_id:
             return
         try:
@@ -366,8 +368,10 @@
                 if router.slice.pending is None:
                     break
                 renewal = router.slice.pending
-                self.end_write(router, self.version, self.ledger.renew(renewal), "ok")
+                self.finish_write(
+                    router, self.version, self.ledger.renew(renewal), "ok"
+                )
         except RouterSealed:
             return
         renewal = router.slice.propose(nonce="stop", cap=0)
-        self.put(self.ledger.close(renewal))
+        self.store(self.ledger.close(renewal))
