--- a/src/ragwortkeel/budget/account.py
+++ b/src/ragwortkeel/budget/account.py
@@ -51,7 +51,7 @@
 """
 
 EQUAL_FRACTION = 0.2
-"""Fraction of the unspent tokens that is shared equally, not by demand.
+"""Fraction of the tokens in slices that is shared equally, not by demand.
 
 Customers use few processes each, so shares by demand leave least in the platform, where
 an outage makes tokens unreachable.  Tokens at the wrong process are lent.
--- a/src/ragwortkeel/budget/sizing.py
+++ b/src/ragwortkeel/budget/sizing.py
@@ -23,7 +23,7 @@
 """
 
 EQUAL_FRACTION_BY_SPREAD = {Spread.WIDE: 1.0, Spread.NARROW: 0.3}
-"""Fraction of the unspent tokens in slices that is shared equally, not by demand.
+"""Fraction of the tokens in slices that is shared equally, not by demand.
 
 The demand of a minute is noisy, and an outage of the platform causes more false
 refusals the more tokens follow it: 11, 20 and 35 at fractions of 1.0, 0.9 and 0.8, in
--- a/src/ragwortkeel/budget/write_order.py
+++ b/src/ragwortkeel/budget/write_order.py
@@ -110,7 +110,7 @@
 
 
 def _equalize_slow_writers(writers: Iterable[Writer]) -> list[Writer]:
-    """Return the writers, none faster than the slowest one if the platform is slow.
+    """Return the writers, all as slow as the slowest reachable one on a slow platform.
 
     Only a process that writes measures a slow platform.  By its measured class it would
     be replaced by a process that has not written yet and first has to connect to the
--- a/tests/budget/test_machine.py
+++ b/tests/budget/test_machine.py
@@ -12,12 +12,12 @@
 from tests.budget.world import BudgetWorld
 
 WRITE_ENDS = ["ok", "ok", "ok", "down", "lost", "late", "never"]
-places = st.integers(0, 2)
+indexes = st.integers(0, 2)
 tokens = st.integers(1, 60)
 run_steps = st.tuples(
     st.sampled_from(["start", "start", "start", "finish", "end", "reserve"]),
-    places,
-    places,
+    indexes,
+    indexes,
     st.integers(1, 30),
 )
 
@@ -35,18 +35,18 @@
 
     @initialize()
     def begin(self):
-        for place in range(2):
-            self.world.register_sidecar(place)
-            self.world.open_sidecar(place)
-        for place in range(3):
-            self.world.start_router(place)
-            self.world.renew_at_once(place, 55, 0, 30)
+        for sidecar_index in range(2):
+            self.world.register_sidecar(sidecar_index)
+            self.world.open_sidecar(sidecar_index)
+        for router_index in range(3):
+            self.world.start_router(router_index)
+            self.world.renew_at_once(router_index, 55, 0, 30)
 
     # There are few rules, so that each example mixes all of them.
 
     @rule(
-        step=st.sampled_from(["renew", "read", "write", "write", "give up"]),
-        place=places,
+        step=st.sampled_from(["renew", "read", "write", "write", "drop"]),
+        router_index=indexes,
         want=tokens,
         give_back=st.sampled_from([0, 0, 5, 60]),
         cap=st.integers(10, 80),
@@ -54,36 +54,36 @@
         give_to=st.integers(0, 3),
         look=st.booleans(),
     )
-    def renewal(self, step, place, want, give_back, cap, end, give_to, look):
+    def renewal(self, step, router_index, want, give_back, cap, end, give_to, look):
         match step:
             case "renew":
-                self.world.renew_at_once(place, want, give_back, cap)
+                self.world.renew_at_once(router_index, want, give_back, cap)
             case "read":
-                self.world.read(place)
+                self.world.read(router_index)
             case "write":
                 if (
-                    place in self.world.routers
-                    and self.world.routers[place].snapshot is None
+                    router_index in self.world.routers
+                    and self.world.routers[router_index].snapshot is None
                 ):
-                    self.world.read(place)
-                self.world.write(place, end, want, give_back, cap, give_to)
+                    self.world.read(router_index)
+                self.world.write(router_index, end, want, give_back, cap, give_to)
                 if look:
-                    self.world.read(place)
-            case "give up":
-                self.world.drop_deleted_sidecars(place)
+                    self.world.read(router_index)
+            case "drop":
+                self.world.drop_deleted_sidecars(router_index)
 
     @rule(steps=st.lists(run_steps, min_size=1, max_size=8))
     def run(self, steps):
-        for step, place, at, amount in steps:
+        for step, router_index, sidecar_index, amount in steps:
             match step:
                 case "start":
-                    self.world.reserve_and_start(place, at, amount)
+                    self.world.reserve_and_start(router_index, sidecar_index, amount)
                 case "reserve":
-                    self.world.reserve(place, at, amount)
+                    self.world.reserve(router_index, sidecar_index, amount)
                 case "finish":
-                    self.world.finish_and_deliver(at, amount)
+                    self.world.finish_and_deliver(sidecar_index, amount)
                 case "end":
-                    self.world.finish(at, 1, amount - 1)
+                    self.world.finish(sidecar_index, 1, amount - 1)
 
     @rule(index=st.integers(0, 20), twice=st.booleans(), late=st.booleans())
     def arrive(self, index, twice, late):
@@ -94,46 +94,55 @@
 
     @rule(
         step=st.sampled_from(
-            ["pause", "pause", "router", "cut", "cut", "reaper", "sidecar", "join"]
+            [
+                "suspend",
+                "suspend",
+                "router",
+                "partition",
+                "partition",
+                "reaper",
+                "sidecar",
+                "register",
+            ]
         ),
-        place=places,
-        at=places,
+        router_index=indexes,
+        sidecar_index=indexes,
         amount=tokens,
-        die=st.sampled_from([False, False, True]),
+        crash=st.sampled_from([False, False, True]),
     )
-    def fault(self, step, place, at, amount, die):
+    def fault(self, step, router_index, sidecar_index, amount, crash):
         match step:
-            case "pause":
-                self.world.suspend_or_resume(place)
+            case "suspend":
+                self.world.suspend_or_resume(router_index)
             case "router":
-                self.world.crash_or_start_router(place)
-            case "cut":
-                self.world.toggle_partition(place, at)
+                self.world.crash_or_start_router(router_index)
+            case "partition":
+                self.world.toggle_partition(router_index, sidecar_index)
             case "reaper":
-                self.world.toggle_reaper_partition(at)
-            case "sidecar" if die:
-                self.world.crash_sidecar(at, amount)
-            case "join":
-                self.world.register_sidecar(at)
-                self.world.open_sidecar(at)
+                self.world.toggle_reaper_partition(sidecar_index)
+            case "sidecar" if crash:
+                self.world.crash_sidecar(sidecar_index, amount)
+            case "register":
+                self.world.register_sidecar(sidecar_index)
+                self.world.open_sidecar(sidecar_index)
             case "sidecar":
-                self.world.register_sidecar(at)
+                self.world.register_sidecar(sidecar_index)
 
     @rule(
-        step=st.sampled_from(["seal", "ask", "report", "all", "write off"]),
+        step=st.sampled_from(["seal", "request", "report", "all", "write off"]),
         index=st.integers(0, 5),
-        at=places,
+        sidecar_index=indexes,
     )
-    def reap(self, step, index, at):
+    def reap(self, step, index, sidecar_index):
         match step:
             case "seal":
                 self.world.seal(index)
-            case "ask":
-                self.world.request_report(at)
+            case "request":
+                self.world.request_report(sidecar_index)
             case "report":
                 self.world.put_report()
             case "all":
-                self.world.seal_and_report(index, at)
+                self.world.seal_and_report(index, sidecar_index)
             case "write off":
                 self.world.write_off()
 
@@ -184,14 +193,14 @@
 
     def teardown(self):
         """Check, after all faults end, that all spend is charged once."""
-        self.world.heal()
-        for place in sorted(self.world.routers):
-            self.world.stop_router(self.world.routers[place])
+        self.world.end_faults()
+        for router_index in sorted(self.world.routers):
+            self.world.stop_router(self.world.routers[router_index])
         for router in self.world.granted_routers():
             self.world.seals.add(router)
             self.world.store(self.world.ledger.seal(router))
-        for at in sorted(self.world.sidecars):
-            self.world.request_report(at)
+        for sidecar_index in sorted(self.world.sidecars):
+            self.world.request_report(sidecar_index)
         while self.world.reports:
             self.world.put_report()
         self.world.write_off()
--- a/tests/budget/world.py
+++ b/tests/budget/world.py
@@ -14,7 +14,7 @@
 @dataclass
 class RouterModel:
     incarnation: str
-    place: int
+    index: int
     slice: Slice = field(init=False)
     refresh: SliceRefresh = field(init=False)
     snapshot: tuple[int, Ledger] | None = None
@@ -29,7 +29,7 @@
 @dataclass
 class SidecarModel:
     incarnation: str
-    place: int
+    index: int
     accounts: SidecarAccounts = field(default_factory=SidecarAccounts)
     registered: bool = False
 
@@ -70,27 +70,27 @@
 
     # Routers
 
-    def start_router(self, place):
+    def start_router(self, router_index):
         self.incarnations += 1
-        name = f"r{place}.{self.incarnations}"
-        self.routers[place] = RouterModel(incarnation=name, place=place)
+        name = f"r{router_index}.{self.incarnations}"
+        self.routers[router_index] = RouterModel(incarnation=name, index=router_index)
 
-    def resumed_router(self, place):
-        router = self.routers.get(place)
+    def resumed_router(self, router_index):
+        router = self.routers.get(router_index)
         return None if router is None or router.suspended else router
 
-    def read(self, place):
-        router = self.resumed_router(place)
+    def read(self, router_index):
+        router = self.resumed_router(router_index)
         if router is None:
             return
         router.snapshot = (self.version, self.ledger)
         try:
             router.refresh.read(self.ledger, version=self.version)
         except RouterSealed:
-            self.start_router(place)
+            self.start_router(router_index)
 
-    def write(self, place, end, want, give_back, cap, give_to):
-        router = self.resumed_router(place)
+    def write(self, router_index, end, want, give_back, cap, give_to):
+        router = self.resumed_router(router_index)
         if router is None or router.snapshot is None:
             return
         version, ledger = router.snapshot
@@ -110,13 +110,13 @@
             )
             value = ledger.renew(renewal)
         except RouterSealed:
-            self.start_router(place)
+            self.start_router(router_index)
             return
         self.finish_write(router, version, value, end)
 
-    def renew_at_once(self, place, want, give_back, cap):
-        self.read(place)
-        self.write(place, "ok", want, give_back, cap, 3)
+    def renew_at_once(self, router_index, want, give_back, cap):
+        self.read(router_index)
+        self.write(router_index, "ok", want, give_back, cap, 3)
 
     def finish_write(self, router, version, value, end):
         match end:
@@ -144,8 +144,11 @@
             if version == self.version:
                 self.store(value)
 
-    def reserve(self, place, at, amount):
-        router, sidecar = self.resumed_router(place), self.sidecars.get(at)
+    def reserve(self, router_index, sidecar_index, amount):
+        router, sidecar = (
+            self.resumed_router(router_index),
+            self.sidecars.get(sidecar_index),
+        )
         if router is None or sidecar is None:
             return
         name = sidecar.incarnation
@@ -158,15 +161,15 @@
         message = RunDispatched(router.incarnation, name, nonce, amount)
         self.network.append(message)
 
-    def reserve_and_start(self, place, at, amount):
+    def reserve_and_start(self, router_index, sidecar_index, amount):
         before = len(self.network)
-        self.reserve(place, at, amount)
+        self.reserve(router_index, sidecar_index, amount)
         if len(self.network) > before:
             self.deliver(len(self.network) - 1, False)
 
-    def finish_and_deliver(self, at, amount):
+    def finish_and_deliver(self, sidecar_index, amount):
         before = len(self.network)
-        self.finish(at, 0, amount)
+        self.finish(sidecar_index, 0, amount)
         if len(self.network) > before:
             self.deliver(len(self.network) - 1, False)
 
@@ -218,16 +221,18 @@
         found = (s for s in self.sidecars.values() if s.incarnation == name)
         return next(found, None)
 
-    def suspend_or_resume(self, place):
-        if place in self.routers:
-            self.routers[place].suspended = not self.routers[place].suspended
+    def suspend_or_resume(self, router_index):
+        if router_index in self.routers:
+            self.routers[router_index].suspended = not self.routers[
+                router_index
+            ].suspended
 
-    def crash_or_start_router(self, place):
-        if self.routers.pop(place, None) is None:
-            self.start_router(place)
+    def crash_or_start_router(self, router_index):
+        if self.routers.pop(router_index, None) is None:
+            self.start_router(router_index)
 
-    def drop_deleted_sidecars(self, place):
-        router = self.resumed_router(place)
+    def drop_deleted_sidecars(self, router_index):
+        router = self.resumed_router(router_index)
         if router is None:
             return
         for reservation in list(router.slice.open_by_id.values()):
@@ -237,8 +242,8 @@
 
     # Sidecars
 
-    def finish(self, at, index, amount):
-        sidecar = self.sidecars.get(at)
+    def finish(self, sidecar_index, index, amount):
+        sidecar = self.sidecars.get(sidecar_index)
         if sidecar is None or not sidecar.running:
             return
         nonce = sorted(sidecar.running)[index % len(sidecar.running)]
@@ -252,8 +257,8 @@
         self.ran_by_sidecar[name] = self.ran_by_sidecar.get(name, 0) + spent
         self.network.append(RunEnded(message.router, name, nonce, spent))
 
-    def crash_sidecar(self, at, amount):
-        sidecar = self.sidecars.pop(at, None)
+    def crash_sidecar(self, sidecar_index, amount):
+        sidecar = self.sidecars.pop(sidecar_index, None)
         if sidecar is None:
             return
         self.deleted_sidecars.add(sidecar.incarnation)
@@ -262,23 +267,25 @@
             name = sidecar.incarnation
             self.ran_by_sidecar[name] = self.ran_by_sidecar.get(name, 0) + spent
 
-    def register_sidecar(self, at):
-        if at not in self.sidecars:
+    def register_sidecar(self, sidecar_index):
+        if sidecar_index not in self.sidecars:
             self.incarnations += 1
-            name = f"s{at}.{self.incarnations}"
-            self.sidecars[at] = SidecarModel(incarnation=name, place=at)
-            self.sidecars[at].registered = True
+            name = f"s{sidecar_index}.{self.incarnations}"
+            self.sidecars[sidecar_index] = SidecarModel(
+                incarnation=name, index=sidecar_index
+            )
+            self.sidecars[sidecar_index].registered = True
 
-    def open_sidecar(self, at):
-        sidecar = self.sidecars.get(at)
+    def open_sidecar(self, sidecar_index):
+        sidecar = self.sidecars.get(sidecar_index)
         if sidecar is not None and not sidecar.accounts.ready:
             sidecar.accounts.open(seals=frozenset(self.seals))
 
-    def toggle_partition(self, place, at):
-        self.partitions ^= {(f"r{place}", f"s{at}")}
+    def toggle_partition(self, router_index, sidecar_index):
+        self.partitions ^= {(f"r{router_index}", f"s{sidecar_index}")}
 
-    def toggle_reaper_partition(self, at):
-        self.partitions ^= {("reaper", f"s{at}")}
+    def toggle_reaper_partition(self, sidecar_index):
+        self.partitions ^= {("reaper", f"s{sidecar_index}")}
 
     # Reaper
 
@@ -292,9 +299,9 @@
             self.seals.add(name)
             self.store(self.ledger.seal(name))
 
-    def request_report(self, at):
-        sidecar = self.sidecars.get(at)
-        if sidecar is None or ("reaper", f"s{at}") in self.partitions:
+    def request_report(self, sidecar_index):
+        sidecar = self.sidecars.get(sidecar_index)
+        if sidecar is None or ("reaper", f"s{sidecar_index}") in self.partitions:
             return
         for router in sorted(self.seals):
             report = sidecar.accounts.seal(router)
@@ -302,9 +309,9 @@
                 spent = report.ran.get(PROFILE, 0)
                 self.reports.append((router, sidecar.incarnation, spent))
 
-    def seal_and_report(self, index, at):
+    def seal_and_report(self, index, sidecar_index):
         self.seal(index)
-        self.request_report(at)
+        self.request_report(sidecar_index)
         while self.reports:
             self.put_report()
 
@@ -344,11 +351,11 @@
         except LedgerError:
             return
 
-    def heal(self):
+    def end_faults(self):
         self.partitions.clear()
-        for place in range(3):
-            self.register_sidecar(place)
-            self.open_sidecar(place)
+        for sidecar_index in range(3):
+            self.register_sidecar(sidecar_index)
+            self.open_sidecar(sidecar_index)
         for router in self.routers.values():
             router.suspended = False
         for _ in range(2):
@@ -359,7 +366,7 @@
                 self.deliver(0, False)
 
     def stop_router(self, router):
-        self.drop_deleted_sidecars(router.place)
+        self.drop_deleted_sidecars(router.index)
         if router.slice.open_by_id:
             return
         try:
