--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests of the decisions."""
+"""Builders shared by the tests of the load-management decisions."""
 
 from random import Random
 
@@ -25,7 +25,7 @@
 
 
 def batch(request_id: str, **changes: object) -> RequestFacts:
-    """Return a batch request with minutes of time."""
+    """Return a batch request with a deadline minutes away."""
     defaults = {
         "profile": "review",
         "service_class": ServiceClass.BATCH,
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -23,7 +23,7 @@
             times.record_duration(made, total)
         return times
 
-    def test_nothing_known_refuses_nothing(self):
+    def test_no_refusal_without_samples(self):
         assert ServiceTimes().latest_start(request("r"))[0] == 1.5
 
     @pytest.mark.parametrize(
@@ -34,40 +34,40 @@
             (batch("b", first_token_deadline=0.1), (300.0 - 6.0, Reason.DEADLINE)),
         ],
     )
-    def test_by_the_promise_that_binds(self, made, expected):
+    def test_earliest_binding_promise(self, made, expected):
         assert DURATION_MARGIN_FACTOR == 1.5
         assert self.learned().latest_start(made) == expected
 
 
-class TestWaits:
-    def test_places_by_littles_law(self):
-        places = CompletionIntervals()
-        assert places.seconds_per_completion(("model",)) == 0.0
+class TestIntervals:
+    def test_completion_interval_by_littles_law(self):
+        intervals = CompletionIntervals()
+        assert intervals.seconds_per_completion(("model",)) == 0.0
         for _ in range(4):
-            places.record_start(("model",))
-        places.record_duration(("model",), 8.0)
-        assert places.seconds_per_completion(("model",)) == 2.0
+            intervals.record_start(("model",))
+        intervals.record_duration(("model",), 8.0)
+        assert intervals.seconds_per_completion(("model",)) == 2.0
 
-    def test_turns_follow_what_was_taken(self):
-        turns = DequeueIntervals()
-        assert turns.mean_seconds(3.0, idle=False, now=0.0) == 3.0
+    def test_dequeue_interval_follows_samples(self):
+        intervals = DequeueIntervals()
+        assert intervals.mean_seconds(3.0, idle=False, now=0.0) == 3.0
         for second in range(1, 60):
-            turns.record_dequeue(3.0, now=second * 0.5)
-        each = turns.mean_seconds(3.0, idle=False, now=29.5)
+            intervals.record_dequeue(3.0, now=second * 0.5)
+        each = intervals.mean_seconds(3.0, idle=False, now=29.5)
         assert each == pytest.approx(0.5, abs=0.02)
 
-    def test_stopped_queue_looks_slow_and_an_idle_one_does_not(self):
-        turns = DequeueIntervals()
+    def test_stalled_queue_is_slow_and_idle_queue_is_not(self):
+        intervals = DequeueIntervals()
         for second in range(1, 60):
-            turns.record_dequeue(0.5, now=second * 0.5)
-        assert turns.mean_seconds(0.5, idle=False, now=89.5) > 5.0
-        assert turns.mean_seconds(0.5, idle=True, now=89.5) < 0.6
+            intervals.record_dequeue(0.5, now=second * 0.5)
+        assert intervals.mean_seconds(0.5, idle=False, now=89.5) > 5.0
+        assert intervals.mean_seconds(0.5, idle=True, now=89.5) < 0.6
 
 
 class TestRetryAfter:
     @pytest.mark.parametrize("excess", [0.0, 0.2, 5.0, 1e6])
     def test_bounded_and_spread(self, excess):
         random = Random(1)
-        told = {queue_retry_delay(excess, random) for _ in range(20)}
-        assert all(MIN_RETRY_SECONDS <= t <= MAX_RETRY_SECONDS for t in told)
-        assert len(told) > 1 or excess >= MAX_RETRY_SECONDS
+        delays = {queue_retry_delay(excess, random) for _ in range(20)}
+        assert all(MIN_RETRY_SECONDS <= t <= MAX_RETRY_SECONDS for t in delays)
+        assert len(delays) > 1 or excess >= MAX_RETRY_SECONDS
--- a/tests/policy/test_choice.py
+++ b/tests/policy/test_choice.py
@@ -53,15 +53,15 @@
         assert pick(candidates(1, 5, 9), seed=seed) != "m2"
 
     @pytest.mark.parametrize("seed", range(8))
-    def test_stays_among_the_first_few_while_they_have_room(self, seed):
+    def test_prefers_first_candidates_with_headroom(self, seed):
         ordered = candidates(8, 8, 8, 0, 0)
         assert pick(ordered, seed=seed) in {"m0", "m1", "m2"}
 
-    def test_goes_beyond_the_few_rather_than_refuse(self):
+    def test_uses_further_upstreams_before_refusal(self):
         assert pick(candidates(*[10] * CANDIDATE_COUNT, 3)) == f"m{CANDIDATE_COUNT}"
 
     @pytest.mark.parametrize("seed", range(8))
-    def test_own_zone_goes_first_within_the_bound(self, seed):
+    def test_prefers_own_zone_within_bound(self, seed):
         zones = "bca"
         assert pick(candidates(2, 4, 2, zones=zones), zone="c", seed=seed) == "m1"
         assert pick(candidates(1, 9, 1, zones=zones), zone="c", seed=seed) != "m1"
@@ -69,20 +69,19 @@
 
 class TestPrefixAffinity:
     @pytest.mark.parametrize("seed", range(8))
-    def test_prefix_goes_to_its_first_upstream(self, seed):
+    def test_prefix_uses_its_first_upstream(self, seed):
         assert pick(candidates(3, 2, 2), prefix="p", seed=seed) == "m0"
 
-    def test_hot_prefix_is_spread_beyond_the_bound(self):
-        """One mailbox's long thread is asked about by a whole office.
+    def test_frequent_prefix_is_spread_beyond_bound(self):
+        """Guards against one upstream that serves all requests of a frequent prefix.
 
-        All its requests share a prefix; without the bound its first upstream
-        takes them all and answers late, while the others idle.
+        Its answers would be late while the other upstreams are idle.
         """
         assert pick(candidates(9, 0, 0), prefix="p") in {"m1", "m2"}
 
 
 class TestLoadEstimate:
-    def test_own_work_since_the_report_counts(self):
+    def test_own_requests_since_report_count(self):
         load = LoadEstimate()
         for second in range(3):
             load.record_start(now=float(second))
@@ -95,12 +94,11 @@
         ("own", "total", "claimed"),
         [(0, 0, 0.0), (5, 16, 4 * 11 / 17), (0, 12, 3.0), (3, 25, 0.0)],
     )
-    def test_other_routers_take_their_part_of_the_free_room(self, own, total, claimed):
-        """Three routers see four free places in one report.
+    def test_other_routers_claim_their_fraction_of_headroom(self, own, total, claimed):
+        """Guards against routers that all use the full headroom of one report.
 
-        Each taking all four sends twelve requests there.  Each takes its part,
-        but one place is left even for a router that has nothing there yet: a
-        router just started would get none anywhere.
+        Three routers with a headroom of four would send twelve requests.  Each uses
+        its fraction; a router without load may still add one request.
         """
         load = LoadEstimate()
         for _ in range(own):
--- a/tests/policy/test_ejection.py
+++ b/tests/policy/test_ejection.py
@@ -23,19 +23,19 @@
         ("failure", "needed"),
         [(Failure.ERROR, 3), (Failure.UNREACHABLE, 1), (Failure.CRASHED, 1)],
     )
-    def test_after_so_many_failures(self, failure, needed):
+    def test_failures_that_eject(self, failure, needed):
         ejections = Ejections()
         outcomes = [ejections.record_failure("m0", failure, 0.0) for _ in range(needed)]
         assert outcomes == [False] * (needed - 1) + [True]
         assert "m0" not in ejections.usable(NAMES, 0.5)
 
     @pytest.mark.parametrize("failure", [Failure.OVERLOADED, Failure.TURNED_AWAY])
-    def test_turning_away_is_not_failing(self, failure):
+    def test_turning_away_is_no_failure(self, failure):
         ejections = Ejections()
         assert not any(ejections.record_failure("m0", failure, 0.0) for _ in range(9))
         assert ejections.health("m0") == Healthy()
 
-    def test_success_between_errors_starts_the_count_again(self):
+    def test_success_resets_error_count(self):
         ejections = Ejections()
         for _ in range(5):
             ejections.record_failure("m0", Failure.ERROR, 0.0)
@@ -79,21 +79,21 @@
         assert ejections.record_success("m0")
         assert ejections.usable(NAMES, FIRST_BACKOFF_SECONDS)["m0"] is False
 
-    def test_probe_without_verdict_is_tried_again(self):
-        """The probe's caller hangs up: the upstream must not be lost for it."""
+    def test_probe_without_verdict_is_repeated(self):
+        """Guards against an upstream that stays ejected after a cancelled probe."""
         ejections = self.ejected()
         ejections.record_assignment("m0", 2.0)
         ejections.record_no_verdict("m0", 3.0)
         assert ejections.usable(NAMES, 3.0)["m0"]
 
-    def test_pause_doubles_up_to_the_longest(self):
+    def test_backoff_doubles_up_to_maximum(self):
         ejections = self.ejected()
-        pauses = []
+        backoffs = []
         for _ in range(10):
             until = ejections.health("m0").until
             ejections.record_assignment("m0", until)
             assert isinstance(ejections.health("m0"), Probing)
             ejections.record_failure("m0", Failure.UNREACHABLE, until)
-            pauses.append(ejections.health("m0").until - until)
-        assert pauses[:3] == [2.0, 4.0, 8.0]
-        assert pauses[-1] == MAX_BACKOFF_SECONDS
+            backoffs.append(ejections.health("m0").until - until)
+        assert backoffs[:3] == [2.0, 4.0, 8.0]
+        assert backoffs[-1] == MAX_BACKOFF_SECONDS
--- a/tests/policy/test_fleet_rates.py
+++ b/tests/policy/test_fleet_rates.py
@@ -1,4 +1,4 @@
-"""Pattern of load: upstreams come back cold and look idle to all processes at once."""
+"""Load pattern: upstreams return cold and look idle to all processes at once."""
 
 from random import Random
 
@@ -17,8 +17,9 @@
 
 PER_SECOND = 10.0
 RATE = FleetRate(per_second=PER_SECOND)
-MOST_A_SECOND = 20
-"""What such an upstream bears in any second: half as much again, and five."""
+MAX_REQUESTS_PER_SECOND = 20
+"""Requests that such an upstream serves in any second: 1.5 times its rate, plus
+five."""
 
 COLD_SECONDS = 3.0
 STEP_SECONDS = 0.01
@@ -33,16 +34,16 @@
     return [lambda own=own: ChosenSenders(own=own, names=names) for own in fleet]
 
 
-def starts(sharings, *, seed, upstream="u1", step=STEP_SECONDS):
-    """Return when a cold upstream gets requests, with callers waiting everywhere."""
+def simulate_sends(sharings, *, seed, upstream="u1", step=STEP_SECONDS):
+    """Return when a cold upstream receives requests, with callers at all processes."""
     processes = [
         FleetRates(sharing=sharing, random=Random(seed * 10_000 + index), started=0.0)
         for index, sharing in enumerate(sharings)
     ]
     sent = []
-    begun = DISCOVERY_SECONDS + 1.0
+    start = DISCOVERY_SECONDS + 1.0
     for number in range(int(COLD_SECONDS / step)):
-        now = begun + number * step
+        now = start + number * step
         for process in processes:
             if process.may_send(upstream, RATE, now=now):
                 process.record_sent(upstream)
@@ -50,7 +51,7 @@
     return sent
 
 
-def most_in_a_second(sent):
+def max_requests_in_a_second(sent):
     return max(
         (sum(first <= at < first + 1.0 for at in sent) for first in sent), default=0
     )
@@ -62,22 +63,24 @@
 
 class TestSumOverTheFleet:
     @pytest.mark.parametrize("size", [5, 30, 68, 1000])
-    def test_equal_shares_keep_the_bound_of_the_upstream(self, size):
-        """Guards against a crash by requests that each process alone finds few."""
+    def test_equal_shares_stay_within_upstream_bound(self, size):
+        """Guards against a crash by a sum of requests that are few per process."""
         step = STEP_SECONDS if size < 1000 else 0.05
         for seed in range(8):
-            sent = starts(equal(fleet(size)), seed=seed, step=step)
-            assert 0 < most_in_a_second(sent) <= MOST_A_SECOND
+            sent = simulate_sends(equal(fleet(size)), seed=seed, step=step)
+            assert 0 < max_requests_in_a_second(sent) <= MAX_REQUESTS_PER_SECOND
 
     @pytest.mark.parametrize("size", [5, 30, 68])
-    def test_chosen_senders_keep_to_the_rate(self, size):
-        """Guards against a sum whose many terms meet by chance."""
+    def test_chosen_senders_stay_within_rate(self, size):
+        """Guards against a sum whose many terms coincide by chance."""
         for seed in range(8):
-            sent = starts(chosen(fleet(size)), seed=seed)
-            assert 0 < most_in_a_second(sent) <= PER_SECOND + SENDERS_PER_UPSTREAM
+            sent = simulate_sends(chosen(fleet(size)), seed=seed)
+            assert (
+                0 < max_requests_in_a_second(sent) <= PER_SECOND + SENDERS_PER_UPSTREAM
+            )
 
-    def test_processes_that_started_apart_keep_the_bound(self):
-        """Guards against two halves that each choose senders of their own."""
+    def test_partitioned_starts_stay_within_bound(self):
+        """Guards against two halves of a fleet that each choose their own senders."""
         names = fleet(30)
         halves = names[:15], names[15:]
         sharings = [
@@ -88,16 +91,21 @@
             for own in half
         ]
         for seed in range(8):
-            assert most_in_a_second(starts(sharings, seed=seed)) <= MOST_A_SECOND
+            assert (
+                max_requests_in_a_second(simulate_sends(sharings, seed=seed))
+                <= MAX_REQUESTS_PER_SECOND
+            )
 
-    def test_processes_that_are_cut_off_keep_their_share(self):
-        """Guards against a share of those that are heard: each half would send all."""
+    def test_partitioned_processes_use_equal_shares(self):
+        """Guards against fractions by reachable processes: each half would send all."""
         sharings = equal(fleet(30))
-        sent = starts(sharings[:15], seed=1) + starts(sharings[15:], seed=2)
-        assert most_in_a_second(sorted(sent)) <= MOST_A_SECOND
+        sent = simulate_sends(sharings[:15], seed=1) + simulate_sends(
+            sharings[15:], seed=2
+        )
+        assert max_requests_in_a_second(sorted(sent)) <= MAX_REQUESTS_PER_SECOND
 
-    def test_a_process_that_has_just_started_sends_nothing(self):
-        """Guards against a fleet that starts, and whose processes know nobody yet."""
+    def test_no_requests_during_discovery(self):
+        """Guards against processes that have not discovered their peers."""
         alone = FleetRates(
             sharing=lambda: EqualShare(processes=1), random=Random(0), started=10.0
         )
@@ -107,7 +115,7 @@
 
 
 class TestShares:
-    def test_who_has_heard_of_all_holders_knows_who_is_chosen(self):
+    def test_chosen_senders_need_all_processes_discovered(self):
         others = frozenset(fleet(4))
         assert sharing_among(
             own="own", others=others, ledger_processes=5
@@ -116,14 +124,14 @@
             own="own", others=others, ledger_processes=6
         ) == EqualShare(processes=6)
 
-    def test_chosen_ones_have_the_whole_rate_and_others_nothing(self):
+    def test_chosen_senders_use_full_rate(self):
         names = fleet(30)
         shares = [rate_fraction(sharing(), "u1") for sharing in chosen(names)]
         assert sorted(shares)[-2:] == [0.5, 0.5]
         assert sum(shares) == 1.0
 
-    def test_other_upstreams_have_other_senders(self):
-        """Guards against two processes that alone serve a zone that comes back."""
+    def test_senders_differ_by_upstream(self):
+        """Guards against two processes as the only senders to a returning zone."""
         senders = set()
         for number in range(20):
             for own, sharing in zip(fleet(30), chosen(fleet(30)), strict=True):
@@ -131,7 +139,7 @@
                     senders.add(own)
         assert len(senders) > 10
 
-    def test_idle_time_saves_up_one_request_only(self):
+    def test_idle_process_accumulates_one_request(self):
         alone = FleetRates(
             sharing=lambda: EqualShare(processes=1), random=Random(0), started=0.0
         )
--- a/tests/policy/test_limits.py
+++ b/tests/policy/test_limits.py
@@ -25,30 +25,30 @@
     return limit.limit
 
 
-class TestMoves:
+class TestChanges:
     @pytest.mark.parametrize(
         ("sample", "grows"),
         [(FAST, True), (BATCH, True), (SLOW, False), (QUEUED, False)],
     )
-    def test_by_what_first_tokens_tell(self, sample, grows):
+    def test_limit_follows_first_tokens(self, sample, grows):
         assert (feed(AdaptiveLimit(), sample, 10) > INITIAL_LIMIT_REQUESTS) is grows
 
     def test_unused_limit_does_not_grow(self):
         assert feed(AdaptiveLimit(), FAST, 30, running=2) == INITIAL_LIMIT_REQUESTS
 
-    def test_cut_starts_from_what_was_in_use(self):
+    def test_decrease_starts_from_requests_in_use(self):
         limit = AdaptiveLimit(initial_limit=100)
         feed(limit, SLOW, 1.5, running=10)
         assert limit.limit == int(10 * DECREASE_FACTOR)
 
     def test_slow_upstream_needs_few_samples(self):
-        """An engine at a quarter of its speed answers a few times a second."""
+        """Guards against a window that never ends: a slow engine gives few samples."""
         limit = AdaptiveLimit()
         for second in range(MIN_SLOW_SAMPLES):
             limit.observe(SLOW, running=16, now=float(second))
         assert limit.limit < INITIAL_LIMIT_REQUESTS
 
-    def test_one_slow_answer_moves_nothing_down(self):
+    def test_single_slow_answers_do_not_decrease(self):
         limit = AdaptiveLimit()
         for tick in range(60):
             sample = SLOW if tick % 10 == 0 else FAST
--- a/tests/policy/test_load_patterns.py
+++ b/tests/policy/test_load_patterns.py
@@ -1,8 +1,8 @@
-"""What callers get under the patterns of load, on the model of engines.
+"""Results for callers under the load patterns, on the model of engines.
 
-Each test plays a whole fleet: three routers, sidecars with adaptive limits, load
-reports that lag, callers who ask again.  Bounds are well below what was measured
-(docs/measurements/load.md), so that they fail for a fault and not for a detail.
+Each test simulates a fleet: three routers, sidecars with adaptive limits, lagged load
+reports, callers that retry.  Bounds are well below the figures in
+docs/measurements/load.md, so that a test fails for a fault and not for a detail.
 """
 
 from dataclasses import replace
@@ -48,10 +48,10 @@
         assert got["refusals"] < 0.01
 
     def test_burst(self, deployment):
-        """Three times the load for eight seconds, at the start of a call-in day.
+        """Three times the load for eight seconds.
 
-        Most chats are in time, batch work waits and is done, and those who are
-        turned away know it within two seconds.
+        Most chats are in time, batch work waits and completes, and callers that are
+        refused receive the refusal within two seconds.
         """
         got = figures("burst", deployment)
         assert got["interactive_in_time"] > 0.8
@@ -59,30 +59,30 @@
         assert got["refusal_p95_seconds"] < 2.0
 
     def test_one_customer_takes_most_of_the_load(self, deployment):
-        """One cooperative's script sends three quarters of all requests."""
+        """One customer's script sends three quarters of all requests."""
         assert figures("greedy", deployment)["small_customers_in_time"] > 0.95
 
     def test_one_prefix_takes_most_of_the_load(self, deployment):
-        """A whole office asks about one thread, on the day of its hearing."""
+        """Many callers send requests with the same prompt prefix."""
         got = figures("hot_prefix", deployment)
         assert got["interactive_in_time"] > 0.97
         assert got["prefix_hits"] > 0.6
 
     def test_slow_upstream(self, deployment):
-        """One engine falls to a quarter of its speed, and says nothing of it."""
+        """One engine slows down to a quarter of its speed without reporting it."""
         assert figures("slow", deployment)["interactive_in_time"] > 0.95
 
     def test_long_work_among_short(self, deployment):
-        """Season dossiers come in beside the chats, two and a half times as many."""
+        """Long requests arrive beside the chats, two and a half times as many."""
         got = figures("long", deployment)
         assert got["interactive_in_time"] > 0.95
         assert got["batch_in_time"] > 0.95
 
     def test_saturation(self, deployment):
-        """Far more is asked than can be served, and callers ask again.
+        """Far more requests than can be served, and callers that retry.
 
-        What is let in is served in time: goodput does not collapse, small
-        customers keep their share, and a refusal comes soon.
+        Admitted requests are served in time: goodput does not collapse, small customers
+        keep their share, and refusals are sent early.
         """
         got = figures("saturation", deployment)
         least = figures("saturation", deployment, "least")
@@ -94,7 +94,8 @@
     def test_failing_upstream(self, deployment):
         """One engine crashes, then fails each request faster than others serve.
 
-        Least connections sends it ever more; ours ejects it, with few retries.
+        Least connections sends it ever more requests; our scheme ejects it with few
+        retries.
         """
         got = figures("failing", deployment)
         least = figures("failing", deployment, "least")
@@ -102,7 +103,7 @@
         assert got["extra_attempts"] < 0.1 < least["extra_attempts"]
 
     def test_retries_stay_within_the_budget(self, deployment):
-        """Each engine breaks off three runs of ten, after a bad release."""
+        """Each engine breaks off three runs of ten, as after a faulty release."""
         got = figures("flaky", deployment)
         least = figures("flaky", deployment, "least")
         assert got["extra_attempts"] < 0.14 < least["extra_attempts"]
@@ -119,10 +120,9 @@
 class TestFinalAtOnce:
     @BOTH
     def test_no_refusal_waits_for_the_deadline(self, deployment):
-        """A refusal is told when it is decided, never held back to its deadline.
+        """Guards against refusals that are delayed until the deadline.
 
-        Held back, the caller would not come again so soon, and the bench would
-        look better for it.
+        Callers would retry later, and the benchmark would show better figures for it.
         """
         measures = play("saturation", deployment)
         late = [s for s in measures.turned_away_after if s > 4.0]
--- a/tests/policy/test_quarantine.py
+++ b/tests/policy/test_quarantine.py
@@ -16,16 +16,16 @@
 
 
 class TestFingerprint:
-    def test_names_the_body_whatever_its_key(self):
+    def test_identifies_the_body(self):
         assert fingerprint(b"{}") == fingerprint(b"{}") != fingerprint(b"{ }")
 
 
 class TestVerdict:
     def test_poison_is_refused_after_one_run_alone(self):
-        """One dossier crashes each engine that reads it; its caller asks again.
+        """One request crashes each engine that runs it, and its caller retries.
 
-        At the first crash it runs beside others, at the second beside different
-        ones, then alone.  From then on it is refused.
+        At the first crash it runs beside others, at the second beside different ones,
+        then alone.  From then on it is refused.
         """
         quarantine = Quarantine()
         quarantine.record_crash(crash("c1", "poison", "a", "b"), 0.0)
@@ -36,7 +36,7 @@
         assert quarantine.verdict("poison") is Verdict.REFUSE
 
     def test_innocents_are_not_refused(self):
-        """Farmers' chats ran beside the crashing dossier, one of them twice."""
+        """Requests ran beside the crashing one, one of them twice."""
         quarantine = Quarantine()
         quarantine.record_crash(crash("c1", "poison", "chat", "unlucky"), 0.0)
         quarantine.record_crash(crash("c2", "poison", "unlucky"), 1.0)
@@ -47,8 +47,8 @@
         assert not quarantine.record_crash(crash("c2", "unlucky"), 3.0)
         assert quarantine.verdict("unlucky") is Verdict.CLEAR
 
-    def test_third_crash_refuses_though_nobody_told_it_was_alone(self):
-        """The router that ran the suspect alone dies before it can tell."""
+    def test_third_crash_refuses_without_report_of_isolation(self):
+        """The router that ran the suspect alone crashes before it reports that."""
         quarantine = Quarantine()
         for crash_id in ("c1", "c2", "c3"):
             quarantine.record_crash(crash(crash_id, "poison"), 0.0)
@@ -61,7 +61,7 @@
         assert quarantine.verdict("poison") is Verdict.REFUSE
 
 
-class TestTelling:
+class TestReports:
     @given(
         st.lists(
             st.tuples(st.sampled_from("abc"), st.sampled_from("xyz"), st.booleans()),
@@ -81,14 +81,14 @@
         for name in "xyz":
             assert one.verdict(name) is other.verdict(name)
 
-    def test_only_news_is_passed_on(self):
+    def test_only_new_crashes_are_forwarded(self):
         quarantine = Quarantine()
         assert quarantine.record_crash(crash("c1", "a"), 0.0)
         assert not quarantine.record_crash(crash("c1", "a"), 1.0)
         assert quarantine.record_crash(crash("c1", "a", "b"), 2.0)
 
 
-class TestMemory:
+class TestRetention:
     @pytest.mark.parametrize("keep", [1, 3])
     def test_bounded(self, keep):
         quarantine = Quarantine(max_fingerprints=keep)
@@ -97,7 +97,7 @@
         kept = [i for i in range(10) if quarantine.verdict(f"f{i}") != Verdict.CLEAR]
         assert kept == list(range(10 - keep, 10))
 
-    def test_forgotten_after_a_day(self):
+    def test_discarded_after_a_day(self):
         quarantine = Quarantine()
         quarantine.record_crash(crash("c1", "poison", alone=True), 0.0)
         quarantine.record_crash(crash("c2", "other"), RETENTION_SECONDS + 1)
--- a/tests/policy/test_queueing.py
+++ b/tests/policy/test_queueing.py
@@ -31,7 +31,7 @@
 
 class TestFairShare:
     def test_flood_does_not_delay_a_small_customer(self):
-        """A cooperative's script sends hundreds; an advisor sends one chat."""
+        """One customer sends hundreds of requests, another sends one chat."""
         queue = FairQueue()
         for i in range(200):
             queue.push(waiting(f"flood{i}", customer="large"))
@@ -46,7 +46,7 @@
         taken = Counter(each.customer for each in drain(queue, 33))
         assert taken == {"a": 3, "b": 30}
 
-    def test_idle_customer_saves_up_nothing(self):
+    def test_idle_customer_accumulates_no_credit(self):
         queue = FairQueue()
         for i in range(100):
             queue.push(waiting(f"a{i}", customer="a"))
@@ -57,7 +57,7 @@
         assert taken == {"a": 10, "b": 10}
 
     @pytest.mark.parametrize(("fair", "owner"), [(True, "large"), (False, "small")])
-    def test_full_queue_turns_away_who_waits_with_most(self, fair, owner):
+    def test_full_queue_displaces_largest_customer(self, fair, owner):
         queue = FairQueue(max_requests=4, fair=fair)
         for i in range(4):
             assert queue.push(waiting(f"flood{i}", customer="large")) is None
@@ -73,7 +73,7 @@
         taken = Counter(each.service_class for each in drain(queue, 22))
         assert taken == {ServiceClass.INTERACTIVE: 20, ServiceClass.BATCH: 2}
 
-    def test_class_without_room_is_passed_over(self):
+    def test_excluded_class_is_skipped(self):
         queue = FairQueue()
         queue.push(waiting("b", made=batch))
         queue.push(waiting("i"))
@@ -82,7 +82,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Whatever happens, each request leaves once, and counts agree."""
+    """Each request leaves the queue once, and counts agree, in any order of calls."""
 
     def __init__(self):
         super().__init__()
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -20,8 +20,8 @@
 SERVICES = ("app", "pool")
 
 
-def quiet_for_long(budget):
-    """Let a budget save up all that it may."""
+def accumulate(budget):
+    """Let a budget accumulate its full reserve."""
     for _ in range(1000):
         budget.record_first_attempt()
     return budget
@@ -40,47 +40,46 @@
                 retries += 1
         assert retries <= RESERVE_RETRIES + RETRY_FRACTION * firsts + 1e-6
 
-    def test_quiet_time_saves_up_no_more_than_the_reserve(self):
-        budget = quiet_for_long(RetryBudget())
+    def test_quiet_budget_accumulates_the_reserve(self):
+        budget = accumulate(RetryBudget())
         assert sum(budget.try_spend() for _ in range(100)) == RESERVE_RETRIES
 
 
 class TestReserveOfAFleet:
     @pytest.mark.parametrize("processes", [1, 3, 5, 21, 29, 68, 1000])
-    def test_a_crash_of_many_upstreams_does_not_free_one_reserve_a_process(
-        self, processes
-    ):
-        """All processes have been quiet, then half of the engines crash at once.
+    def test_crash_of_many_upstreams_does_not_spend_full_reserves(self, processes):
+        """Guards against full reserves in all processes when half of the engines crash.
 
-        Each had saved up a reserve that is right for a fleet of four; together they
-        send more retries than the engines that are left can bear.
+        Reserves that suit a fleet of four add up to more retries than the remaining
+        engines can serve.
         """
-        budgets = [quiet_for_long(RetryBudget()) for _ in range(processes)]
+        budgets = [accumulate(RetryBudget()) for _ in range(processes)]
         for budget in budgets:
             budget.set_reserve(process_reserve(processes=processes))
         retries = sum(budget.try_spend() for budget in budgets for _ in range(20))
         assert retries <= max(FLEET_RESERVE_RETRIES, processes)
         assert retries >= processes
 
-    def test_a_smaller_reserve_takes_back_what_was_saved_up(self):
-        budget = quiet_for_long(RetryBudget(reserve=6.0))
+    def test_smaller_reserve_discards_accumulated_retries(self):
+        budget = accumulate(RetryBudget(reserve=6.0))
         budget.set_reserve(1.0)
         assert [budget.try_spend(), budget.try_spend()] == [True, False]
 
 
 WINDOW_SECONDS = 10
-"""In which the users' rule counts."""
+"""Window of the users' rule."""
 
 ALLOWED_SHARE = 0.2
 ALLOWED_SUM = 52
-"""Of the users' rule for a fleet of three entry instances."""
+"""Repeats that the users' rule allows in a window, beyond 20% of the first attempts,
+for a fleet of three entry instances."""
 
 
 class FleetOfRetries(RuleBasedStateMachine):
-    """Processes that start, serve and fail; the users' rule on repeats is checked.
+    """Processes that start, serve and fail, checked against the users' rule on repeats.
 
-    Guards against a bound that is counted over something else than one service: over
-    all services of a process, over one start of it, or over what ran.
+    Guards against a bound that is not counted per service: over all services of a
+    process, over one start of it, or over the requests that ran.
     """
 
     def __init__(self):
@@ -135,7 +134,7 @@
         times=st.integers(1, 10),
     )
     def kill_again_and_again(self, process, service, times):
-        """Start a process anew each second, and let it send some requests in vain."""
+        """Restart a process each second, and let it send some requests in vain."""
         for _ in range(times):
             self.budgets[process] = self._started()
             self.serve(process, service, 4)
--- a/tests/policy/test_returns.py
+++ b/tests/policy/test_returns.py
@@ -1,4 +1,4 @@
-"""Callers that are refused together, in an outage or at the end of places."""
+"""Retry delays of callers that are refused together, in an outage or at saturation."""
 
 from random import Random
 
@@ -9,22 +9,22 @@
 )
 
 
-def returns(seconds, count=200):
+def delays(seconds, count=200):
     random = Random(7)
     return [retry_delay(seconds, random) for _ in range(count)]
 
 
-def test_nobody_is_called_back_before_there_is_something_for_them():
-    """Callers come back once, in the middle of an outage, and are refused for good."""
-    assert min(returns(4.0)) >= 4.0
+def test_delay_is_at_least_the_expected_wait():
+    """Guards against callers that retry during the outage and are refused for good."""
+    assert min(delays(4.0)) >= 4.0
 
 
-def test_callers_refused_together_come_back_spread():
-    waits = returns(2.0)
-    assert max(waits) - min(waits) > 0.5
-    assert len(set(waits)) > 20
+def test_delays_are_spread():
+    values = delays(2.0)
+    assert max(values) - min(values) > 0.5
+    assert len(set(values)) > 20
 
 
-def test_waits_have_bounds():
-    assert min(returns(0.0)) >= MIN_DELAY_SECONDS
-    assert max(returns(600.0)) == MAX_DELAY_SECONDS
+def test_delays_are_bounded():
+    assert min(delays(0.0)) >= MIN_DELAY_SECONDS
+    assert max(delays(600.0)) == MAX_DELAY_SECONDS
--- a/tests/policy/test_scheduler.py
+++ b/tests/policy/test_scheduler.py
@@ -15,22 +15,22 @@
 
 
 def learn(made, seconds=1.0, first_token=0.2):
-    """Let the scheduler see one request through, so that it has estimates."""
+    """Complete one request, so that the scheduler has estimates."""
     made.offer(request("learn"), now=0.0)
     made.record_first_token("learn", now=first_token)
     made.record_finish("learn", now=seconds)
 
 
-class TestOffering:
-    def test_room_means_dispatch(self):
+class TestOffer:
+    def test_headroom_means_dispatch(self):
         assert isinstance(scheduler().offer(request("r1"), now=0.0), Assignment)
 
-    def test_no_upstream_is_refused_at_once_with_when_to_come_back(self):
+    def test_no_upstream_is_refused_with_retry_delay(self):
         refusal = scheduler(0).offer(request("r1"), now=0.0)
         assert refusal.reason is Reason.NO_UPSTREAM
         assert refusal.retry_after_seconds > 0
 
-    def test_full_means_queue_and_then_dispatch_on_a_free_place(self):
+    def test_full_upstream_queues_then_dispatches(self):
         made = scheduler(1, initial_limit=1)
         made.offer(request("r1"), now=0.0)
         assert isinstance(made.offer(request("r2"), now=0.1), Queued)
@@ -39,7 +39,7 @@
         (assignment,) = made.next_decisions(now=0.5)
         assert assignment.request.request_id == "r2"
 
-    def test_batch_leaves_places_for_interactive(self):
+    def test_batch_leaves_headroom_for_interactive(self):
         made = scheduler(1, initial_limit=10, batch_fraction=0.8)
         answers = [made.offer(batch(f"b{i}"), now=0.0) for i in range(12)]
         assert sum(isinstance(each, Assignment) for each in answers) == 8
@@ -47,7 +47,7 @@
 
 
 class TestFinalAtOnce:
-    """Nothing that is given up on is held back."""
+    """Refusals are returned at once."""
 
     def test_wait_too_long_is_refused_when_offered(self):
         made = scheduler(1, initial_limit=1)
@@ -59,7 +59,7 @@
         assert refusal.retry_after_seconds > 0
         assert not refusal.may_have_run
 
-    def test_queued_request_is_refused_the_moment_it_cannot_make_it(self):
+    def test_queued_request_is_refused_when_it_expires(self):
         made = scheduler(1, initial_limit=1)
         made.offer(request("r1", deadline=90.0, first_token_deadline=90.0), now=0.0)
         assert isinstance(
@@ -71,8 +71,8 @@
         assert refusal.request.request_id == "r2"
         assert made.next_wake_at() is None
 
-    def test_displaced_request_is_answered_by_the_same_next(self):
-        """A large customer's flood fills the queue; a small one comes."""
+    def test_displaced_request_is_refused_by_next_decisions(self):
+        """A large customer's requests fill the queue; a small customer sends one."""
         made = scheduler(1, initial_limit=1, max_queued_requests=4)
         made.offer(batch("first"), now=0.0)
         for i in range(4):
@@ -82,7 +82,7 @@
         assert refusal.request.customer == "large"
         assert refusal.reason is Reason.FAIR_SHARE
 
-    def test_upstreams_gone_refuses_what_waits(self):
+    def test_queued_requests_are_refused_without_upstreams(self):
         made = scheduler(1, initial_limit=1)
         made.offer(request("r1"), now=0.0)
         made.offer(request("r2"), now=0.0)
@@ -92,14 +92,14 @@
 
 
 class TestFailures:
-    def test_retry_goes_elsewhere(self):
+    def test_retry_uses_another_upstream(self):
         made = scheduler()
         first = made.offer(request("r1"), now=0.0)
         second = made.record_failure("r1", Failure.UNREACHABLE, now=0.1)
         assert second.attempt == 2
         assert second.upstream != first.upstream
 
-    def test_what_must_not_repeat_is_not_retried_once_it_may_have_run(self):
+    def test_must_not_repeat_is_not_retried_if_it_may_have_run(self):
         made = scheduler()
         made.offer(filing("f1"), now=0.0)
         refusal = made.record_failure("f1", Failure.UNREACHABLE, now=0.1)
@@ -107,7 +107,7 @@
         assert refusal.may_have_run
 
     @pytest.mark.parametrize("failure", [Failure.OVERLOADED, Failure.TURNED_AWAY])
-    def test_what_did_not_run_goes_elsewhere_though_it_must_not_repeat(self, failure):
+    def test_must_not_repeat_is_retried_if_it_did_not_run(self, failure):
         made = scheduler()
         first = made.offer(filing("f1"), now=0.0)
         second = made.record_failure("f1", failure, now=0.1)
@@ -124,7 +124,7 @@
         assert answers[-1].reason is Reason.ATTEMPTS
 
     def test_retry_budget_bounds_the_extra_work(self):
-        """A zone is lost under load: each request fails, none may storm."""
+        """A zone fails under load: each request fails, and the retries stay bounded."""
         made = scheduler(9)
         for i in range(100):
             made.offer(request(f"r{i}"), now=0.0)
@@ -135,7 +135,7 @@
         assert sum(isinstance(a, Assignment | Queued) for a in answers) <= 15
         assert {refusal.reason for refusal in spent} == {Reason.RETRY_BUDGET}
 
-    def test_requests_of_one_back_end_pay_no_retries_of_another(self):
+    def test_retry_budgets_are_per_back_end(self):
         """Guards against a retry budget over all back ends of a router."""
         made = scheduler(9)
         apps = [UpstreamFacts(name=f"a{i}", back_end="app", zone="a") for i in range(3)]
@@ -151,11 +151,11 @@
             made.record_disconnect(f"a{i}", now=float(i))
         assert 0 < retries <= RESERVE_RETRIES + 40 * RETRY_FRACTION
 
-    def test_refused_in_the_queue_after_a_failed_attempt_is_not_called_unrun(self):
-        """An attempt breaks off; the retry finds all places taken.
+    def test_expired_retry_may_have_run(self):
+        """Guards against a retry of a request that may have run.
 
-        The request waits and then can no longer make it.  Refused as not run,
-        its caller would ask again for what may have run.
+        An attempt breaks off, its retry is queued and expires.  If the refusal said
+        that it had not run, the caller would send it again.
         """
         made = scheduler(2, initial_limit=1)
         made.offer(request("r1"), now=0.0)
@@ -170,10 +170,11 @@
         (refusal,) = made.next_decisions(now=2.0)
         assert refusal.may_have_run
 
-    def test_retry_without_room_elsewhere_does_not_hold_up_others(self):
-        """A retry avoids the upstream that failed it; only that one has room.
+    def test_retry_without_headroom_does_not_block_others(self):
+        """Guards against a request queued because an earlier retry found no headroom.
 
-        Remembering that there is no room would make the next request wait too.
+        The retry avoids the upstream that failed it, and only that one has headroom;
+        the lack of headroom does not hold for the next request.
         """
         made = scheduler(2, failures_to_eject=9)
         first = made.offer(request("r1"), now=0.0)
@@ -184,7 +185,7 @@
         made.record_disconnect("r1", now=0.2)
         assert made.offer(request("r2"), now=0.2).upstream == first.upstream
 
-    def test_left_caller_frees_its_place(self):
+    def test_disconnect_frees_headroom(self):
         made = scheduler(1, initial_limit=1)
         made.offer(request("r1"), now=0.0)
         made.offer(request("r2"), now=0.0)
@@ -195,11 +196,11 @@
 
 
 class TestProbes:
-    def test_what_must_not_repeat_is_never_the_probe(self):
-        """An upstream crashed; the first to try it again may lose its request.
+    def test_must_not_repeat_is_never_the_probe(self):
+        """Guards against a must-not-repeat request that is lost as the probe.
 
-        Lost, a claim filing would be unresolved, and the farmer would wait for
-        an operator.
+        After a crash the first request to an upstream may fail, and the outcome of such
+        a request would be unresolved until an operator settles it.
         """
         made = scheduler(2)
         lost = made.offer(request("r1"), now=0.0).upstream
@@ -213,7 +214,7 @@
 
 
 class TestReports:
-    def test_free_room_in_a_report_is_shared_with_the_other_routers(self):
+    def test_reported_headroom_is_shared_with_other_routers(self):
         made = scheduler(1)
         for i in range(3):
             made.offer(request(f"own{i}"), now=0.0)
@@ -223,7 +224,7 @@
         answers = [made.offer(request(f"r{i}"), now=0.1) for i in range(4)]
         assert [type(a) for a in answers] == [Assignment, Queued, Queued, Queued]
 
-    def test_started_router_finds_a_place_on_busy_upstreams(self):
+    def test_new_router_uses_busy_upstreams(self):
         made = scheduler(1)
         made.record_load(
             LoadReport(upstream="m0", running=12, waiting=0, limit=16), now=0.0
@@ -238,14 +239,14 @@
         answers = [made.offer(request(f"r{i}"), now=0.0) for i in range(3)]
         assert [type(a) for a in answers] == [Assignment, Assignment, Queued]
 
-    def test_others_work_counts(self):
+    def test_load_of_other_routers_counts(self):
         made = scheduler(1, initial_limit=4)
         made.record_load(
             LoadReport(upstream="m0", running=3, waiting=1, limit=0), now=0.0
         )
         assert isinstance(made.offer(request("r1"), now=0.0), Queued)
 
-    def test_joining_upstream_starts_small(self):
+    def test_new_upstream_starts_with_low_traffic(self):
         made = scheduler(2, initial_limit=10)
         made.set_upstreams(upstreams(3), now=1.0)
         answers = [made.offer(request(f"r{i}"), now=1.0) for i in range(21)]
@@ -258,13 +259,13 @@
         prints = frozenset(f"body-{name}" for name in names)
         made.record_crash(Crash(crash_id=crash_id, fingerprints=prints), now=0.0)
 
-    def test_suspects_of_one_crash_are_kept_apart(self):
+    def test_suspects_of_one_crash_run_on_different_upstreams(self):
         made = scheduler(3)
         self.crash(made, "c1", "a", "b", "c")
         places = [made.offer(request(name), now=0.0).upstream for name in "abc"]
         assert len(set(places)) == 3
 
-    def test_suspected_while_it_waits_is_not_dispatched(self):
+    def test_queued_suspect_is_not_dispatched(self):
         made = scheduler(1, initial_limit=1)
         made.offer(request("r1"), now=0.0)
         made.offer(request("poison"), now=0.0)
@@ -274,7 +275,7 @@
         (refusal,) = made.next_decisions(now=0.2)
         assert refusal.reason is Reason.QUARANTINED
 
-    def test_runs_alone_then_refused(self):
+    def test_isolated_run_then_refusal(self):
         made = scheduler(2)
         self.crash(made, "c1", "poison")
         self.crash(made, "c2", "poison")
--- a/tests/policy/test_shifting.py
+++ b/tests/policy/test_shifting.py
@@ -7,33 +7,33 @@
 )
 
 
-class TestShares:
+class TestSlowStart:
     def test_first_upstreams_start_full(self):
-        shares = SlowStart()
-        shares.retain({"a", "b"}, now=0.0)
-        assert shares.fraction("a", 0.0) == 1.0
+        slow_start = SlowStart()
+        slow_start.retain({"a", "b"}, now=0.0)
+        assert slow_start.fraction("a", 0.0) == 1.0
 
-    def test_joining_one_rises_at_a_bounded_speed(self):
-        shares = SlowStart()
-        shares.retain({"a"}, now=0.0)
-        shares.retain({"a", "b"}, now=5.0)
-        assert shares.fraction("a", 5.0) == 1.0
+    def test_new_upstream_rises_at_bounded_speed(self):
+        slow_start = SlowStart()
+        slow_start.retain({"a"}, now=0.0)
+        slow_start.retain({"a", "b"}, now=5.0)
+        assert slow_start.fraction("a", 5.0) == 1.0
         for second in range(9):
             expected = START_FRACTION + RISE_FRACTION_PER_SECOND * second
-            assert shares.fraction("b", 5.0 + second) == pytest.approx(expected)
-        assert shares.fraction("b", 60.0) == 1.0
+            assert slow_start.fraction("b", 5.0 + second) == pytest.approx(expected)
+        assert slow_start.fraction("b", 60.0) == 1.0
 
-    def test_falls_at_once_and_rises_again(self):
-        shares = SlowStart()
-        shares.retain({"a"}, now=0.0)
-        shares.reset("a", now=3.0)
-        assert shares.fraction("a", 3.0) == START_FRACTION
-        assert shares.fraction("a", 20.0) == 1.0
+    def test_reset_and_rise(self):
+        slow_start = SlowStart()
+        slow_start.retain({"a"}, now=0.0)
+        slow_start.reset("a", now=3.0)
+        assert slow_start.fraction("a", 3.0) == START_FRACTION
+        assert slow_start.fraction("a", 20.0) == 1.0
 
-    def test_one_that_left_is_forgotten(self):
-        shares = SlowStart()
-        shares.retain({"a", "b"}, now=0.0)
-        shares.retain({"a"}, now=1.0)
-        assert shares.fraction("b", 1.0) == 0.0
-        shares.retain({"a", "b"}, now=2.0)
-        assert shares.fraction("b", 2.0) == START_FRACTION
+    def test_removed_upstream_starts_again(self):
+        slow_start = SlowStart()
+        slow_start.retain({"a", "b"}, now=0.0)
+        slow_start.retain({"a"}, now=1.0)
+        assert slow_start.fraction("b", 1.0) == 0.0
+        slow_start.retain({"a", "b"}, now=2.0)
+        assert slow_start.fraction("b", 2.0) == START_FRACTION
--- a/tests/runs/test_answer.py
+++ b/tests/runs/test_answer.py
@@ -1,4 +1,4 @@
-"""The answer store: replay, bounds, and what may be dropped."""
+"""The answer store: replay, bounds, and the answers that may be removed."""
 
 import pytest
 from hypothesis import given
@@ -30,7 +30,7 @@
 
 
 class TestBounds:
-    def test_oldest_finished_goes_first_running_and_pinned_stay(self):
+    def test_oldest_finished_answers_are_removed_first(self):
         store = AnswerStore(max_bytes=10)
         for nonce in ("running", "pinned", "old", "new"):
             store.open(nonce, status=200, content_type="t")
@@ -46,13 +46,13 @@
     @pytest.mark.parametrize(
         "limits", [{"max_answer_bytes": 3}, {"max_bytes": 3}], ids=["one", "all"]
     )
-    def test_answer_that_outgrows_its_room_is_refused_not_cut(self, limits):
+    def test_too_large_answer_is_refused_not_truncated(self, limits):
         store = store_with(data=b"ab", **limits)
         with pytest.raises(AnswerTooLarge):
             store.append("n", b"cd")
         assert bytes(store.get("n").data) == b"ab"
 
-    def test_unpinned_answers_make_room_again(self):
+    def test_unpinned_answers_can_be_removed(self):
         store = store_with(data=b"abcdefgh", max_bytes=10)
         store.finish("n", pinned=True)
         assert store.is_nearly_full
--- a/tests/runs/test_assembly.py
+++ b/tests/runs/test_assembly.py
@@ -1,4 +1,4 @@
-"""Answers from chunks that come late, twice, overlapping and out of order."""
+"""Answers from chunks that arrive late, twice, overlapping or out of order."""
 
 import pytest
 from hypothesis import given
--- a/tests/runs/test_intent.py
+++ b/tests/runs/test_intent.py
@@ -1,4 +1,4 @@
-"""Decisions of a retry, as tables; filings drive them in the machine's tests."""
+"""Decisions of a retry, as tables; the state machine's tests run whole filings."""
 
 import pytest
 from msgspec.structs import replace
@@ -25,7 +25,7 @@
     WriteResult,
 )
 
-WANTED = Intent(
+OWN = Intent(
     profile="claims",
     request_id="k",
     fingerprint="f",
@@ -34,11 +34,11 @@
     upstream="u1",
     router="a",
 )
-THEIRS = replace(WANTED, nonce="theirs", sidecar="s2-a")
+OTHER = replace(OWN, nonce="theirs", sidecar="s2-a")
 
 
-def held(outcome=None, **changes):
-    return StoredIntent(intent=replace(THEIRS, outcome=outcome, **changes), version=7)
+def stored(outcome=None, **changes):
+    return StoredIntent(intent=replace(OTHER, outcome=outcome, **changes), version=7)
 
 
 class TestAfterRead:
@@ -46,24 +46,24 @@
         ("found", "step"),
         [
             (None, Create),
-            (held(fingerprint="other"), Refuse),
-            (held(nonce="mine"), DispatchRun),
-            (held(), AskSidecar),
-            (held(Outcome(verdict=Verdict.ANSWERED)), ReturnOutcome),
-            (held(Outcome(verdict=Verdict.RAN)), Refuse),
-            (held(Outcome(verdict=Verdict.NOT_RUN)), TakeOver),
-            (held(Outcome(verdict=Verdict.UNRESOLVED, reason="crashed")), Refuse),
+            (stored(fingerprint="other"), Refuse),
+            (stored(nonce="mine"), DispatchRun),
+            (stored(), AskSidecar),
+            (stored(Outcome(verdict=Verdict.ANSWERED)), ReturnOutcome),
+            (stored(Outcome(verdict=Verdict.RAN)), Refuse),
+            (stored(Outcome(verdict=Verdict.NOT_RUN)), TakeOver),
+            (stored(Outcome(verdict=Verdict.UNRESOLVED, reason="crashed")), Refuse),
             (
-                held(Outcome(verdict=Verdict.UNRESOLVED, reason=SIDECAR_UNREACHABLE)),
+                stored(Outcome(verdict=Verdict.UNRESOLVED, reason=SIDECAR_UNREACHABLE)),
                 AskSidecar,
             ),
         ],
     )
-    def test_each_state_has_one_step(self, found, step):
-        assert isinstance(intents.after_read(WANTED, found), step)
+    def test_step_by_state(self, found, step):
+        assert isinstance(intents.after_read(OWN, found), step)
 
-    def test_reused_key_is_a_clear_client_error(self):
-        refuse = intents.after_read(WANTED, held(fingerprint="other"))
+    def test_reused_key_is_a_client_error(self):
+        refuse = intents.after_read(OWN, stored(fingerprint="other"))
         assert (refuse.status, refuse.reason) == (422, "key_reused")
 
 
@@ -79,8 +79,8 @@
             (None, Refuse),
         ],
     )
-    def test_only_a_promise_lets_a_retry_run(self, state, step):
-        decision = intents.after_tombstone(WANTED, held(), state)
+    def test_only_a_tombstone_allows_a_retry(self, state, step):
+        decision = intents.after_tombstone(OWN, stored(), state)
         assert isinstance(decision, step)
         if step is Refuse:
             assert decision.outcome == "unknown"
@@ -93,12 +93,13 @@
     @pytest.mark.parametrize(
         ("first", "outcome"), [(True, "not_run"), (False, "unknown")]
     )
-    def test_not_run_only_where_nothing_can_have_run(self, first, outcome):
-        """A filing ran, its router died, and the retry meets an outage.
+    def test_not_run_only_for_first_attempt(self, first, outcome):
+        """Guards against `not_run` for a request that ran.
 
-        Told `not_run`, the clerk would file by hand, and the claim is in twice.
+        The request ran, its router crashed, and the retry coincides with an outage.
+        After `not_run` the caller would repeat the request.
         """
-        filing = Filing(wanted=WANTED, first=first)
+        filing = Filing(wanted=OWN, first=first)
         filing.on_unreadable()
         assert filing.step.outcome == outcome
 
@@ -113,14 +114,14 @@
             (WriteResult.UNAVAILABLE, Refuse),
         ],
     )
-    def test_only_a_write_that_took_effect_dispatches(self, result, step):
-        filing = Filing(wanted=WANTED, first=False)
+    def test_only_a_successful_write_dispatches(self, result, step):
+        filing = Filing(wanted=OWN, first=False)
         filing.on_read(None)
         filing.on_write(result, 8)
         assert isinstance(filing.step, step)
 
-    def test_lost_races_end(self):
-        filing = Filing(wanted=WANTED, first=False)
+    def test_conflicts_are_bounded(self):
+        filing = Filing(wanted=OWN, first=False)
         for _ in range(MAX_WRITE_ATTEMPTS):
             filing.on_read(None)
             filing.on_write(WriteResult.CONFLICT)
@@ -129,7 +130,7 @@
 
 class TestRefusals:
     def sent(self, *, sends=1, first=False):
-        filing = Filing(wanted=WANTED, first=first)
+        filing = Filing(wanted=OWN, first=first)
         filing.on_read(None)
         filing.on_write(WriteResult.WRITTEN, 8)
         for _ in range(sends):
@@ -140,7 +141,7 @@
         ("result", "outcome"),
         [(WriteResult.WRITTEN, "not_run"), (WriteResult.UNAVAILABLE, "unknown")],
     )
-    def test_not_run_is_written_before_it_is_said(self, result, outcome):
+    def test_not_run_is_written_before_it_is_returned(self, result, outcome):
         filing = self.sent()
         filing.on_refused(RefusalReason.DRAINING, None)
         assert isinstance(filing.step, WriteNotRun)
@@ -148,39 +149,37 @@
         filing.on_release(result)
         assert filing.step.outcome == outcome
 
-    def test_refusal_can_move_the_filing_elsewhere(self):
+    def test_refusal_can_move_to_another_sidecar(self):
         filing = self.sent()
-        other = replace(WANTED, nonce="other", sidecar="s2-a")
+        other = replace(OWN, nonce="other", sidecar="s2-a")
         filing.on_refused(RefusalReason.DRAINING, other)
         assert filing.step == TakeOver(intent=other, version=8)
 
-    def test_second_copy_refused_by_a_successor_proves_nothing(self):
-        """A filing runs, its sidecar restarts, the router sends it once more.
+    def test_second_copy_refused_by_new_incarnation_is_unknown(self):
+        """Guards against `not_run` for a request that ran before its sidecar restarted.
 
-        The successor refuses it as meant for another incarnation, and the
-        caller was told `not_run` of a claim that had been filed.
+        The router sends the dispatch again, and the new incarnation refuses it as meant
+        for another one.
         """
         filing = self.sent(sends=2, first=True)
         filing.on_refused(RefusalReason.WRONG_INCARNATION, None)
         assert filing.step.outcome == "unknown"
 
-    def test_first_attempt_that_was_lost_is_not_sure_any_more(self):
-        """A filing ran, its outcome is durable, its sidecar has let go of it.
+    def test_disconnected_first_attempt_is_unknown(self):
+        """Guards against `not_run` for a request with a durable outcome.
 
-        Its router, which heard nothing, gets the promise that it never runs and
-        finds the platform gone; `not_run` would be a lie.
+        Its sidecar has discarded the run, so its router, which received no answer, gets
+        the promise that it never runs, and finds the platform unavailable.
         """
         filing = self.sent(first=True)
-        filing.on_disconnected(replace(WANTED, nonce="other"))
+        filing.on_disconnected(replace(OWN, nonce="other"))
         filing.on_tombstone(RunState.TOMBSTONED)
         assert filing.step.version == 8
         filing.on_write(WriteResult.UNAVAILABLE)
         assert filing.step.outcome == "unknown"
 
     @pytest.mark.parametrize(("sends", "outcome"), [(1, "not_run"), (2, "unknown")])
-    def test_refusal_of_a_second_copy_is_not_sure_without_the_platform(
-        self, sends, outcome
-    ):
+    def test_refused_second_copy_is_unknown_without_platform(self, sends, outcome):
         filing = self.sent(sends=sends, first=True)
         filing.on_refused(RefusalReason.STALE_EPOCH, None)
         filing.on_release(WriteResult.UNAVAILABLE)
@@ -189,14 +188,14 @@
 
 class TestStoredForm:
     def test_round_trip_and_garbage(self):
-        assert intents.decode(intents.encode(THEIRS)) == THEIRS
+        assert intents.decode(intents.encode(OTHER)) == OTHER
         with pytest.raises(IntentUnreadable):
             intents.decode(b"{}")
 
-    def test_large_answer_is_left_out_but_not_the_fact(self):
+    def test_large_answer_is_left_out(self):
         body = b"x" * (MAX_STORED_ANSWER_BYTES + 1)
         done = intents.with_outcome(
-            THEIRS, Outcome(verdict=Verdict.ANSWERED, body=body, tokens=3)
+            OTHER, Outcome(verdict=Verdict.ANSWERED, body=body, tokens=3)
         )
         assert (done.outcome.verdict, done.outcome.tokens) == (Verdict.RAN, 3)
 
--- a/tests/runs/test_journal.py
+++ b/tests/runs/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: what may still run, what was spent, what is kept how long."""
+"""The journal: which nonces may run, what was spent, how long entries are retained."""
 
 import pytest
 from hypothesis import given
@@ -24,7 +24,7 @@
     return journal.end(nonce, state, tokens=tokens, billable=True, now=0.0)
 
 
-def at_most(journal):
+def max_spend(journal):
     report = journal.seal("a")
     return report.ran.get("p", 0) + report.running.get("p", 0)
 
@@ -44,7 +44,7 @@
             ("retracted", RunState.TOMBSTONED),
         ],
     )
-    def test_promise_is_given_only_for_what_never_ran(self, journal, before, after):
+    def test_tombstone_only_for_nonce_that_never_ran(self, journal, before, after):
         if before != "unseen":
             journal.admit(a_run())
         if before == "finished":
@@ -61,11 +61,11 @@
             journal.retract("n")
         assert end(journal, "n").tokens == 4
 
-    def test_paused_dispatch_never_outlives_its_tombstone(self, journal):
-        """A router is paused with a filing in hand; a retry files it elsewhere.
+    def test_epoch_is_refused_before_tombstone_is_discarded(self, journal):
+        """Guards against a second run by a dispatch that was paused in its router.
 
-        Hours later the router wakes and sends.  The tombstone is forgotten by
-        then; were the dispatch taken, the farmer's claim would be filed twice.
+        A retry runs the request elsewhere.  Hours later the router resumes and sends
+        the dispatch, when the tombstone has been discarded.
         """
         minted = journal.epoch
         journal.tombstone("n")
@@ -77,7 +77,7 @@
             journal.next_epoch()
         assert not journal.accepts_epoch(minted)
 
-    def test_flood_moves_the_floor_instead_of_breaking_promises(self):
+    def test_many_tombstones_raise_the_floor(self):
         journal = Journal(sidecar="s", max_ended=50)
         minted = journal.epoch
         for index in range(200):
@@ -89,11 +89,11 @@
 
 
 class TestMustNotRepeat:
-    def test_run_is_kept_until_its_outcome_is_durable(self, journal):
-        """A filing ran and its router died before writing the outcome.
+    def test_run_is_retained_until_outcome_is_durable(self, journal):
+        """Guards against a second run after the router crashed.
 
-        If the sidecar forgot it after a while, a retry would hear "never ran"
-        and file the claim a second time.
+        The router had not written the outcome.  If the sidecar discarded the run, a
+        retry would get `TOMBSTONED` and run the request again.
         """
         journal.admit(a_run(idempotent=False))
         end(journal, "n")
@@ -118,7 +118,7 @@
             journal.admit(a_run(f"n{index}"))
             if ended:
                 end(journal, f"n{index}", cases[index][0])
-        bound = at_most(journal)
+        bound = max_spend(journal)
         truth = sum(tokens for tokens, *_ in cases)
         assert bound >= truth
         for index, (tokens, ended, retracted) in enumerate(cases):
@@ -129,15 +129,15 @@
                 journal.retract(f"n{index}")
             else:
                 end(journal, f"n{index}", tokens)
-            assert truth <= at_most(journal) <= bound
-            bound = at_most(journal)
+            assert truth <= max_spend(journal) <= bound
+            bound = max_spend(journal)
         assert journal.seal("a").ran.get("p", 0) == truth
         assert journal.seal("a").final("p")
         assert journal.is_sealed("a")
 
 
 class TestReceipts:
-    def test_one_receipt_for_a_run_however_often_it_ends(self, journal):
+    def test_run_has_one_receipt(self, journal):
         journal.admit(a_run())
         assert end(journal, "n", 4).tokens == 4
         assert end(journal, "n", 7) is None
@@ -151,7 +151,7 @@
         assert journal.progress("n", 11)
         assert end(journal, "n", 99).tokens == 10
 
-    def test_long_outage_refuses_work_rather_than_drop_bills(self, monkeypatch):
+    def test_full_journal_keeps_receipts(self, monkeypatch):
         monkeypatch.setattr("ragwortkeel.runs.journal.MAX_PENDING_RECEIPTS", 2)
         journal = Journal(sidecar="s")
         for nonce in "xy":
