--- a/src/ragwortkeel/policy/announced_limits.py
+++ b/src/ragwortkeel/policy/announced_limits.py
@@ -102,37 +102,39 @@
 
     def merge(self, upstream: str, announcement: LimitAnnouncement) -> bool:
         """Store an announcement if it is newer; return whether the limit changed."""
-        known = self._announcement_by_upstream.get(upstream)
-        if known is None:
+        current = self._announcement_by_upstream.get(upstream)
+        if current is None:
             if announcement.per_second is None:
                 return False
             self._announcement_by_upstream[upstream] = announcement
             return True
-        if announcement.effective_at <= known.effective_at:
+        if announcement.effective_at <= current.effective_at:
             return False
         if announcement.per_second is None:
             ended_at = (
-                announcement.effective_at if known.ended_at is None else known.ended_at
+                announcement.effective_at
+                if current.ended_at is None
+                else current.ended_at
             )
             announcement = replace(announcement, ended_at=ended_at)
         self._announcement_by_upstream[upstream] = announcement
-        return announcement.per_second != known.per_second
+        return announcement.per_second != current.per_second
 
     def limit_of(self, upstream: str) -> float | None:
         """Return the limit in force, in requests per second; None for no limit."""
-        known = self._announcement_by_upstream.get(upstream)
-        return known.per_second if known else None
+        current = self._announcement_by_upstream.get(upstream)
+        return current.per_second if current else None
 
     def fleet_rate(self, upstream: str, now: float) -> FleetRate | None:
         """Return the bound on the fleet's requests to an upstream; None for none."""
-        known = self._announcement_by_upstream.get(upstream)
-        if known is None or known.per_second is None:
+        current = self._announcement_by_upstream.get(upstream)
+        if current is None or current.per_second is None:
             return None
         return FleetRate(
-            per_second=max(MIN_REQUESTS_PER_SECOND, known.per_second),
-            senders=MIN_SENDERS + int(SENDERS_PER_REQUEST * known.per_second),
+            per_second=max(MIN_REQUESTS_PER_SECOND, current.per_second),
+            senders=MIN_SENDERS + int(SENDERS_PER_REQUEST * current.per_second),
             burst_seconds=BURST_SECONDS,
-            known_to_all=now - known.effective_at < CONFIRMATION_SECONDS,
+            known_to_all=now - current.effective_at < CONFIRMATION_SECONDS,
         )
 
     def recent_own(self, now: float) -> dict[str, LimitAnnouncement]:
--- a/src/ragwortkeel/policy/ejection.py
+++ b/src/ragwortkeel/policy/ejection.py
@@ -101,7 +101,7 @@
         """
         names = list(upstreams)
         probe_by_name: dict[str, bool] = {}
-        away: list[tuple[float, str]] = []
+        excluded: list[tuple[float, str]] = []
         for name in names:
             match self.health(name):
                 case Healthy():
@@ -109,11 +109,11 @@
                 case Ejected(until=until) if until <= now:
                     probe_by_name[name] = True
                 case Ejected(until=until):
-                    away.append((until, name))
+                    excluded.append((until, name))
                 case Probing(since=since):
-                    away.append((since, name))
-        missing = ceil(MIN_USABLE_FRACTION * len(names)) - len(probe_by_name)
-        for _, name in sorted(away)[: max(0, missing)]:
+                    excluded.append((since, name))
+        shortage = ceil(MIN_USABLE_FRACTION * len(names)) - len(probe_by_name)
+        for _, name in sorted(excluded)[: max(0, shortage)]:
             probe_by_name[name] = False
         return probe_by_name
 
--- a/src/ragwortkeel/policy/fleet_rates.py
+++ b/src/ragwortkeel/policy/fleet_rates.py
@@ -194,12 +194,14 @@
 
     def _fraction(self, sharing: Sharing, upstream: str, senders: int) -> float:
         # Ranking all processes of a large fleet on each request would be slow.
-        known = self._cached_fraction_by_upstream.get(upstream)
-        if known is None or (known.sharing, known.senders) != (sharing, senders):
-            part = rate_fraction(sharing, upstream, senders=senders)
-            known = _CachedFraction(sharing=sharing, senders=senders, fraction=part)
-            self._cached_fraction_by_upstream[upstream] = known
-        return known.fraction
+        cached = self._cached_fraction_by_upstream.get(upstream)
+        if cached is None or (cached.sharing, cached.senders) != (sharing, senders):
+            fraction = rate_fraction(sharing, upstream, senders=senders)
+            cached = _CachedFraction(
+                sharing=sharing, senders=senders, fraction=fraction
+            )
+            self._cached_fraction_by_upstream[upstream] = cached
+        return cached.fraction
 
     def record_sent(self, upstream: str) -> None:
         """Record a request to an upstream with a bound."""
--- a/src/ragwortkeel/policy/limits.py
+++ b/src/ragwortkeel/policy/limits.py
@@ -116,8 +116,10 @@
             bound = FIRST_TOKEN_FRACTION * sample.promised_seconds
             self._promised += 1
             self._slow += sample.first_token_seconds > bound
-        told = self._samples >= MIN_WINDOW_SAMPLES or self._slow >= MIN_SLOW_SAMPLES
-        if told and now >= self._window_start + WINDOW_SECONDS:
+        has_enough_samples = (
+            self._samples >= MIN_WINDOW_SAMPLES or self._slow >= MIN_SLOW_SAMPLES
+        )
+        if has_enough_samples and now >= self._window_start + WINDOW_SECONDS:
             self._adjust()
             self._reset_window()
             self._window_start = now
@@ -129,8 +131,8 @@
             used = min(self._limit, float(self._most_running))
             self._limit = max(float(MIN_LIMIT_REQUESTS), used * DECREASE_FACTOR)
         elif self._most_running >= IN_USE_FRACTION * self._limit:
-            grown = self._limit + max(1.0, INCREASE_FRACTION * self._limit)
-            self._limit = min(float(MAX_LIMIT_REQUESTS), grown)
+            increased = self._limit + max(1.0, INCREASE_FRACTION * self._limit)
+            self._limit = min(float(MAX_LIMIT_REQUESTS), increased)
 
     def _reset_window(self) -> None:
         self._samples = self._promised = self._slow = 0
--- a/src/ragwortkeel/policy/quarantine.py
+++ b/src/ragwortkeel/policy/quarantine.py
@@ -100,9 +100,9 @@
 
         A new crash has to be forwarded.
         """
-        news = [name for name in crash.fingerprints if self._add(name, crash, now)]
+        updated = [name for name in crash.fingerprints if self._add(name, crash, now)]
         self._discard_old(now)
-        return bool(news)
+        return bool(updated)
 
     def record_finish(self, name: str) -> bool:
         """Clear a body whose run completed; return whether it was suspected.
@@ -111,38 +111,38 @@
         answer proves it innocent.  Without clearing, a body that many callers send at
         once would accumulate crashes with other causes.
         """
-        known = self._suspicion_by_fingerprint.get(name)
-        if known is None or known.crashed_alone or not known.crash_ids:
+        suspicion = self._suspicion_by_fingerprint.get(name)
+        if suspicion is None or suspicion.crashed_alone or not suspicion.crash_ids:
             return False
         self._suspicion_by_fingerprint[name] = replace(
-            known,
+            suspicion,
             crash_ids=frozenset(),
-            cleared_ids=known.cleared_ids | known.crash_ids,
+            cleared_ids=suspicion.cleared_ids | suspicion.crash_ids,
         )
         return True
 
     def verdict(self, name: str) -> Verdict:
         """Return how to handle a request with this fingerprint."""
-        known = self._suspicion_by_fingerprint.get(name)
-        if known is None or not (known.crash_ids or known.crashed_alone):
+        suspicion = self._suspicion_by_fingerprint.get(name)
+        if suspicion is None or not (suspicion.crash_ids or suspicion.crashed_alone):
             return Verdict.CLEAR
-        crashes = len(known.crash_ids)
-        if known.crashed_alone or crashes >= CRASHES_TO_REFUSE:
+        crashes = len(suspicion.crash_ids)
+        if suspicion.crashed_alone or crashes >= CRASHES_TO_REFUSE:
             return Verdict.REFUSE
         if crashes >= CRASHES_TO_ISOLATE:
             return Verdict.ALONE
         return Verdict.SUSPECT
 
     def _add(self, name: str, crash: Crash, now: float) -> bool:
-        known = self._suspicion_by_fingerprint.get(name, Suspicion())
-        seen = known.crash_ids | known.cleared_ids
-        told_alone = crash.alone and not known.crashed_alone
-        if crash.crash_id in seen and not told_alone:
+        suspicion = self._suspicion_by_fingerprint.get(name, Suspicion())
+        recorded_ids = suspicion.crash_ids | suspicion.cleared_ids
+        newly_alone = crash.alone and not suspicion.crashed_alone
+        if crash.crash_id in recorded_ids and not newly_alone:
             return False
         self._suspicion_by_fingerprint[name] = replace(
-            known,
-            crash_ids=known.crash_ids | {crash.crash_id},
-            crashed_alone=known.crashed_alone or crash.alone,
+            suspicion,
+            crash_ids=suspicion.crash_ids | {crash.crash_id},
+            crashed_alone=suspicion.crashed_alone or crash.alone,
             seen_at=now,
         )
         self._suspicion_by_fingerprint.move_to_end(name)
--- a/src/ragwortkeel/policy/slow_start.py
+++ b/src/ragwortkeel/policy/slow_start.py
@@ -57,10 +57,12 @@
         move from other upstreams, and a low start would only cause refusals.
         """
         start = self._start if self._fraction_by_upstream else 1.0
-        kept = {n: s for n, s in self._fraction_by_upstream.items() if n in upstreams}
-        for name in upstreams - kept.keys():
-            kept[name] = TrafficFraction(value=start, updated_at=now)
-        self._fraction_by_upstream = kept
+        retained = {
+            n: s for n, s in self._fraction_by_upstream.items() if n in upstreams
+        }
+        for name in upstreams - retained.keys():
+            retained[name] = TrafficFraction(value=start, updated_at=now)
+        self._fraction_by_upstream = retained
 
     def reset(self, upstream: str, now: float) -> None:
         """Reset the fraction to the start value."""
@@ -71,8 +73,10 @@
 
     def fraction(self, upstream: str, now: float) -> float:
         """Return the fraction at `now`, 0 to 1; 0 for an unknown upstream."""
-        share = self._fraction_by_upstream.get(upstream)
-        if share is None:
+        current = self._fraction_by_upstream.get(upstream)
+        if current is None:
             return 0.0
-        grown = share.value + self._rise_per_second * max(0.0, now - share.updated_at)
-        return min(1.0, grown)
+        increased = current.value + self._rise_per_second * max(
+            0.0, now - current.updated_at
+        )
+        return min(1.0, increased)
--- a/src/ragwortkeel/policy/timeouts.py
+++ b/src/ragwortkeel/policy/timeouts.py
@@ -50,13 +50,13 @@
         """Timeout of the next call."""
         if self._mean_seconds is None:
             return self._max_seconds
-        least = max(MIN_TIMEOUT_SECONDS, MEAN_FACTOR * self._mean_seconds)
-        return min(self._max_seconds, least * self._backoff_factor)
+        timeout = max(MIN_TIMEOUT_SECONDS, MEAN_FACTOR * self._mean_seconds)
+        return min(self._max_seconds, timeout * self._backoff_factor)
 
     def record_answer(self, seconds: float) -> None:
         """Record the response time of a call."""
-        known = seconds if self._mean_seconds is None else self._mean_seconds
-        self._mean_seconds = known + (seconds - known) * NEWEST_WEIGHT
+        mean = seconds if self._mean_seconds is None else self._mean_seconds
+        self._mean_seconds = mean + (seconds - mean) * NEWEST_WEIGHT
         self._backoff_factor = 1.0
 
     def record_timeout(self) -> None:
