--- a/src/ragwortkeel/decision_lines.py
+++ b/src/ragwortkeel/decision_lines.py
@@ -46,13 +46,13 @@
             return default
 
 
-def parsed(text: str, *, process: str) -> DecisionLine | None:
+def parse_line(text: str, *, process: str) -> DecisionLine | None:
     """Return the event that a line tells of, or None where it tells of none."""
     starts = [start for mark in _MARKS if (start := text.find(mark)) >= 0]
     if not starts:
         return None
     prefix, text = text[: min(starts)].split(), text[min(starts) :]
-    fields = {key: _unquoted(value) for key, value in _PAIR.findall(text)}
+    fields = {key: _unquote(value) for key, value in _PAIR.findall(text)}
     event = fields.pop("event", None)
     if event is None:
         return None
@@ -78,14 +78,14 @@
         The file can't be opened.
     """
     process = Path(file).name.partition(".")[0]
-    with _opened(file) as lines:
+    with _open_file(file) as lines:
         for text in lines:
             if text.strip():
-                yield parsed(text, process=process)
+                yield parse_line(text, process=process)
 
 
 @contextmanager
-def _opened(file: str) -> Iterator[TextIO]:
+def _open_file(file: str) -> Iterator[TextIO]:
     if file == STANDARD_INPUT:
         yield sys.stdin
         return
@@ -94,7 +94,7 @@
         yield lines
 
 
-def _unquoted(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     try:
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -65,7 +65,7 @@
 )
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.platform import Platform
-from ragwortkeel.traffic import Traffic, largest
+from ragwortkeel.traffic import Traffic, format_largest
 
 CLOCK_QUERY_SECONDS = 2.0
 """Time between clock queries; an older answer stays usable."""
@@ -384,15 +384,15 @@
         """
         while True:
             await curio.sleep(TRAFFIC_LOG_SECONDS)
-            report = self._traffic.take()
+            report = self._traffic.drain_report()
             self._metrics.link_traffic(report)
             log_info(
                 "link_traffic",
-                sent=report.sent,
-                heard=report.heard,
+                sent=report.sent_bytes,
+                heard=report.received_bytes,
                 seconds=TRAFFIC_LOG_SECONDS,
-                most_sent=largest(report.sent_by_kind),
-                most_heard=largest(report.heard_by_kind),
+                most_sent=format_largest(report.sent_bytes_by_kind),
+                most_heard=format_largest(report.received_bytes_by_kind),
             )
 
     async def _handle_link_event(self, event) -> None:
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -321,7 +321,7 @@
         if revision <= max(self._peer_revision, self.revision()):
             return
         self._peer_revision = revision
-        self.metrics.configuration_heard(revision=revision)
+        self.metrics.peer_configuration_in_force(revision=revision)
         log_info("configuration_behind", peer=peer, heard=revision, own=self.revision())
 
     async def receive_configuration(self, pushed: VersionedObject) -> None:
--- a/src/ragwortkeel/links.py
+++ b/src/ragwortkeel/links.py
@@ -184,7 +184,7 @@
             frames = await self._channel.receive()
             envelope = _decode_or_none(frames[-1])
             if envelope is not None:
-                self._traffic.heard(envelope.message, len(frames[-1]))
+                self._traffic.record_received(envelope.message, len(frames[-1]))
                 return Received(peer=frames[0].decode(), envelope=envelope)
 
     async def send(self, peer: str, message: AnyMessage) -> None:
@@ -194,7 +194,7 @@
         )
         data = encode(envelope)
         await self._channel.send([peer.encode(), data])
-        self._traffic.sent(message, len(data))
+        self._traffic.record_sent(message, len(data))
 
     async def close(self) -> None:
         """Let queued answers leave, then close."""
@@ -286,7 +286,7 @@
         )
         data = encode(envelope)
         await self._channel.send([data])
-        self._traffic.sent(message, len(data))
+        self._traffic.record_sent(message, len(data))
 
     async def try_send(self, message: AnyMessage) -> bool:
         """Send a message that may be lost; return whether it was put on its way."""
@@ -336,7 +336,7 @@
             envelope = _decode_or_none(frames[-1])
             if envelope is None:
                 continue
-            self._traffic.heard(envelope.message, len(frames[-1]))
+            self._traffic.record_received(envelope.message, len(frames[-1]))
             self._heard_at = monotonic()
             if not self.up:
                 self._lifecycle.fire("heard")
--- a/src/ragwortkeel/logs.py
+++ b/src/ragwortkeel/logs.py
@@ -17,7 +17,7 @@
 """PIPE_BUF: a pipe that polls as writable takes this much without blocking."""
 
 STANDARD_OUTPUT = 1
-_CUT_MARK = b"...\n"
+_TRUNCATION_MARK = b"...\n"
 _NEEDS_QUOTES = frozenset(' "=\\')
 _FIRST_KEYS = ("timestamp", "level", "event")
 _OWN_KEYS = frozenset((*_FIRST_KEYS, "message_type", "task_level", "task_uuid"))
@@ -79,10 +79,12 @@
     timestamp = f"{message.get('timestamp', 0.0):.6f}"
     pairs = [("timestamp", timestamp), ("level", level), ("event", event)]
     pairs += [(k, v) for k, v in message.items() if k not in _OWN_KEYS]
-    text = " ".join(f"{_key(key)}={_value(value)}" for key, value in pairs)
+    text = " ".join(
+        f"{_format_key(key)}={_format_value(value)}" for key, value in pairs
+    )
     line = text.encode("utf-8", "backslashreplace") + b"\n"
     if len(line) > MAX_LINE_BYTES:
-        line = line[: MAX_LINE_BYTES - len(_CUT_MARK)] + _CUT_MARK
+        line = line[: MAX_LINE_BYTES - len(_TRUNCATION_MARK)] + _TRUNCATION_MARK
     return line
 
 
@@ -90,11 +92,11 @@
     return b"level=warning event=log_lines_dropped count=%d\n" % count
 
 
-def _key(key: str) -> str:
+def _format_key(key: str) -> str:
     return "".join("_" if c in _NEEDS_QUOTES or not c.isprintable() else c for c in key)
 
 
-def _value(value: object) -> str:
+def _format_value(value: object) -> str:
     match value:
         case None:
             return "-"
@@ -103,21 +105,21 @@
         case float():
             return f"{value:.6g}"
         case bytes():
-            return _quoted(value.decode("utf-8", "backslashreplace"))
+            return _quote(value.decode("utf-8", "backslashreplace"))
         case str() | int():
-            return _quoted(str(value))
+            return _quote(str(value))
         case _:
-            return _quoted(_encoded(value))
+            return _quote(_encode(value))
 
 
-def _encoded(value: object) -> str:
+def _encode(value: object) -> str:
     try:
         return msgspec.json.encode(value).decode()
     except (TypeError, ValueError):
         return repr(value)
 
 
-def _quoted(text: str) -> str:
+def _quote(text: str) -> str:
     plain = text.isprintable() and not _NEEDS_QUOTES.intersection(text)
     if text and plain:
         return text
--- a/src/ragwortkeel/messages.py
+++ b/src/ragwortkeel/messages.py
@@ -653,7 +653,7 @@
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Envelope)
 
-DEFLATED_KINDS = (
+DEFLATED_MESSAGE_CLASSES = (
     ConfigurationPush,
     HandedRenewals,
     IngressState,
@@ -665,14 +665,14 @@
 """What goes between entry instances and repeats names of fields, routes and holders.
 What carries callers' bytes is left as it is, for the processor's sake."""
 
-DEFLATED_FROM_BYTES = 1024
+MIN_DEFLATED_BYTES = 1024
 """Smaller messages fit into one packet anyway."""
 
 DEFLATE_LEVEL = 1
 """Of zlib: the quickest makes 10 KB of a configuration of 74, and 4 of a summary of
 the ledgers of 10."""
 
-_DEFLATED = b"\x78"
+_ZLIB_FIRST_BYTE = b"\x78"
 """First byte of all that zlib makes; an envelope in msgpack begins with a map."""
 
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
@@ -683,21 +683,21 @@
 def encode(envelope: Envelope) -> bytes:
     """Return the wire form."""
     data = _encoder.encode(envelope)
-    if len(data) < DEFLATED_FROM_BYTES:
+    if len(data) < MIN_DEFLATED_BYTES:
         return data
-    if not isinstance(envelope.message, DEFLATED_KINDS):
+    if not isinstance(envelope.message, DEFLATED_MESSAGE_CLASSES):
         return data
     return zlib.compress(data, DEFLATE_LEVEL)
 
 
 def decode(data: bytes) -> Envelope:
     """Return the envelope; `msgspec.DecodeError` where it is not one."""
-    if data.startswith(_DEFLATED):
-        data = _inflated(data)
+    if data.startswith(_ZLIB_FIRST_BYTE):
+        data = _inflate(data)
     return _decoder.decode(data)
 
 
-def _inflated(data: bytes) -> bytes:
+def _inflate(data: bytes) -> bytes:
     inflater = zlib.decompressobj()
     try:
         rv = inflater.decompress(data, MAX_MESSAGE_BYTES)
--- a/src/ragwortkeel/metrics.py
+++ b/src/ragwortkeel/metrics.py
@@ -115,7 +115,7 @@
             "ragwortkeel_configuration_revision",
             "Highest configuration revision in force here.",
         )
-        self._revision_heard = self._gauge(
+        self._peer_revision = self._gauge(
             "ragwortkeel_configuration_revision_heard",
             "Highest configuration revision that a peer has in force.",
         )
@@ -130,7 +130,7 @@
         self._queued_requests = self._gauge(
             "ragwortkeel_queued_requests", "Requests that wait for an upstream."
         )
-        self._held_tokens = self._gauge(
+        self._slice_tokens = self._gauge(
             "ragwortkeel_slice_tokens", "Tokens of budget slices held and not spent."
         )
         self._queue_wait = self._histogram(
@@ -195,9 +195,9 @@
 
     def link_traffic(self, report: TrafficReport) -> None:
         """Add the bytes that links carried since the last report."""
-        for kind, size in report.sent_by_kind.items():
+        for kind, size in report.sent_bytes_by_kind.items():
             self._link_bytes.labels("sent", kind).inc(size)
-        for kind, size in report.heard_by_kind.items():
+        for kind, size in report.received_bytes_by_kind.items():
             self._link_bytes.labels("heard", kind).inc(size)
 
     def platform_failed(self, *, error: str) -> None:
@@ -212,9 +212,9 @@
         """Note the highest revision in force."""
         self._revision.set(revision)
 
-    def configuration_heard(self, *, revision: int) -> None:
+    def peer_configuration_in_force(self, *, revision: int) -> None:
         """Note the highest revision that a peer has in force."""
-        self._revision_heard.set(revision)
+        self._peer_revision.set(revision)
 
     def zone_evacuated(self, *, zone: str, since: float) -> None:
         """Note since when an availability zone is evacuated; 0 once it is back."""
@@ -227,7 +227,7 @@
 
     def slice_tokens(self, *, tokens: int) -> None:
         """Note the tokens held in slices."""
-        self._held_tokens.set(tokens)
+        self._slice_tokens.set(tokens)
 
     def queue_waited(self, *, service: str, seconds: float) -> None:
         """Note how long a request waited."""
--- a/src/ragwortkeel/process.py
+++ b/src/ragwortkeel/process.py
@@ -28,7 +28,7 @@
 EXIT_CLEAN = 0
 EXIT_FAILED = 1
 
-READY_LOOK_SECONDS = 0.05
+READY_POLL_SECONDS = 0.05
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -38,7 +38,7 @@
     counts: dict[str, int]
 
     @property
-    def clean(self) -> bool:
+    def is_clean(self) -> bool:
         """Whether nothing was left."""
         return not any(self.counts.values())
 
@@ -97,7 +97,9 @@
         self._reload = reload
         self._worker = worker
         self._name = name
-        self._lifecycle = Lifecycle(chart=ChartName.DAEMON, observer=self._log_change)
+        self._lifecycle = Lifecycle(
+            chart=ChartName.DAEMON, observer=self._log_transition
+        )
         probes = Probes(
             metrics=worker.metrics,
             tracing=worker.tracing,
@@ -105,8 +107,8 @@
             in_force=worker.in_force,
             ready_path=ready_path,
         )
-        where = Address.parse(metrics_address)
-        self._probes = probes.server(host=where.host, port=where.port)
+        address = Address.parse(metrics_address)
+        self._probes = probes.server(host=address.host, port=address.port)
 
     async def main(self) -> int:
         """Return the exit code once everything is over."""
@@ -119,15 +121,17 @@
                 log_error("cannot_listen", node=self._name, error=str(exc))
                 return EXIT_FAILED
             self._lifecycle.fire("opened")
-            return await self._work(signals)
+            return await self._run_worker(signals)
 
-    async def _work(self, signals) -> int:
+    async def _run_worker(self, signals) -> int:
         probing = await curio.spawn(self._probes.serve, daemon=True)
         watching = await curio.spawn(self._watch_ready, daemon=True)
         working = await curio.spawn(self._worker.run, daemon=True)
         try:
-            asked = await _first(lambda: self._stop_signal(signals), working.wait)
-            if not asked:
+            stop_requested = await _ends_first(
+                lambda: self._stop_signal(signals), working.wait
+            )
+            if not stop_requested:
                 return self._fail(working)
             return await self._stop(signals)
         finally:
@@ -151,7 +155,7 @@
     async def _stop(self, signals) -> int:
         self._lifecycle.fire("stop")
         stopping = await curio.spawn(self._worker.stop, daemon=True)
-        finished = await _first(stopping.wait, lambda: self._stop_signal(signals))
+        finished = await _ends_first(stopping.wait, lambda: self._stop_signal(signals))
         if not finished:
             await stopping.cancel()
             log_warning("stop_cut_short", node=self._name)
@@ -159,8 +163,8 @@
         leftover = stopping.result
         if self._lifecycle.can("drained"):
             self._lifecycle.fire("drained")
-        self._lifecycle.fire("flushed" if leftover.clean else "deadline")
-        if not leftover.clean:
+        self._lifecycle.fire("flushed" if leftover.is_clean else "deadline")
+        if not leftover.is_clean:
             log_warning("stop_left_over", node=self._name, **leftover.counts)
             return EXIT_FAILED
         return EXIT_CLEAN
@@ -172,18 +176,18 @@
 
     async def _watch_ready(self) -> None:
         while not self._worker.ready:
-            await curio.sleep(READY_LOOK_SECONDS)
+            await curio.sleep(READY_POLL_SECONDS)
         if self._lifecycle.can("learned"):
             self._lifecycle.fire("learned")
 
     def _readiness(self) -> Readiness:
         return Readiness(ready=self._worker.ready, state=self._lifecycle.state)
 
-    def _log_change(self, source: str, event: str, target: str) -> None:
+    def _log_transition(self, source: str, event: str, target: str) -> None:
         log_info("daemon_state", node=self._name, was=source, why=event, now=target)
 
 
-async def _first(preferred, other) -> bool:
+async def _ends_first(preferred, other) -> bool:
     """Wait for either call; return whether the preferred one ended first."""
     async with curio.TaskGroup(wait=any) as group:
         first = await group.spawn(preferred)
--- a/src/ragwortkeel/registration.py
+++ b/src/ragwortkeel/registration.py
@@ -12,7 +12,7 @@
 from ragwortkeel.platform import Platform
 
 RETRY_SECONDS = 1.0
-LOOK_SECONDS = 1.0
+POLL_SECONDS = 1.0
 
 
 async def register(platform: Platform, node: Node) -> None:
@@ -44,7 +44,7 @@
     return True
 
 
-async def follow_list(
+async def poll_list(
     platform: Platform,
     membership: Membership,
     *,
@@ -52,9 +52,9 @@
 ) -> None:
     """Read the platform's list of instances as the membership wants it."""
     while True:
-        if membership.wants_list(clock()):
+        if membership.is_list_due(clock()):
             await _read_list(platform, membership, clock)
-        await curio.sleep(LOOK_SECONDS)
+        await curio.sleep(POLL_SECONDS)
 
 
 async def _read_list(
@@ -65,4 +65,4 @@
         instances = await platform.live()
     except PlatformError:
         return
-    membership.listed(instances.values(), asked_at=asked_at)
+    membership.merge_list(instances.values(), asked_at=asked_at)
--- a/src/ragwortkeel/router/budgeting.py
+++ b/src/ragwortkeel/router/budgeting.py
@@ -175,7 +175,7 @@
         return await self._pool.seal(upstream, seal)
 
     def _failed_routers(self) -> list[str]:
-        failed = self._membership.nodes(monotonic(), Liveness.DEAD)
+        failed = self._membership.nodes(monotonic(), Liveness.FAILED)
         return [
             node.incarnation
             for node in failed
@@ -183,7 +183,7 @@
         ]
 
     def _responsible(self, router: str) -> bool:
-        return self._membership.responsible(router, monotonic(), self._incarnation())
+        return self._membership.is_responsible(router, monotonic(), self._incarnation())
 
     def _is_superseded(self, sidecar: str) -> bool:
         """Return whether a sidecar failed and its upstream does not need it again.
@@ -191,7 +191,7 @@
         The upstream was removed or retired, or has another sidecar.
         """
         now = monotonic()
-        if self._membership.liveness(sidecar, now) is not Liveness.DEAD:
+        if self._membership.liveness(sidecar, now) is not Liveness.FAILED:
             return False
         upstream = self._membership.node(sidecar).upstream
         found = self._directory.upstream(upstream)
--- a/src/ragwortkeel/router/node_cleanup.py
+++ b/src/ragwortkeel/router/node_cleanup.py
@@ -52,7 +52,7 @@
     async def remove_failed_nodes(self) -> None:
         """Take off what has been dead for long and is this router's to do."""
         now = self._clock()
-        failed = self._membership.nodes(now, Liveness.DEAD)
+        failed = self._membership.nodes(now, Liveness.FAILED)
         self._failed_since = {
             node.incarnation: self._failed_since.get(node.incarnation, now)
             for node in failed
@@ -66,7 +66,7 @@
 
     async def _remove(self, node: Node, now: float) -> None:
         incarnation = node.incarnation
-        if not self._membership.responsible(incarnation, now, self._incarnation()):
+        if not self._membership.is_responsible(incarnation, now, self._incarnation()):
             return
         try:
             if node.role == Role.ROUTER and not await self._is_sealed(incarnation):
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -290,7 +290,7 @@
 
     async def _receive_from_sidecar(self, upstream: str, envelope) -> None:
         peer = SIDECAR_PREFIX + upstream
-        self.membership.heard(envelope.sender, monotonic())
+        self.membership.record_message(envelope.sender, monotonic())
         match envelope.message:
             case Heartbeat() as load:
                 await self._receive_load(upstream, envelope.sender, load)
@@ -338,7 +338,7 @@
                 continue
             envelope = event.envelope
             message = envelope.message
-            self.membership.heard(envelope.sender, monotonic())
+            self.membership.record_message(envelope.sender, monotonic())
             if isinstance(message, Heartbeat):
                 message = None
             if isinstance(message, CrashSeen):
--- a/src/ragwortkeel/router/worker.py
+++ b/src/ragwortkeel/router/worker.py
@@ -12,7 +12,7 @@
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.platform_client import HttpPlatform
 from ragwortkeel.process import Leftover
-from ragwortkeel.registration import deregister, follow_list, register
+from ragwortkeel.registration import deregister, poll_list, register
 from ragwortkeel.router.neighbours import peers_to_link, zone_router_addresses
 from ragwortkeel.router.observer import Observer
 from ragwortkeel.router.router import Router, new_incarnation
@@ -94,7 +94,7 @@
                 await curio.sleep(NEIGHBOURS_INTERVAL_SECONDS)
 
     async def _follow_list(self) -> None:
-        await follow_list(self._platform, self._router.membership)
+        await poll_list(self._platform, self._router.membership)
 
     async def _update_neighbours(self) -> None:
         while True:
@@ -113,17 +113,19 @@
         ]
         addresses = peers_to_link(present, address=settings.address, zone=settings.zone)
         addresses = addresses or set(settings.peers)
-        probed = {n.address for n in membership.to_probe() if n.role == Role.ROUTER}
+        probed = {
+            n.address for n in membership.nodes_to_probe() if n.role == Role.ROUTER
+        }
         followed = (addresses | probed) - {settings.address}
         await self._router.peers.set_addresses(followed)
         for node in nodes:
             if node.address in followed or self._router.is_linked_to(node):
-                membership.probing(node.incarnation, now)
+                membership.record_probe(node.incarnation, now)
         members = zone_router_addresses(present, settings.zone)
         await self._router.set_zone_routers(members)
         change = Partners(addresses=tuple(addresses), zone_members=members)
         await self._router.gossip.inbox.put(change)
 
     def _failed_incarnations(self, now: float) -> set[str]:
-        failed = self._router.membership.nodes(now, Liveness.DEAD)
+        failed = self._router.membership.nodes(now, Liveness.FAILED)
         return {node.incarnation for node in failed}
--- a/src/ragwortkeel/settings.py
+++ b/src/ragwortkeel/settings.py
@@ -189,10 +189,12 @@
 
 SettingsClass = TypeVar("SettingsClass", bound=_Settings)
 
-_AT = re.compile(r"^(?P<what>.*?)(?: - at `(?P<path>[^`]*)`)?$", re.DOTALL)
+_MESSAGE_AND_PATH = re.compile(
+    r"^(?P<what>.*?)(?: - at `(?P<path>[^`]*)`)?$", re.DOTALL
+)
 _UNKNOWN = re.compile(r"Object contains unknown field `(?P<field>.*)`")
 _MISSING = re.compile(r"Object missing required field `(?P<field>.*)`")
-_STEP = re.compile(r"\.(?P<key>[^.\[]+)|\[(?P<index>\d+)\]")
+_PATH_ELEMENT = re.compile(r"\.(?P<key>[^.\[]+)|\[(?P<index>\d+)\]")
 
 
 def load(path: str | Path, cls: type[SettingsClass]) -> SettingsClass:
@@ -225,7 +227,7 @@
 
 
 def _explain(message: str, raw: object, cls: type) -> SettingsError:
-    parts = _AT.match(message)
+    parts = _MESSAGE_AND_PATH.match(message)
     path = parts["path"] or "$"
     what = parts["what"]
     if unknown := _UNKNOWN.match(what):
@@ -241,14 +243,16 @@
             found="nothing",
             allowed="a value; this key is required",
         )
-    allowed = _enum_values(cls, path) or _allowed(what)
-    return SettingsError(path=path, found=_found(raw, path), allowed=allowed)
+    allowed = _enum_values(cls, path) or _describe_allowed(what)
+    return SettingsError(path=path, found=_value_at(raw, path), allowed=allowed)
 
 
-def _found(raw: object, path: str) -> str:
+def _value_at(raw: object, path: str) -> str:
     value = raw
-    for step in _STEP.finditer(path):
-        value = value[step["key"]] if step["key"] else value[int(step["index"])]
+    for element in _PATH_ELEMENT.finditer(path):
+        value = (
+            value[element["key"]] if element["key"] else value[int(element["index"])]
+        )
     return msgspec.json.encode(value).decode()
 
 
@@ -261,7 +265,7 @@
     return ""
 
 
-def _allowed(what: str) -> str:
+def _describe_allowed(what: str) -> str:
     if ADDRESS_PATTERN in what or repr(ADDRESS_PATTERN) in what:
         return 'an "ip:port" such as "10.0.1.7:7100"'
     return what.removeprefix("Expected ")
--- a/src/ragwortkeel/signals.py
+++ b/src/ragwortkeel/signals.py
@@ -33,16 +33,16 @@
         self._numbers = numbers
         self._handlers = {}
         self._former_fd = -1
-        self._reading = None
-        self._writing = None
+        self._receiver = None
+        self._sender = None
         self._caught: list[int] = []
 
     async def __aenter__(self) -> "SignalQueue":
-        reading, self._writing = socket.socketpair()
-        self._writing.setblocking(False)
-        self._reading = curio.io.Socket(reading)
+        receiver, self._sender = socket.socketpair()
+        self._sender.setblocking(False)
+        self._receiver = curio.io.Socket(receiver)
         self._former_fd = signal.set_wakeup_fd(
-            self._writing.fileno(), warn_on_full_buffer=False
+            self._sender.fileno(), warn_on_full_buffer=False
         )
         for number in self._numbers:
             self._handlers[number] = signal.signal(number, _ignore)
@@ -52,14 +52,14 @@
         for number, handler in self._handlers.items():
             signal.signal(number, handler)
         signal.set_wakeup_fd(self._former_fd)
-        self._writing.close()
-        await self._reading.close()
+        self._sender.close()
+        await self._receiver.close()
 
     async def get(self) -> signal.Signals:
         """Return the next signal caught, in order."""
         while not self._caught:
             # Other signals that Python handles are written there as well.
-            for number in await self._reading.recv(BUFFER_BYTES):
+            for number in await self._receiver.recv(BUFFER_BYTES):
                 if number in self._numbers:
                     self._caught.append(number)
         return signal.Signals(self._caught.pop(0))
--- a/src/ragwortkeel/traffic.py
+++ b/src/ragwortkeel/traffic.py
@@ -11,7 +11,7 @@
 
 from ragwortkeel.messages import AnyMessage
 
-MOST_KINDS = 4
+MAX_REPORTED_KINDS = 4
 """Named in one report, the largest ones; the rest is in the metrics."""
 
 
@@ -19,18 +19,18 @@
 class TrafficReport:
     """Bytes since the last report, by kind of message."""
 
-    sent_by_kind: dict[str, int]
-    heard_by_kind: dict[str, int]
+    sent_bytes_by_kind: dict[str, int]
+    received_bytes_by_kind: dict[str, int]
 
     @property
-    def sent(self) -> int:
+    def sent_bytes(self) -> int:
         """Bytes that were sent."""
-        return sum(self.sent_by_kind.values())
+        return sum(self.sent_bytes_by_kind.values())
 
     @property
-    def heard(self) -> int:
+    def received_bytes(self) -> int:
         """Bytes that were heard."""
-        return sum(self.heard_by_kind.values())
+        return sum(self.received_bytes_by_kind.values())
 
 
 class Traffic:
@@ -39,34 +39,35 @@
     Examples
     --------
     >>> traffic = Traffic()
-    >>> traffic.sent(Heartbeat(), 60)
-    >>> traffic.take().sent_by_kind
+    >>> traffic.record_sent(Heartbeat(), 60)
+    >>> traffic.drain_report().sent_bytes_by_kind
     {'Heartbeat': 60}
     """
 
     def __init__(self) -> None:
-        self._sent: Counter[str] = Counter()
-        self._heard: Counter[str] = Counter()
+        self._sent_bytes_by_kind: Counter[str] = Counter()
+        self._received_bytes_by_kind: Counter[str] = Counter()
 
-    def sent(self, message: AnyMessage, size: int) -> None:
+    def record_sent(self, message: AnyMessage, size: int) -> None:
         """Count a message that was sent."""
-        self._sent[type(message).__name__] += size
+        self._sent_bytes_by_kind[type(message).__name__] += size
 
-    def heard(self, message: AnyMessage, size: int) -> None:
+    def record_received(self, message: AnyMessage, size: int) -> None:
         """Count a message that was heard."""
-        self._heard[type(message).__name__] += size
+        self._received_bytes_by_kind[type(message).__name__] += size
 
-    def take(self) -> TrafficReport:
+    def drain_report(self) -> TrafficReport:
         """Return the counts since the last call."""
         report = TrafficReport(
-            sent_by_kind=dict(self._sent), heard_by_kind=dict(self._heard)
+            sent_bytes_by_kind=dict(self._sent_bytes_by_kind),
+            received_bytes_by_kind=dict(self._received_bytes_by_kind),
         )
-        self._sent.clear()
-        self._heard.clear()
+        self._sent_bytes_by_kind.clear()
+        self._received_bytes_by_kind.clear()
         return report
 
 
-def largest(bytes_by_kind: dict[str, int]) -> str:
+def format_largest(bytes_by_kind: dict[str, int]) -> str:
     """Return the kinds with the most bytes as one word, the largest first."""
-    kinds = Counter(bytes_by_kind).most_common(MOST_KINDS)
+    kinds = Counter(bytes_by_kind).most_common(MAX_REPORTED_KINDS)
     return ",".join(f"{kind}:{size}" for kind, size in kinds)
--- a/tests/cli/test_cli_report.py
+++ b/tests/cli/test_cli_report.py
@@ -11,7 +11,7 @@
     cause_of_lack,
     report,
 )
-from ragwortkeel.decision_lines import DecisionLine, parsed
+from ragwortkeel.decision_lines import DecisionLine, parse_line
 
 LINES = """\
 timestamp=100.1 level=info event=dispatched request=a waited=0.02
@@ -36,7 +36,7 @@
 
 def lack(**fields):
     pairs = " ".join(f"{key}={value}" for key, value in fields.items())
-    return parsed(f"timestamp=1 event=tokens_lacking {pairs}", process="p")
+    return parse_line(f"timestamp=1 event=tokens_lacking {pairs}", process="p")
 
 
 def test_it_adds_up_all_processes(terminal, logs):
--- a/tests/ingress/test_stops.py
+++ b/tests/ingress/test_stops.py
@@ -44,7 +44,7 @@
             return leftover, (await asking.join()).body
 
         leftover, body = run_ingress(scenario, scripts={"e1": slow_stream})
-        assert leftover.clean
+        assert leftover.is_clean
         assert body == events(1, 5)
 
     def test_new_connections_are_served_until_the_balancer_has_noticed(self):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,7 @@
 from ragwortkeel.membership import SILENCE_SECONDS, Liveness, Membership
 from ragwortkeel.messages import VersionedObject
 from ragwortkeel.platform import Instance
-from ragwortkeel.registration import deregister, follow_list, register
+from ragwortkeel.registration import deregister, poll_list, register
 from ragwortkeel.standins.local_platform import LocalPlatform
 
 
@@ -31,17 +31,17 @@
 def after(*events):
     """Return the liveness at 20.0 s of a node registered at 0.0 s."""
     members = Membership()
-    members.registered(node())
+    members.add(node())
     for at, event in events:
         match event:
             case "probe":
-                members.probing("r1", at)
+                members.record_probe("r1", at)
             case "heard":
-                members.heard("r1", at)
+                members.record_message("r1", at)
             case "leaving":
-                members.heard("r1", at, leaving=True)
+                members.record_message("r1", at, leaving=True)
             case list():
-                members.listed(event, asked_at=at)
+                members.merge_list(event, asked_at=at)
     return members.liveness("r1", 20.0)
 
 
@@ -50,21 +50,21 @@
         ("events", "expected"),
         [
             ([], Liveness.STARTING),
-            ([(1, HERE)], Liveness.ALIVE),
+            ([(1, HERE)], Liveness.LIVE),
             ([(1, AWAY)], Liveness.STARTING),
             ([(1, AWAY), (5, AWAY), (9, AWAY)], Liveness.STARTING),
             ([(19, "probe")], Liveness.STARTING),
-            ([(19, "heard")], Liveness.ALIVE),
+            ([(19, "heard")], Liveness.LIVE),
             ([(19, "leaving")], Liveness.LEAVING),
             ([(1, [shown(leaving=True)])], Liveness.LEAVING),
-            ([(19, "heard"), (19.5, AWAY)], Liveness.ALIVE),
-            ([(1, AWAY), (5, AWAY), (19, "heard")], Liveness.ALIVE),
+            ([(19, "heard"), (19.5, AWAY)], Liveness.LIVE),
+            ([(1, AWAY), (5, AWAY), (19, "heard")], Liveness.LIVE),
             ([(1, "heard"), (2, HERE)], Liveness.SUSPECT),
             ([(1, "heard"), (2, AWAY)], Liveness.SUSPECT),
             ([(1, "heard"), (2, AWAY), (3, AWAY)], Liveness.SUSPECT),
-            ([(1, "heard"), (2, AWAY), (4, AWAY)], Liveness.DEAD),
+            ([(1, "heard"), (2, AWAY), (4, AWAY)], Liveness.FAILED),
             ([(1, "heard"), (2, AWAY), (4, AWAY), (6, HERE)], Liveness.SUSPECT),
-            ([(1, "probe"), (2, AWAY), (4, AWAY)], Liveness.DEAD),
+            ([(1, "probe"), (2, AWAY), (4, AWAY)], Liveness.FAILED),
             ([(2, AWAY), (4, AWAY), (6, "probe")], Liveness.SUSPECT),
             ([(2, AWAY), (4, AWAY), (6, "heard"), (7, AWAY)], Liveness.SUSPECT),
         ],
@@ -80,17 +80,17 @@
         """
         beats = [(at, "heard") for at in range(20)]
         lists = [(at + 0.5, AWAY) for at in range(20)]
-        assert after(*sorted(beats + lists, key=lambda e: e[0])) == Liveness.ALIVE
+        assert after(*sorted(beats + lists, key=lambda e: e[0])) == Liveness.LIVE
 
     def test_address_taken_over_by_a_later_incarnation(self):
         members = Membership()
-        members.registered(node("old"))
-        members.heard("old", 1.0)
-        members.registered(node("new"))
-        members.listed(HERE, asked_at=2.0)
-        members.listed(HERE, asked_at=5.0)
-        assert members.liveness("old", 9.0) == Liveness.DEAD
-        assert members.liveness("new", 9.0) == Liveness.ALIVE
+        members.add(node("old"))
+        members.record_message("old", 1.0)
+        members.add(node("new"))
+        members.merge_list(HERE, asked_at=2.0)
+        members.merge_list(HERE, asked_at=5.0)
+        assert members.liveness("old", 9.0) == Liveness.FAILED
+        assert members.liveness("new", 9.0) == Liveness.LIVE
 
     @given(
         st.lists(
@@ -104,21 +104,21 @@
         now = 0.0
         silent_since = misses = None
         members = Membership()
-        members.registered(node())
+        members.add(node())
         for event, seconds in steps:
             now += seconds
             match event:
                 case "probe":
-                    members.probing("r1", now)
+                    members.record_probe("r1", now)
                     silent_since = now if silent_since is None else silent_since
                 case "heard":
-                    members.heard("r1", now)
+                    members.record_message("r1", now)
                     silent_since, misses = now, 0
                 case list():
-                    members.listed(event, asked_at=now)
+                    members.merge_list(event, asked_at=now)
                     heard = silent_since is not None and silent_since < now
                     misses = (misses or 0) + 1 if event is AWAY and heard else 0
-            if members.liveness("r1", now) is Liveness.DEAD:
+            if members.liveness("r1", now) is Liveness.FAILED:
                 assert now - silent_since >= SILENCE_SECONDS
                 assert misses >= 2
 
@@ -130,28 +130,28 @@
         for own in names:
             members = Membership()
             for i, name in enumerate(names):
-                members.registered(node(name, address=f"10.0.0.{i}:1"))
-            members.registered(node("dead", address="10.9.9.9:1"))
-            members.probing("dead", 0.0)
-            acting += [own] if members.responsible("dead", 9.0, own) else []
+                members.add(node(name, address=f"10.0.0.{i}:1"))
+            members.add(node("dead", address="10.9.9.9:1"))
+            members.record_probe("dead", 0.0)
+            acting += [own] if members.is_responsible("dead", 9.0, own) else []
         assert len(acting) == 2
 
     def test_unlisted_and_unheard_is_probed_first(self):
         members = Membership()
-        members.registered(node())
-        members.listed(AWAY, asked_at=1.0)
-        assert members.to_probe() == [node()]
-        members.probing("r1", 2.0)
-        assert members.to_probe() == []
+        members.add(node())
+        members.merge_list(AWAY, asked_at=1.0)
+        assert members.nodes_to_probe() == [node()]
+        members.record_probe("r1", 2.0)
+        assert members.nodes_to_probe() == []
 
     def test_list_is_read_more_often_with_a_suspect(self):
         members = Membership()
-        members.registered(node())
-        assert members.wants_list(0.0)
-        members.listed(HERE, asked_at=0.0)
-        assert not members.wants_list(10.0)
-        members.probing("r1", 1.0)
-        assert members.wants_list(10.0)
+        members.add(node())
+        assert members.is_list_due(0.0)
+        members.merge_list(HERE, asked_at=0.0)
+        assert not members.is_list_due(10.0)
+        members.record_probe("r1", 1.0)
+        assert members.is_list_due(10.0)
 
 
 class TestRegistration:
@@ -190,11 +190,11 @@
             platform = LocalPlatform()
             platform.set_live(HERE)
             members = Membership()
-            members.registered(node())
-            task = await curio.spawn(follow_list, platform, members)
+            members.add(node())
+            task = await curio.spawn(poll_list, platform, members)
             await curio.sleep(0.05)
             await task.cancel()
-            assert members.liveness("r1", 0.0) is Liveness.ALIVE
+            assert members.liveness("r1", 0.0) is Liveness.LIVE
             assert platform.counts.reads == 1
 
         curio.run(main)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -5,22 +5,22 @@
 from ragwortkeel.links import Endpoint, Link, LinkUp
 from ragwortkeel.messages import CrashSeen, Heartbeat
 from ragwortkeel.metrics import Metrics
-from ragwortkeel.traffic import Traffic, largest
+from ragwortkeel.traffic import Traffic, format_largest
 
 
 class TestTraffic:
     def test_a_report_holds_what_came_since_the_last_one(self):
         traffic = Traffic()
-        traffic.sent(Heartbeat(), 60)
-        traffic.sent(Heartbeat(), 60)
-        traffic.heard(CrashSeen(crash_id="c", fingerprints=()), 90)
-        first, second = traffic.take(), traffic.take()
-        assert (first.sent, first.heard) == (120, 90)
-        assert (second.sent, second.heard) == (0, 0)
+        traffic.record_sent(Heartbeat(), 60)
+        traffic.record_sent(Heartbeat(), 60)
+        traffic.record_received(CrashSeen(crash_id="c", fingerprints=()), 90)
+        first, second = traffic.drain_report(), traffic.drain_report()
+        assert (first.sent_bytes, first.received_bytes) == (120, 90)
+        assert (second.sent_bytes, second.received_bytes) == (0, 0)
 
     def test_the_largest_kinds_come_first(self):
         sizes = {"A": 1, "B": 5, "C": 3, "D": 4, "E": 2}
-        assert largest(sizes) == "B:5,D:4,C:3,E:2"
+        assert format_largest(sizes) == "B:5,D:4,C:3,E:2"
 
     def test_links_count_both_ways(self):
         """Links full of copies of one message could not be told from slow ones.
@@ -51,16 +51,16 @@
                     pass
             await task.cancel()
             await endpoint.close()
-            return asked.take(), answering.take()
+            return asked.drain_report(), answering.drain_report()
 
         asked, answering = curio.run(main)
-        assert answering.heard_by_kind["Heartbeat"] > 0
-        assert asked.heard == answering.sent > 0
+        assert answering.received_bytes_by_kind["Heartbeat"] > 0
+        assert asked.received_bytes == answering.sent_bytes > 0
 
     def test_metrics_add_reports_up(self):
         traffic, metrics = Traffic(), Metrics()
         for _ in range(2):
-            traffic.sent(Heartbeat(), 60)
-            metrics.link_traffic(traffic.take())
+            traffic.record_sent(Heartbeat(), 60)
+            metrics.link_traffic(traffic.drain_report())
         line = 'link_bytes_total{direction="sent",message="Heartbeat"} 120.0'
         assert line in metrics.render().decode()
