--- a/src/ragwortkeel/__init__.py
+++ b/src/ragwortkeel/__init__.py
@@ -1,4 +1,4 @@
-"""A router fleet for prepaid token budgets, and the parts it is made of."""
+"""Router fleet for prepaid token budgets, and its public components."""
 
 from ragwortkeel.budget.ledger import Ledger
 from ragwortkeel.budget.receipt import Bill
--- a/src/ragwortkeel/daemon.py
+++ b/src/ragwortkeel/daemon.py
@@ -1,4 +1,4 @@
-"""The daemons' entry point: ``ragwortkeeld ROLE SETTINGS`` and ``check-settings``."""
+"""Entry point of the daemons: ``ragwortkeeld ROLE SETTINGS`` and ``check-settings``."""
 
 import sys
 
@@ -55,7 +55,7 @@
 
 
 def ingress(settings: str) -> None:
-    """Run an ingress until TERM; a HUP reads its settings anew.
+    """Run an ingress until TERM; a HUP reloads its settings.
 
     Parameters
     ----------
@@ -79,7 +79,7 @@
 
 
 def relay(settings: str) -> None:
-    """Run a relay of platform calls until TERM; a HUP reads its settings anew.
+    """Run a relay of platform calls until TERM; a HUP reloads its settings.
 
     Parameters
     ----------
@@ -102,7 +102,7 @@
 
 
 def check_settings(role: str, settings: str) -> None:
-    """Check a settings file without running anything.
+    """Check a settings file without starting a daemon.
 
     Parameters
     ----------
--- a/src/ragwortkeel/decision_lines.py
+++ b/src/ragwortkeel/decision_lines.py
@@ -1,8 +1,8 @@
-"""Reads the key=value lines that processes log, of any number of processes.
+"""Reader of the key=value lines that processes log.
 
-Lines may stand behind a prefix whose last word names the process, as collectors put it;
-else the process is the file's name.  A line that is cut off or of another program is no
-line; whoever reads counts these.
+A collector may put a prefix before each line, whose last field is the name of the
+process; without a prefix the name is that of the file.  A line that is truncated or
+written by another program yields None, so that the caller can count such lines.
 """
 
 import gzip
@@ -23,14 +23,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DecisionLine:
-    """One event of one process.
+    """Event in a log line.
 
     Attributes
     ----------
     at : float
-        Seconds since the epoch; 0.0 where the line has no time.
+        Time in seconds since the epoch; 0.0 where the line has none.
+    process : str
+        Name of the process that logged the event.
+    event : str
+        Name of the event.
     fields : dict of str to str
-        All other pairs.
+        All other pairs of the line.
     """
 
     at: float
@@ -39,7 +43,7 @@
     fields: dict[str, str]
 
     def number(self, name: str, default: float = 0.0) -> float:
-        """Return a field as a number; the default where it is none."""
+        """Return a field as a number, or the default where it is not a number."""
         try:
             return float(self.fields.get(name, default))
         except ValueError:
@@ -47,7 +51,7 @@
 
 
 def parse_line(text: str, *, process: str) -> DecisionLine | None:
-    """Return the event that a line tells of, or None where it tells of none."""
+    """Return the event in a line, or None where the line holds none."""
     starts = [start for mark in _MARKS if (start := text.find(mark)) >= 0]
     if not starts:
         return None
@@ -65,12 +69,13 @@
 
 
 def read_lines(file: str) -> Iterator[DecisionLine | None]:
-    """Return the events of a file, None for each line that can't be read.
+    """Yield the event of each line of a file, None for a line that can't be parsed.
 
     Parameters
     ----------
     file : str
-        A path, of a gzip file where it ends in ``.gz``; ``-`` for standard input.
+        Path of a text file, or of a gzip file if it ends in ``.gz``; ``-`` for
+        standard input.
 
     Raises
     ------
--- a/src/ragwortkeel/exceptions.py
+++ b/src/ragwortkeel/exceptions.py
@@ -1,19 +1,19 @@
-"""Public errors: a shallow tree under one base.
+"""Public errors in a shallow hierarchy under one base class.
 
-Each layer raises its own branch and turns the errors of the layer below into
-it, so a caller never has to know a lower layer.  Every error carries what its
-receiver needs to act.
+Each layer raises the errors of its own branch and converts those of the layer below,
+so that a caller handles only the errors of the layer that it calls.  Every error has
+the attributes that a handler needs to act on it.
 """
 
 from ragwortkeel.platform import Stored
 
 
 class RagwortkeelError(Exception):
-    """Base of every error this package raises on purpose."""
+    """Base of every error that this package raises deliberately."""
 
 
 class TaskEnded(RagwortkeelError):
-    """A task that should run for ever returned."""
+    """A task that should run forever returned."""
 
 
 class SettingsError(RagwortkeelError):
@@ -24,9 +24,9 @@
     path : str
         JSON path of the field, such as ``$.platform.port``.
     found : str
-        What the file holds there.
+        Value that the file has in that field.
     allowed : str
-        What may stand there.
+        Values that the field allows.
     """
 
     def __init__(self, *, path: str, found: str, allowed: str) -> None:
@@ -41,14 +41,14 @@
 
 
 class BadRequest(HttpError):
-    """A peer sent something that is no acceptable HTTP request.
+    """A peer sent data that is no acceptable HTTP request.
 
     Attributes
     ----------
     status : int
-        The 4xx status to answer with.
+        HTTP status of the answer, a 4xx.
     reason : str
-        A short machine-readable reason, such as ``body_too_large``.
+        Short machine-readable reason, such as ``body_too_large``.
     """
 
     def __init__(self, *, status: int, reason: str, detail: str) -> None:
@@ -59,19 +59,19 @@
 
 
 class ConnectFailed(HttpError):
-    """No connection came about, so the request was certainly not sent."""
+    """No connection was established, so the request was certainly not sent."""
 
 
 class ConnectRefused(ConnectFailed):
-    """The peer's machine answered that nothing listens there: the peer is down."""
+    """The peer's instance refused the connection: no process listens there."""
 
 
 class ExchangeBroken(HttpError):
-    """The connection failed after the request may have reached the peer."""
+    """The connection failed when the request may already have reached the peer."""
 
 
 class CallerLeft(ExchangeBroken):
-    """The caller closed its connection; nobody waits for the answer."""
+    """The caller closed its connection and no longer waits for the answer."""
 
 
 class PlatformError(RagwortkeelError):
@@ -79,11 +79,11 @@
 
 
 class PlatformUnavailable(PlatformError):
-    """The platform did not take the call; nothing was changed by it."""
+    """The platform did not accept the call, which changed nothing."""
 
 
 class OutcomeUnknown(PlatformError):
-    """A write was sent and its answer lost; it may have taken effect."""
+    """A write was sent but its answer was lost; it may have taken effect."""
 
 
 class AlreadyExists(PlatformError):
@@ -91,12 +91,12 @@
 
 
 class VersionConflict(PlatformError):
-    """A conditional write found another version than the one it named.
+    """A conditional write found another version than the expected one.
 
     Parameters
     ----------
     current : platform.Stored or None
-        The object as it is, where the platform says so; it saves a read.
+        Current object where the platform's answer contains it, which saves a read.
     """
 
     def __init__(self, message: str, *, current: Stored | None = None) -> None:
@@ -105,19 +105,19 @@
 
 
 class ObjectNotFound(PlatformError):
-    """A conditional write named an object that is not there."""
+    """A conditional write named an object that does not exist."""
 
 
 class ValueRefused(PlatformError):
-    """The platform takes no such value, such as one that is too large."""
+    """The platform refused a value, for example because it is too large."""
 
 
 class LinkError(RagwortkeelError):
-    """Base of the errors of links between the system's own processes."""
+    """Base of the errors of links between the processes of the fleet."""
 
 
 class LinkLost(LinkError):
-    """The peer went silent or away; sent messages may or may not have arrived."""
+    """The peer is silent or disconnected; sent messages may have arrived or not."""
 
 
 class BudgetError(RagwortkeelError):
@@ -133,20 +133,20 @@
 
 
 class ConfigurationUnreadable(IngressError):
-    """The platform holds something that is no such configuration or entry."""
+    """An object in the platform is no valid configuration or entry."""
 
 
 class LimitUnreadable(IngressError):
-    """An upstream's answer names a rate limit that is no decimal number."""
+    """An upstream's answer announces a rate limit that is no decimal number."""
 
 
 class LifecycleError(RagwortkeelError):
-    """An event came that the state chart has no transition for.
+    """A state chart has no transition for an event in the current state.
 
     Attributes
     ----------
     chart, state, event : str
-        Which chart, in which state, and the event.
+        Names of the chart, its current state and the event.
     """
 
     def __init__(self, *, chart: str, state: str, event: str) -> None:
@@ -157,19 +157,19 @@
 
 
 class CommandError(RagwortkeelError):
-    """A command did not do what it was told; the text says what to do.
+    """A command did not succeed; the text says what the operator should do.
 
     Attributes
     ----------
     exit_code : int
-        What the process ends with.
+        Exit code of the process.
     """
 
     exit_code = 1
 
 
 class CommandConflict(CommandError):
-    """Somebody else changed the object meanwhile; nothing of theirs is lost."""
+    """Another writer changed the object meanwhile; that change is preserved."""
 
     exit_code = 3
 
@@ -181,28 +181,28 @@
 
 
 class CommandUncertain(CommandError):
-    """The platform's answer was lost and nothing could be read since."""
+    """The platform's answer to a write was lost, and no later read succeeded."""
 
     exit_code = 5
 
 
 class CommandLagging(CommandError):
-    """The change is accepted, but not yet in force on the nodes named."""
+    """The change is accepted but not yet in force at the processes in the text."""
 
     exit_code = 6
 
 
 class BudgetRefused(BudgetError):
-    """Tokens can't be reserved now; nothing ran and nothing is charged.
+    """Tokens can't be reserved now; the request did not run and is not charged.
 
     Attributes
     ----------
     profile : str
-        Whose budget it is.
+        Profile that the budget belongs to.
     tokens_left : int
-        Tokens the refuser still sees unreserved, too few for the request.
+        Unreserved tokens known to the refusing process, too few for the request.
     retry_after_seconds : float
-        When coming back may help.
+        Time after which a retry may succeed.
     """
 
     reason = "budget_refused"
@@ -217,31 +217,31 @@
 
 
 class BudgetExhausted(BudgetRefused):
-    """The prepaid tokens are spent or committed elsewhere."""
+    """The prepaid tokens are spent, or committed by other processes."""
 
     reason = "budget_exhausted"
 
 
 class BudgetUnreachable(BudgetRefused):
-    """The router's slice is used up and the platform can't be asked for more."""
+    """The router's slice is spent and the platform is unreachable for a renewal."""
 
     reason = "budget_unreachable"
 
 
 class ExposureFull(BudgetRefused):
-    """Too much spend through this sidecar is not yet in the ledger."""
+    """The spend at this sidecar that the ledger lacks has reached its limit."""
 
     reason = "exposure_full"
 
 
 class SidecarNotNamed(BudgetRefused):
-    """The router's grant in the ledger does not name this sidecar yet."""
+    """The router's grant in the ledger does not yet contain this sidecar."""
 
     reason = "sidecar_not_named"
 
 
 class RouterSealed(BudgetError):
-    """The router incarnation is sealed; it has to go on under a new one."""
+    """The router incarnation is sealed; the router must start a new incarnation."""
 
     def __init__(self, *, router: str) -> None:
         super().__init__(f"{router} is sealed")
@@ -253,15 +253,15 @@
 
 
 class LedgerFull(LedgerError):
-    """The ledger would outgrow what the platform takes as one value."""
+    """The ledger would exceed the largest value that the platform stores."""
 
 
 class LedgerUnreadable(LedgerError):
-    """The platform holds something that is no ledger."""
+    """An object in the platform is no valid ledger."""
 
 
 class RenewalVoid(LedgerError):
-    """Renewals that were handed over are out of date and will never be written."""
+    """Delegated renewals are out of date and will never be written."""
 
     def __init__(self, *, holder: str) -> None:
         super().__init__(f"renewals of {holder} are out of date")
@@ -269,18 +269,18 @@
 
 
 class SettledBeyondGrant(LedgerError):
-    """A router settles more than it was granted; the caller has a defect."""
+    """A router settles more than its grant, which is a defect of the caller."""
 
 
 class BudgetCommitted(LedgerError):
-    """A lowering goes below what is spent or committed.
+    """A budget would be lowered below its spent and committed tokens.
 
     Attributes
     ----------
     lowerable_tokens : int
-        By how much the budget can be lowered at once.
+        Tokens by which the budget can be lowered now.
     spent : int
-        What is spent for good; no recall can go below it.
+        Tokens that are spent; no recall can lower the budget below them.
     """
 
     def __init__(self, *, lowerable_tokens: int, spent: int) -> None:
@@ -290,12 +290,12 @@
 
 
 class StaleOperation(LedgerError):
-    """The operation is too old to tell whether it was applied; nothing changed."""
+    """The operation is too old to know whether it was applied; nothing changed."""
 
 
 class InvalidOperation(LedgerError):
-    """The operation id was not made by `ledger.operation_id`."""
+    """The operation id was not created by `ledger.operation_id`."""
 
 
 class BudgetRetired(LedgerError):
-    """The budget is retired and takes no more changes."""
+    """The budget is retired and accepts no more changes."""
--- a/src/ragwortkeel/lifecycle.py
+++ b/src/ragwortkeel/lifecycle.py
@@ -1,8 +1,8 @@
 """State charts read from files: the lifecycles of daemons, links, runs and so on.
 
-A chart in ``charts/*.json`` names its states, which of them are final, and which
-event leads where; `Lifecycle` keeps the state of one thing that follows it.  An
-event costs some ten microseconds: fit for lifecycles, not for tokens.
+A chart in ``charts/*.json`` lists its states, its final states and the transition of
+each event.  `Lifecycle` stores the state of one object of a chart.  An event takes
+about 10 us, which is fast enough for lifecycles but not for an event per token.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class ChartName(StrEnum):
-    """The charts that ship with the package."""
+    """Names of the charts in the package."""
 
     DAEMON = "daemon"
     LINK = "link"
@@ -27,7 +27,7 @@
 
 
 class ChartState(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One state; `doc` says what it means."""
+    """State of a chart; `doc` describes it."""
 
     name: str
     doc: str
@@ -37,7 +37,7 @@
 class ChartTransition(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """The event that leads from one state to another."""
+    """Transition of a chart from one state to another at an event."""
 
     event: str
     source: str
@@ -45,7 +45,7 @@
 
 
 class Chart(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A whole chart as its file holds it."""
+    """State chart, in the form of its file."""
 
     name: str
     doc: str
@@ -56,7 +56,7 @@
 
 @cache
 def load_chart(name: ChartName) -> Chart:
-    """Return the chart of that name from its file."""
+    """Return the chart of a name from its file."""
     data = files("ragwortkeel").joinpath("charts", f"{name}.json").read_bytes()
     return msgspec.json.decode(data, type=Chart)
 
@@ -80,14 +80,14 @@
 
 
 class Lifecycle:
-    """The state of one thing that follows a chart.
+    """State of one object of a chart, such as one link.
 
     Parameters
     ----------
     chart
-        The chart to follow, from its initial state on.
+        Name of the chart; the object starts in its initial state.
     observer
-        Called after each change with the former state, event and new state.
+        Called after each transition with the former state, event and new state.
 
     Examples
     --------
@@ -108,21 +108,21 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing can follow."""
+        """Whether the state is final."""
         return self._machine.get_state(self.state).final
 
     def can(self, event: str) -> bool:
-        """Return whether the event leads anywhere from here."""
+        """Return whether the chart has a transition for the event in this state."""
         known = self._machine.events.get(event)
         return known is not None and self.state in known.transitions
 
     def fire(self, event: str) -> str:
-        """Follow the event and return the new state.
+        """Make the transition of the event and return the new state.
 
         Raises
         ------
         LifecycleError
-            The chart has no such event in this state; the state is unchanged.
+            The chart has no transition for the event; the state is unchanged.
         """
         source = self.state
         try:
--- a/src/ragwortkeel/logs.py
+++ b/src/ragwortkeel/logs.py
@@ -1,8 +1,8 @@
 """Logs by eliot: one line of key=value pairs for each event, on standard output.
 
-A reader of the log that stops reading must not stop the daemon: lines that do
-not fit into the pipe are dropped and counted, and the count is logged once
-there is room again.
+A log collector that stops reading must not block the daemon: lines that do not fit
+into the pipe are dropped and counted, and the count is logged once the pipe accepts
+data again.
 """
 
 import os
@@ -14,7 +14,8 @@
 import msgspec
 
 MAX_LINE_BYTES = 4096
-"""PIPE_BUF: a pipe that polls as writable takes this much without blocking."""
+"""Limit of a line, equal to PIPE_BUF: a pipe that polls as writable accepts that many
+bytes without blocking."""
 
 STANDARD_OUTPUT = 1
 _TRUNCATION_MARK = b"...\n"
@@ -24,7 +25,7 @@
 
 
 class Level(IntEnum):
-    """How much an event matters."""
+    """Severity of an event."""
 
     DEBUG = 10
     INFO = 20
@@ -33,14 +34,14 @@
 
 
 class LineDestination:
-    """An eliot destination that writes lines without ever blocking.
+    """Eliot destination that writes lines and never blocks.
 
     Parameters
     ----------
     fd
-        The file descriptor to write to.
+        File descriptor to write to.
     level
-        Events below are not written.
+        Lowest level that is written.
     """
 
     def __init__(self, *, fd: int = STANDARD_OUTPUT, level: Level = Level.INFO) -> None:
@@ -60,9 +61,9 @@
             self.dropped += 1
 
     def _write(self, line: bytes) -> bool:
-        # A full pipe would block the whole kernel, and with it every request of
-        # this process.  Up to PIPE_BUF bytes a pipe that polls as writable takes
-        # at once, so this write cannot block.
+        # A write to a full pipe would block the kernel and with it every request of
+        # this process.  A pipe that polls as writable accepts PIPE_BUF bytes, so
+        # this write cannot block.
         if not any(event & select.POLLOUT for _, event in self._poll.poll(0)):
             return False
         try:
@@ -73,7 +74,7 @@
 
 
 def render(message: Mapping[str, object]) -> bytes:
-    """Return an eliot message as one line, cut to `MAX_LINE_BYTES`."""
+    """Return an eliot message as one line, truncated to `MAX_LINE_BYTES`."""
     event = message.get("message_type") or message.get("action_type") or "event"
     level = Level(message.get("level", Level.INFO)).name.lower()
     timestamp = f"{message.get('timestamp', 0.0):.6f}"
@@ -123,7 +124,7 @@
     plain = text.isprintable() and not _NEEDS_QUOTES.intersection(text)
     if text and plain:
         return text
-    # A lone surrogate, as in an undecodable path, is no valid JSON text.
+    # A lone surrogate, as in an undecodable path, can't be encoded as JSON.
     encodable = text.encode("utf-8", "backslashreplace").decode()
     return msgspec.json.encode(encodable).decode()
 
@@ -131,27 +132,27 @@
 def configure_logs(
     *, level: Level = Level.INFO, fd: int = STANDARD_OUTPUT
 ) -> LineDestination:
-    """Send all events of this process to `fd`; call once on start."""
+    """Write all events of this process to `fd`; call it once at the start."""
     destination = LineDestination(fd=fd, level=level)
     eliot.add_destinations(destination)
     return destination
 
 
 def log_debug(event: str, **fields: object) -> None:
-    """Log what only helps to trace a fault."""
+    """Log an event that is useful only for finding a fault."""
     eliot.log_message(event, level=Level.DEBUG, **fields)
 
 
 def log_info(event: str, **fields: object) -> None:
-    """Log what an operator may want to see on an ordinary day."""
+    """Log an event that operators may want to see in normal operation."""
     eliot.log_message(event, level=Level.INFO, **fields)
 
 
 def log_warning(event: str, **fields: object) -> None:
-    """Log what an operator should look at when it goes on."""
+    """Log an event that operators should investigate if it persists."""
     eliot.log_message(event, level=Level.WARNING, **fields)
 
 
 def log_error(event: str, **fields: object) -> None:
-    """Log what went wrong in this process itself."""
+    """Log a failure of this process itself."""
     eliot.log_message(event, level=Level.ERROR, **fields)
--- a/src/ragwortkeel/membership.py
+++ b/src/ragwortkeel/membership.py
@@ -1,9 +1,10 @@
-"""Which registered nodes are there: decisions from two kinds of evidence.
+"""Liveness of the registered processes, from heartbeats and the platform's list.
 
-The platform's list of instances lags and may stand still; heartbeats stop where
-a link is cut or a process is paused.  Either alone is wrong in an ordinary
-fault, so a node is dead only once both say so, and heartbeats heard outweigh
-any list.  Being dead is no verdict on its budget: that is what seals are for.
+The platform's list of instances lags and may stop changing; heartbeats stop while a
+link is disconnected or a process is suspended.  Each of them alone is wrong in an
+ordinary fault.  So a process counts as failed only if it is both silent and missing
+from the list, and a received heartbeat overrides any list.  A failed process may still
+spend its budget until its incarnation is sealed.
 """
 
 from collections.abc import Iterable
@@ -18,23 +19,27 @@
 from ragwortkeel.platform import Instance
 
 SILENCE_SECONDS = 3.5
-"""As long as links wait: three heartbeats and some slack."""
+"""Silence after which a process is suspect.  It covers three heartbeats and some delay,
+and equals the time after which links count as silent."""
 
 MIN_MISSED_LISTS = 2
-"""One list may be read in the moment a platform comes back with half of it."""
+"""Number of lists that must lack a silent process before it counts as failed.  A single
+list may be incomplete while the platform recovers from an outage."""
 
 LIST_SPACING_SECONDS = 2.0
-"""Lists closer together may show the same lagging state twice."""
+"""Interval between lists that count separately.  Lists at a shorter interval may both
+show the same outdated state."""
 
 IDLE_LIST_SECONDS = 30.0
-"""With nobody silent; 1,000 nodes then read some 33 lists a second."""
+"""Interval between lists while no process is suspect.  With 1,000 processes the
+platform then serves about 33 lists/s."""
 
 RESPONSIBLE_ROUTERS = 2
-"""Routers that act on one death; one of them may be dead itself."""
+"""Number of routers that act on a failed process; one of them may have failed too."""
 
 
 class Liveness(StrEnum):
-    """What a node is taken for."""
+    """Liveness of a process, as judged by another one."""
 
     STARTING = "starting"
     LIVE = "alive"
@@ -55,13 +60,17 @@
     last_missed_at: float = 0.0
 
     def silent_since(self) -> float | None:
-        """Return from when its silence counts; None where nobody listens."""
-        heard = [at for at in (self.probed_at, self.last_received_at) if at is not None]
-        return max(heard, default=None)
+        """Return the time of the last message or probe; None before the first."""
+        moments = [
+            at for at in (self.probed_at, self.last_received_at) if at is not None
+        ]
+        return max(moments, default=None)
 
 
 class Membership:
-    """The members as one node sees them.  All times are monotonic seconds.
+    """Registered processes and their liveness, as judged by one process.
+
+    All times are monotonic seconds.
 
     .. versionadded:: 0.1
     """
@@ -72,7 +81,7 @@
         self._list_asked_at: float | None = None
 
     def add(self, node: Node) -> None:
-        """Note a node that is registered in the platform."""
+        """Add a node that is registered in the platform."""
         if node.incarnation in self._member_by_incarnation:
             return
         self._last_registration_number += 1
@@ -80,25 +89,25 @@
         self._member_by_incarnation[node.incarnation] = member
 
     def remove(self, incarnation: str) -> None:
-        """Forget a node that took itself off."""
+        """Remove a node whose registration was deleted."""
         self._member_by_incarnation.pop(incarnation, None)
 
     def apply(self, objects: Iterable[VersionedObject]) -> None:
-        """Note what the configuration brought of nodes; other kinds are ignored."""
-        for one in objects:
-            if one.kind != NODES:
+        """Apply changed node objects of the configuration; ignore other kinds."""
+        for changed in objects:
+            if changed.kind != NODES:
                 continue
-            if one.gone:
-                self.remove(one.name)
+            if changed.gone:
+                self.remove(changed.name)
                 continue
             try:
-                self.add(msgspec.json.decode(one.value, type=Node))
+                self.add(msgspec.json.decode(changed.value, type=Node))
             except msgspec.DecodeError:
-                # Nothing can be sent to a node that nobody can read.
+                # An unreadable object has no address to connect to.
                 continue
 
     def record_probe(self, incarnation: str, now: float) -> None:
-        """Note that a link to the node was opened: from now on silence counts."""
+        """Record that a link to the node was opened, from which its silence counts."""
         member = self._member_by_incarnation.get(incarnation)
         if member is not None and member.probed_at is None:
             member.probed_at = now
@@ -106,7 +115,7 @@
     def record_message(
         self, incarnation: str, now: float, *, leaving: bool = False
     ) -> None:
-        """Note a heartbeat or any other message of the node."""
+        """Record a heartbeat or any other message of the node."""
         member = self._member_by_incarnation.get(incarnation)
         if member is None:
             return
@@ -115,9 +124,11 @@
         member.missed_lists = 0
 
     def merge_list(self, instances: Iterable[Instance], *, asked_at: float) -> None:
-        """Note the platform's list, as asked for at `asked_at`."""
+        """Merge the platform's list of instances that was requested at `asked_at`."""
         self._list_asked_at = asked_at
-        leaving_by_address = {one.address: one.leaving for one in instances}
+        leaving_by_address = {
+            instance.address: instance.leaving for instance in instances
+        }
         latest_by_address = {
             member.node.address: member.registration_number
             for member in sorted(
@@ -126,7 +137,7 @@
         }
         for member in self._members():
             address = member.node.address
-            # Two incarnations at one address: the list speaks of the later one.
+            # An entry belongs to the latest incarnation that registered its address.
             latest = latest_by_address[address] == member.registration_number
             if latest and address in leaving_by_address:
                 member.listed = True
@@ -137,17 +148,17 @@
                 _count_miss(member, asked_at)
 
     def node(self, incarnation: str) -> Node | None:
-        """Return a registered node."""
+        """Return a registered node, or None."""
         member = self._member_by_incarnation.get(incarnation)
         return None if member is None else member.node
 
     def liveness(self, incarnation: str, now: float) -> Liveness | None:
-        """Return what a node is taken for; None where it is not registered."""
+        """Return the liveness of a node, or None where it is not registered."""
         member = self._member_by_incarnation.get(incarnation)
         return None if member is None else _liveness(member, now)
 
     def nodes(self, now: float, *liveness: Liveness) -> list[Node]:
-        """Return the nodes that are taken for one of these."""
+        """Return the nodes with one of these values of liveness."""
         return [
             member.node
             for member in self._members()
@@ -155,10 +166,10 @@
         ]
 
     def nodes_to_probe(self) -> list[Node]:
-        """Return nodes that the list lacks and that nobody listens to here.
+        """Return the nodes that the list lacks and that have no link to this process.
 
-        Without a link their silence says nothing, and a list that stands still
-        since before they came would remove them.
+        Silence counts only for a node that a link was opened to.  Without it, a list
+        that stopped changing before the node registered could not be refuted.
         """
         return [
             member.node
@@ -167,7 +178,7 @@
         ]
 
     def is_list_due(self, now: float) -> bool:
-        """Return whether the platform's list should be read now."""
+        """Return whether the platform's list is to be read now."""
         if self._list_asked_at is None:
             return True
         since = now - self._list_asked_at
@@ -175,15 +186,15 @@
         return since >= (LIST_SPACING_SECONDS if suspects else IDLE_LIST_SECONDS)
 
     def is_responsible(self, incarnation: str, now: float, own: str) -> bool:
-        """Return whether this router acts on the death of a node.
+        """Return whether this router acts on the failure of a node.
 
         Parameters
         ----------
         own : str
-            This router's incarnation.
+            Incarnation of this router.
         """
-        alive = self.nodes(now, Liveness.LIVE, Liveness.STARTING)
-        routers = {node.incarnation for node in alive if node.role == Role.ROUTER}
+        live = self.nodes(now, Liveness.LIVE, Liveness.STARTING)
+        routers = {node.incarnation for node in live if node.role == Role.ROUTER}
         chosen = rendezvous(incarnation, routers | {own}, RESPONSIBLE_ROUTERS)
         return own in chosen
 
@@ -206,19 +217,19 @@
 def _liveness(member: _Member, now: float) -> Liveness:
     silent_since = member.silent_since()
     if silent_since is None:
-        return _by_list_alone(member)
+        return _liveness_by_list(member)
     if now - silent_since < SILENCE_SECONDS:
         if member.last_received_at is None:
             return Liveness.STARTING
         return Liveness.LEAVING if member.leaving else Liveness.LIVE
-    # Both kinds of evidence, or neither counts: silence alone is also a cut or
-    # a pause, absence alone is also a list that stands still or lags.
+    # Silence alone may be a disconnected link or a suspended process; absence alone
+    # may be a list that lags or stopped changing.
     return (
         Liveness.FAILED if member.missed_lists >= MIN_MISSED_LISTS else Liveness.SUSPECT
     )
 
 
-def _by_list_alone(member: _Member) -> Liveness:
+def _liveness_by_list(member: _Member) -> Liveness:
     if member.leaving:
         return Liveness.LEAVING
     return Liveness.LIVE if member.listed else Liveness.STARTING
--- a/src/ragwortkeel/messages.py
+++ b/src/ragwortkeel/messages.py
@@ -1,9 +1,9 @@
-"""Messages between the system's own processes.
+"""Messages between the processes of the fleet.
 
-Every message travels in an `Envelope` with its sender's incarnation and the
-highest configuration revision that the sender has in force.  The codec is
-msgpack through msgspec; an unknown tag is refused by the decoder.  Large ones of some
-kinds are deflated: links of small instances carry callers' bytes beside them.
+Every message is sent in an `Envelope` with the sender's incarnation and the highest
+configuration revision that is in force at the sender.  The codec is msgpack through
+msgspec; the decoder refuses an unknown tag.  Large messages of some classes are
+deflated, because the links of small instances also carry callers' bytes.
 """
 
 import zlib
@@ -19,15 +19,15 @@
 class Message(msgspec.Struct, frozen=True, kw_only=True, tag=True, omit_defaults=True):
     """Base of all messages; the tag is the class name.
 
-    Fields that hold their default are left out: most heartbeats say nothing else, and
-    dozens of peers hear them twice a second.
+    Fields that hold their default are not sent: most heartbeats consist of defaults,
+    and each process sends one to dozens of peers twice a second.
     """
 
 
 class VersionedObject(msgspec.Struct, frozen=True, kw_only=True):
     """One configuration object with its platform version.
 
-    `gone` says that it was deleted or retired, which no version undoes.
+    `gone` marks a deleted or retired object; no later version restores it.
     """
 
     kind: str
@@ -38,7 +38,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a sidecar did not run a dispatch; it certainly did not run."""
+    """Reason why a sidecar refused a dispatch, which therefore never ran."""
 
     DRAINING = "draining"
     STOPPING = "stopping"
@@ -56,7 +56,7 @@
 
 
 class FailureReason(StrEnum):
-    """Why a run ended without a whole answer; it may have taken effect."""
+    """Reason why a run ended without a complete answer; it may have taken effect."""
 
     CRASHED = "crashed"
     TRUNCATED = "truncated"
@@ -70,7 +70,7 @@
 
 
 class RunState(StrEnum):
-    """What a sidecar knows of a run."""
+    """State of a run at a sidecar."""
 
     UNSEEN = "unseen"
     RUNNING = "running"
@@ -80,16 +80,17 @@
 
 
 class Dispatch(Message):
-    """Run this request at your upstream, within the reservation.
-
-    `nonce` names this attempt; `reservation` is in tokens; `budget_seconds`
-    is the time left until the caller's deadline.  `epoch` is the one of the
-    sidecar's last heartbeat when the nonce was minted; a request that must not
-    repeat is refused without it (docs/design/runs.md).
-    `promised_seconds` is the profile's promise of the first token where it binds.
-    With `alone` the sidecar first lets what runs there end, and starts nothing
-    beside it.  `fingerprint` is the body's for the quarantine, where the router
-    has changed the body; left empty, the sidecar takes it from `body`.
+    """Order to run a request at the sidecar's upstream, within the reservation.
+
+    `nonce` identifies this attempt.  `reservation` is in tokens.  `budget_seconds`
+    is the time left until the caller's deadline.  `epoch` is the epoch in the
+    sidecar's last heartbeat before the nonce was created; a request that must not
+    repeat is refused without it (docs/design/runs.md).  `promised_seconds` is the time
+    to the first token that the profile promises, or 0 where no promise applies.
+    With `alone` the sidecar waits until the runs at the upstream have ended, and
+    starts no other run beside this one.  `fingerprint` identifies the original body
+    for the quarantine where the router has changed the body; where it is empty, the
+    sidecar computes it from `body`.
     """
 
     request_id: str
@@ -115,7 +116,7 @@
 
 
 class Refused(Message):
-    """The dispatch did not run and never will under this nonce."""
+    """Refusal of a dispatch: it did not run and never will under this nonce."""
 
     nonce: str
     reason: RefusalReason
@@ -124,7 +125,7 @@
 
 
 class Started(Message):
-    """The upstream has accepted the run; status and content type of the answer."""
+    """Start of a run's answer, with the upstream's status and content type."""
 
     nonce: str
     status: int
@@ -132,7 +133,7 @@
 
 
 class Chunk(Message):
-    """Bytes of the answer from `offset` on."""
+    """Bytes of a run's answer from `offset` on."""
 
     nonce: str
     offset: int
@@ -140,7 +141,7 @@
 
 
 class Finished(Message):
-    """The answer is whole at `length` bytes and cost `tokens`."""
+    """End of a run with a complete answer of `length` bytes that cost `tokens`."""
 
     nonce: str
     status: int
@@ -150,7 +151,7 @@
 
 
 class Failed(Message):
-    """The run ended without a whole answer, after `tokens` were spent.
+    """End of a run without a complete answer, after `tokens` were spent.
 
     `reason` is a `FailureReason`.
     """
@@ -162,23 +163,23 @@
 
 
 class Cancel(Message):
-    """The caller is gone or was answered otherwise; stop the run."""
+    """Order to stop a run whose caller disconnected or already has an answer."""
 
     nonce: str
 
 
 class Locate(Message):
-    """Ask whether a run of this request exists here."""
+    """Question whether the receiver has a run of this request."""
 
     profile: str
     request_id: str
 
 
 class Located(Message):
-    """Answer to `Locate`; `nonce` names the run to resume.
+    """Answer to `Locate`; `nonce` identifies the run to resume.
 
-    `fingerprint` is of the body that runs there: one key with another body is a
-    caller's mistake and must not get this answer.
+    `fingerprint` identifies the body of that run.  A request with the same key and
+    another body is a mistake of the caller and must not get the answer of this run.
     """
 
     profile: str
@@ -190,17 +191,18 @@
 
 
 class Resume(Message):
-    """Replay the answer of a run from `offset`, then follow it."""
+    """Order to send the answer of a run from `offset`, then its later chunks."""
 
     nonce: str
     offset: int
 
 
 class Tombstone(Message):
-    """Promise never to run this nonce, unless it already ran.
+    """Order never to run this nonce, unless it already ran.
 
-    `sidecar` is the incarnation that was to run it; any other answers `UNSEEN`,
-    which promises nothing.  Left empty, the asker has to check who answers.
+    `sidecar` is the incarnation that the dispatch was sent to.  Any other incarnation
+    answers `UNSEEN`, which guarantees nothing.  Where `sidecar` is empty, the sender
+    has to check which incarnation answers.
     """
 
     nonce: str
@@ -208,20 +210,20 @@
 
 
 class TombstoneResult(Message):
-    """What the sidecar knew of the nonce; `TOMBSTONED` means it never ran."""
+    """State of the nonce at the sidecar; `TOMBSTONED` means that it never ran."""
 
     nonce: str
     state: RunState
 
 
 class Seal(Message):
-    """Refuse this router incarnation from now on, and report what it ran."""
+    """Order to refuse a router incarnation from now on and to report its runs."""
 
     router: str
 
 
 class RunReceipt(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run cost; the bill is the set of these by profile and request."""
+    """Cost of one run; a bill is the set of receipts by profile and request."""
 
     profile: str
     request_id: str
@@ -233,11 +235,11 @@
 
 
 class Sealed(Message):
-    """The seal is in force here; what the router ran here, in tokens by profile.
+    """Confirmation of a seal, with the tokens of the router's runs by profile.
 
-    `ran` is cumulative over the runs that have ended, `running` the reservations
-    of those that have not.  The figures of a profile are final once it is not in
-    `running`; the sidecar sends them again when the last run has ended.
+    `ran` is the sum over the runs that have ended; `running` is the sum of the
+    reservations of the runs that have not.  The figures of a profile are final once
+    it is not in `running`; the sidecar sends them again when the last run has ended.
     """
 
     router: str
@@ -248,21 +250,24 @@
 
 
 class ReceiptsDurable(Message):
-    """The receipts of these nonces are in the platform; drop them."""
+    """Confirmation that the platform stores these receipts; discard them."""
 
     nonces: tuple[str, ...]
 
 
 class OutcomeDurable(Message):
-    """The intents of these must-not-repeat nonces hold their outcomes."""
+    """Confirmation that the intents of these nonces hold their outcomes.
+
+    The nonces are those of requests that must not repeat.
+    """
 
     nonces: tuple[str, ...]
 
 
 class Heartbeat(Message):
-    """I am alive; a sidecar also reports its load, a router sends zeros.
+    """Sign that the sender is live; a sidecar also reports its load, a router zeros.
 
-    `epoch` is what dispatches minted from now on carry.
+    `epoch` goes into all dispatches that are created from now on.
     """
 
     running: int = 0
@@ -273,11 +278,11 @@
 
 
 class ConfigurationDigest(Message):
-    """Hash by kind over all that the sender holds, and how far it is complete.
+    """Hash by kind over the sender's configuration, and how complete it is.
 
-    `complete` is, by kind, the platform's revision up to which the sender has
-    seen every change; `ages` is how many seconds ago the platform said so, to
-    the sender or to whom it has it from.
+    `complete` is, by kind, the platform's revision up to which the sender has every
+    change.  `ages` is the number of seconds since the platform confirmed that
+    revision, to the sender or to the process that forwarded it.
     """
 
     roots: dict[str, int]
@@ -286,7 +291,7 @@
 
 
 class ConfigurationBranches(Message):
-    """Hash of each branch of a kind, for a peer whose digest differs."""
+    """Hash of each branch of a kind, sent to a peer whose digest differs."""
 
     kind: str
     hashes: tuple[int, ...]
@@ -301,7 +306,7 @@
 
 
 class ConfigurationRanks(Message):
-    """What the sender holds in some leaves, as ``(gone, version)`` by name."""
+    """Objects that the sender has in some leaves, as ``(gone, version)`` by name."""
 
     kind: str
     leaves: tuple[int, ...]
@@ -309,21 +314,24 @@
 
 
 class ConfigurationPush(Message):
-    """Objects the receiver may not have yet; where `more`, ask again."""
+    """Objects that the receiver may lack; with `more`, it has to pull again."""
 
     objects: tuple[VersionedObject, ...]
     more: bool = False
 
 
 class ConfigurationPull(Message):
-    """Please push these objects of a kind where they outrank these ranks."""
+    """Request to push those objects of a kind that are newer than these ranks."""
 
     kind: str
     ranks: dict[str, tuple[bool, int]]
 
 
 class CrashSeen(Message):
-    """An upstream crashed with these bodies on it; passed on by who hears it first."""
+    """Crash of an upstream, with the fingerprints of the bodies that ran there.
+
+    A process that receives it for the first time forwards it.
+    """
 
     crash_id: str
     fingerprints: tuple[str, ...]
@@ -331,7 +339,7 @@
 
 
 class SliceRequest(Message):
-    """A router short of tokens asks another to give part of its slice."""
+    """Request of a router that lacks tokens for some of a peer's slice."""
 
     profile: str
     tokens: int
@@ -339,7 +347,7 @@
 
 
 class SliceTransfer(Message):
-    """Tokens already taken off the sender's slice; resent until acknowledged."""
+    """Tokens already deducted from the sender's slice; resent until acknowledged."""
 
     profile: str
     tokens: int
@@ -347,13 +355,13 @@
 
 
 class SliceTransferred(Message):
-    """The transfer is recorded; the sender may forget it."""
+    """Acknowledgement of a transfer, which the sender may now discard."""
 
     transfer_id: str
 
 
 class PlatformOperation(StrEnum):
-    """What a process asks a peer to ask the platform for it."""
+    """Operation that a peer executes at the platform on behalf of the sender."""
 
     GET = "get"
     LIST = "list"
@@ -363,7 +371,7 @@
 
 
 class PlatformCall(Message):
-    """A call of the platform on behalf of a sender that does not reach it.
+    """Platform call for a peer to execute, from a sender that can't reach it.
 
     `version` is that of a conditional update, or the revision to watch from;
     `seconds` is how long a watch waits.
@@ -379,7 +387,7 @@
 
 
 class PlatformError(StrEnum):
-    """How a relayed call failed; named as the errors of the platform client."""
+    """Error of a relayed call; the names are those of the platform client's errors."""
 
     NONE = "none"
     UNAVAILABLE = "unavailable"
@@ -391,10 +399,11 @@
 
 
 class PlatformAnswer(Message):
-    """The answer to a relayed call.
+    """Answer to a relayed call.
 
-    `objects` hold what was read or what changed, with `gone` for a deletion;
-    `version` is that of a write, or the revision of a list or watch.
+    `objects` are the objects that were read or that changed, with `gone` for a
+    deletion.  `version` is the version of a written object, or the revision of a list
+    or watch.
     """
 
     call_id: int
@@ -405,9 +414,9 @@
 
 
 class UpstreamLoad(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What one ingress process has at an upstream, in requests and tokens.
+    """Load of one ingress process at an upstream, in requests and tokens.
 
-    On the wire it has no field names: dozens of loads go to each peer.
+    It is sent without field names, since each peer receives dozens of loads.
     """
 
     running: int
@@ -416,9 +425,9 @@
 
 
 class AnnouncedLimit(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What an upstream's answer said of its rate limit, so many seconds ago.
+    """Rate limit that an upstream's answer announced `age_seconds` ago.
 
-    `per_second` is for the whole fleet; None ends an earlier limit.
+    `per_second` is in requests of the entire fleet; None ends an earlier limit.
     """
 
     per_second: float | None
@@ -426,16 +435,29 @@
 
 
 class IngressState(Message):
-    """What an ingress process has where, and whom it knows.
-
-    `address` is the sender's own, `addresses` are those of its peers; `relays` are
-    those among them (or itself) that only relay calls of the platform;
-    `writing_step` says how slowly the sender writes ledgers, see `budget.write_order`;
-    `parts_by_upstream` holds, by upstream, tokens by chain of shared prompt parts that
-    it began to read since the last such message, or all of them for a `PartsCall`;
-    `upstreams_revision` is that of the newest change of an upstream's entry it knows;
-    `evacuations_revision` and `evacuated_zones` are as in `EvacuatedZones`;
-    `limit_by_upstream` holds what answers to the sender said lately.
+    """State of an ingress process: its load by upstream and the peers it knows.
+
+    Attributes
+    ----------
+    address : str
+        Address of the sender.
+    addresses : tuple of str
+        Addresses of the sender's peers.
+    relays : tuple of str
+        Those addresses, including the sender's, whose processes only relay platform
+        calls.
+    writing_step : int
+        Latency class of the sender's ledger writes; see `budget.write_order`.
+    parts_by_upstream : dict of str to dict of int to int
+        By upstream, tokens by prefix hash of the shared prompt blocks that the
+        upstream began to read since the last such message; all of them in the answer
+        to a `PartsCall`.
+    upstreams_revision : int
+        Revision of the newest change of an upstream's entry that the sender has.
+    evacuations_revision, evacuated_zones : int, tuple of str
+        Fields of `EvacuatedZones`.
+    limit_by_upstream : dict of str to AnnouncedLimit
+        Limits that recent answers to the sender announced.
     """
 
     node: str
@@ -464,11 +486,12 @@
     Attributes
     ----------
     since, revision : int
-        A receiver that has all changes up to the first has them up to the second now.
+        A receiver that had all changes up to `since` has all up to `revision` with
+        this message.
     objects : tuple of VersionedObject
-        The entries that changed, with `gone` for those that vanished.
+        Changed entries, with `gone` for the deleted ones.
     lapse_seconds : float
-        For so long entries may be missing because of an outage of the platform.
+        Time for which entries may be missing because of an outage of the platform.
     """
 
     since: int
@@ -478,11 +501,11 @@
 
 
 class PartsCall(Message):
-    """Asks for all that the receiver knows of shared prompt parts, after a start."""
+    """Request for all shared prompt blocks that the receiver has, sent at a start."""
 
 
 class LoanRequest(Message):
-    """An ingress process lacks tokens of a customer; see `budget.sizing.SliceNeed`."""
+    """Request for tokens of a customer; see `budget.sizing.SliceNeed`."""
 
     customer: str
     lacking: int
@@ -492,10 +515,11 @@
 
 
 class TokenLoan(Message):
-    """What an ingress process does for a peer that lacks tokens.
+    """Answer to a `LoanRequest`.
 
-    `tokens` it has charged to its own slice; `returned` it has given back to the
-    ledger, where the peer may take them.  Both are 0 where it has none.
+    `tokens` is the number of tokens lent, already charged to the sender's slice.
+    `returned` is the number that the sender has returned to the ledger, from which the
+    receiver may take them.  Both are 0 where the sender has no tokens to spare.
     """
 
     customer: str
@@ -504,14 +528,14 @@
 
 
 class RenewalCall(Message):
-    """The sender is about to write the ledgers and would take renewals along."""
+    """Request for renewals, which the sender includes in its next ledger write."""
 
 
 class Start(msgspec.Struct, frozen=True, kw_only=True):
-    """The clocks at a process's start, and which earlier starts it knows of.
+    """Clocks at the start of a process, and the earlier starts that it knows.
 
-    `latest` bounds the time of day from above by the clocks of the fleet, where that
-    was known; see `budget.clocks`.
+    `latest` is an upper bound of the time of day by the clocks of the fleet, or None
+    where no bound was known; see `budget.clocks`.
     """
 
     boot: float
@@ -521,20 +545,21 @@
 
 
 class HandedRenewals(Message):
-    """Renewals of one process that another may write along with its own.
+    """Delegated renewals of one process, which a peer writes along with its own.
 
     Attributes
     ----------
     holder : str
         Incarnation of the sender.
     stamp : Stamp
-        When it was made; a later one of the same holder replaces it.
+        Time at which the message was made; a later message of the same holder
+        replaces it.
     urgent : bool
-        Whether callers wait for it, so that it is to be written at once.
+        Whether callers wait for the renewals, which are then written at once.
     start : Start or None
-        Of a process whose earlier starts are still to be charged.
+        Start of a process whose earlier starts are still to be charged.
     wanted : tuple of str
-        Customers without a renewal here whose ledgers the sender wants to see.
+        Customers without a renewal in this message whose ledgers the sender needs.
     """
 
     holder: str
@@ -546,10 +571,10 @@
 
 
 class WriteOutcome(StrEnum):
-    """What became of a write.
+    """Outcome of a write.
 
-    After `NOT_DONE` and `UNREACHABLE` nothing was written and never will be; the
-    second says that the platform did not take the call.
+    After `NOT_DONE` and `UNREACHABLE` nothing was written and never will be;
+    `UNREACHABLE` means that the platform did not accept the call.
     """
 
     DONE = "done"
@@ -559,19 +584,18 @@
 
 
 class RenewalsWritten(Message):
-    """What became of a peer's `HandedRenewals`.
+    """Outcome of writing a peer's `HandedRenewals`.
 
     Attributes
     ----------
     boot : float
-        Of the stamp of the renewals that this answers.
+        Boot clock in the stamp of the renewals that this message answers.
     revision : int
-        Of the configuration whose budgets the ledgers hold.
+        Revision of the configuration whose budgets the ledgers hold.
     grant_by_customer : dict of str to Grant
-        What was written for the holder.
+        Grants that were written for the holder.
     summary_by_customer : dict of str to Ledger
-        The ledgers that the holder wants to see, after the write; see
-        `budget.summary`.
+        Ledgers that the holder asked for, after the write; see `budget.summary`.
     """
 
     boot: float
@@ -582,13 +606,13 @@
 
 
 class ClockQuestion(Message):
-    """What time is it there?  `asked_at` is the asker's boot clock, in seconds."""
+    """Question for the time of day; `asked_at` is the sender's boot clock, in s."""
 
     asked_at: float
 
 
 class ClockAnswer(Message):
-    """The sender's time of day, in seconds, and the question's `asked_at`."""
+    """Time of day at the sender, in seconds, and the question's `asked_at`."""
 
     asked_at: float
     wall: float
@@ -643,7 +667,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, kw_only=True):
-    """A message with who sent it and how new its configuration is."""
+    """Message with the sender's incarnation and configuration revision."""
 
     sender: str
     revision: int
@@ -662,26 +686,26 @@
     RenewalsWritten,
     UpstreamChanges,
 )
-"""What goes between entry instances and repeats names of fields, routes and holders.
-What carries callers' bytes is left as it is, for the processor's sake."""
+"""Messages between entry instances that repeat names of fields, routes and holders.
+Messages with callers' bytes are not deflated, to save processor time."""
 
 MIN_DEFLATED_BYTES = 1024
-"""Smaller messages fit into one packet anyway."""
+"""Smaller messages fit into one packet without deflating."""
 
 DEFLATE_LEVEL = 1
-"""Of zlib: the quickest makes 10 KB of a configuration of 74, and 4 of a summary of
-the ledgers of 10."""
+"""Fastest level of zlib.  It deflates a configuration of 74 KB to 10 KB and a summary
+of the ledgers of 10 KB to 4 KB."""
 
 _ZLIB_FIRST_BYTE = b"\x78"
-"""First byte of all that zlib makes; an envelope in msgpack begins with a map."""
+"""First byte of zlib data; an envelope in msgpack begins with the byte of a map."""
 
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024
-"""Inflated; several of the platform's largest values.  A few bytes from a stranger
-must not fill the memory."""
+"""Limit of an inflated message, several times the platform's largest value.  It keeps
+a few bytes of a foreign sender from filling the memory."""
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the wire form."""
+    """Return the bytes to send for an envelope."""
     data = _encoder.encode(envelope)
     if len(data) < MIN_DEFLATED_BYTES:
         return data
@@ -691,7 +715,13 @@
 
 
 def decode(data: bytes) -> Envelope:
-    """Return the envelope; `msgspec.DecodeError` where it is not one."""
+    """Return the envelope in `data`.
+
+    Raises
+    ------
+    msgspec.DecodeError
+        `data` is no envelope, or is too large when inflated.
+    """
     if data.startswith(_ZLIB_FIRST_BYTE):
         data = _inflate(data)
     return _decoder.decode(data)
@@ -704,5 +734,5 @@
     except zlib.error as exc:
         raise msgspec.DecodeError(str(exc)) from exc
     if not inflater.eof:
-        raise msgspec.DecodeError("cut off, or larger than a message may be")
+        raise msgspec.DecodeError("deflated message is truncated or too large")
     return rv
--- a/src/ragwortkeel/metrics.py
+++ b/src/ragwortkeel/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics by prometheus_client: one registry for each daemon.
+"""Metrics by prometheus_client, with one registry for each daemon.
 
-Labels come from small closed sets, and upstreams from the linked ones.  Profiles,
-customers and request ids are never labels: a quarter of a million time series
-would outweigh the daemon.
+Label values come from small closed sets; upstream labels are the linked upstreams.
+Profiles, customers and request ids are never labels, because a quarter of a million
+time series would use more memory than the daemon itself.
 """
 
 from prometheus_client import (
@@ -19,13 +19,13 @@
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 FIRST_TOKEN_BUCKETS = (0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0)
-"""Around the promise of 1.5 s for the first token."""
+"""Upper bounds in seconds, around the promise of 1.5 s for the first token."""
 
 QUEUE_WAIT_BUCKETS = (0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 15.0)
 
 
 class Metrics:
-    """What one daemon counts.
+    """Counters, gauges and histograms of one daemon.
 
     Examples
     --------
@@ -145,15 +145,15 @@
         )
 
     def request_ended(self, *, service: str, outcome: str, reason: str) -> None:
-        """Count one final answer."""
+        """Count a request by its final answer."""
         self._requests.labels(service, outcome, reason).inc()
 
     def decided(self, *, decision: str, reason: str) -> None:
-        """Count one decision under load."""
+        """Count a decision under load."""
         self._decisions.labels(decision, reason).inc()
 
     def attempt_failed(self, *, failure: str) -> None:
-        """Count an attempt that failed."""
+        """Count a failed attempt."""
         self._failures.labels(failure).inc()
 
     def retry_decided(self, *, service: str, cause: str, allowed: bool) -> None:
@@ -161,16 +161,16 @@
         self._retries.labels(service, cause, str(allowed).lower()).inc()
 
     def upstream_crashed(self) -> None:
-        """Count a crash heard of."""
+        """Count a crash of an upstream that became known to this process."""
         self._crashes.inc()
 
     def upstream(self, *, name: str, limit: int, load: int) -> None:
-        """Note the limit and load of a linked upstream."""
+        """Set the limit and load of a linked upstream, in requests."""
         self._upstream_limit.labels(name).set(limit)
         self._upstream_load.labels(name).set(load)
 
     def upstream_announced(self, *, name: str, limit: float | None) -> None:
-        """Note the rate limit that an upstream announced; None for none."""
+        """Set an upstream's announced limit in requests/s, or remove it for None."""
         gauge = self._upstream_announced.labels(name)
         if limit is None:
             self._upstream_announced.remove(name)
@@ -178,23 +178,23 @@
         gauge.set(limit)
 
     def tokens_spent(self, *, service: str, tokens: int) -> None:
-        """Add tokens that were billed."""
+        """Add billed tokens."""
         self._tokens.labels(service).inc(tokens)
 
     def slice_operation(self, *, operation: str, outcome: str) -> None:
-        """Count one take, return, settle or transfer of a slice."""
+        """Count an operation on a slice: take, return, settle, renew or transfer."""
         self._slices.labels(operation, outcome).inc()
 
     def receipts(self, *, state: str, count: int = 1) -> None:
-        """Count receipts that were made or became durable."""
+        """Count receipts that were created or became durable."""
         self._receipts.labels(state).inc(count)
 
     def link_lost(self, *, peer: str) -> None:
-        """Count a link whose peer, of that role, went silent."""
+        """Count a link that was lost because its peer, of that role, was silent."""
         self._links_lost.labels(peer).inc()
 
     def link_traffic(self, report: TrafficReport) -> None:
-        """Add the bytes that links carried since the last report."""
+        """Add the bytes of a report on links."""
         for kind, size in report.sent_bytes_by_kind.items():
             self._link_bytes.labels("sent", kind).inc(size)
         for kind, size in report.received_bytes_by_kind.items():
@@ -205,40 +205,40 @@
         self._platform_errors.labels(error).inc()
 
     def platform_called(self, *, operation: str, kind: str, outcome: str) -> None:
-        """Count one call to the platform."""
+        """Count a call to the platform."""
         self._platform_calls.labels(operation, kind, outcome).inc()
 
     def configuration_in_force(self, *, revision: int) -> None:
-        """Note the highest revision in force."""
+        """Set the highest configuration revision in force here."""
         self._revision.set(revision)
 
     def peer_configuration_in_force(self, *, revision: int) -> None:
-        """Note the highest revision that a peer has in force."""
+        """Set the highest configuration revision in force at a peer."""
         self._peer_revision.set(revision)
 
     def zone_evacuated(self, *, zone: str, since: float) -> None:
-        """Note since when an availability zone is evacuated; 0 once it is back."""
+        """Set the time of an availability zone's evacuation; 0 once it has ended."""
         self._zone_evacuated_since.labels(zone).set(since)
 
     def load(self, *, running: int, queued: int) -> None:
-        """Note how many requests are open and how many of them wait."""
+        """Set the number of open requests and how many of them are queued."""
         self._open_requests.set(running)
         self._queued_requests.set(queued)
 
     def slice_tokens(self, *, tokens: int) -> None:
-        """Note the tokens held in slices."""
+        """Set the number of unspent tokens in slices."""
         self._slice_tokens.set(tokens)
 
     def queue_waited(self, *, service: str, seconds: float) -> None:
-        """Note how long a request waited."""
+        """Record the time that a request waited for its dispatch."""
         self._queue_wait.labels(service).observe(seconds)
 
     def first_token(self, *, service: str, seconds: float) -> None:
-        """Note how long the first token took."""
+        """Record the time until the first token of a request."""
         self._first_token.labels(service).observe(seconds)
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _counter(self, name: str, help: str, labels: tuple[str, ...]) -> Counter:
--- a/src/ragwortkeel/probes.py
+++ b/src/ragwortkeel/probes.py
@@ -1,8 +1,8 @@
-"""What a daemon shows on its metrics port: health, metrics, traces, configuration.
+"""Probes on a daemon's metrics port: health, metrics, traces, configuration.
 
-``/healthz`` answers while the process answers at all; ``/readyz`` says whether
-the balancer should send callers here, and turns to 503 as soon as a planned
-stop begins.
+``/healthz`` returns 200 as long as the process serves requests.  ``/readyz`` returns
+200 while the balancer should send callers to this process, and 503 as soon as a
+planned stop begins.
 """
 
 from collections.abc import Callable
@@ -16,35 +16,36 @@
 JSON_TYPE = "application/json"
 TRACES_PREFIX = "/traces/"
 MAX_BODY_BYTES = 1024
-"""Nothing here takes a body."""
+"""Limit of a request body.  No probe needs one."""
 
 
 class Readiness(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether this daemon takes work, and the state of its lifecycle."""
+    """Whether this daemon accepts requests, and the state of its lifecycle."""
 
     ready: bool
     state: str
 
 
 class Problem(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a probe got nothing."""
+    """Error that a probe answers with."""
 
     status: int
     title: str
 
 
 class Probes:
-    """Answers the probes of one daemon.
+    """HTTP handler for the probes of one daemon.
 
     Parameters
     ----------
     readiness
-        Called for each ``/readyz``.
+        Called for each request of `ready_path`.
     in_force
-        Called for each ``/in-force`` with the ``kind`` and ``name`` asked for,
-        maybe empty: what is in force here, as an encodable value.
+        Called for each ``/in-force`` with the requested ``kind`` and ``name``, each
+        possibly empty; returns the configuration in force here as a value that can
+        be encoded as JSON.
     ready_path
-        What the balancer asks.
+        Path of the readiness probe that the balancer requests.
 
     .. versionadded:: 0.1
     """
@@ -65,7 +66,7 @@
         self._ready_path = ready_path
 
     def server(self, *, host: str, port: int) -> HttpServer:
-        """Return a server of these probes, not yet open."""
+        """Return an HTTP server for these probes, not yet open."""
         return HttpServer(
             host=host, port=port, handler=self.handle, max_body_bytes=MAX_BODY_BYTES
         )
--- a/src/ragwortkeel/process.py
+++ b/src/ragwortkeel/process.py
@@ -1,8 +1,9 @@
-"""What every daemon of the fleet does around its work: start, probes, reload, stop.
+"""Frame of every daemon of the fleet: start, probes, reload, stop.
 
-A TERM begins a planned stop: not ready, finish what is in flight, make durable
-what must last, exit 0.  A second signal, or the deadline, ends it at once; what
-was cut off is logged and the exit code is 1.
+SIGTERM or SIGINT begins a planned stop: the process reports that it is not ready,
+finishes the work in flight, makes its records durable and exits with 0.  A second
+signal, or the deadline, ends the stop at once; unfinished work is logged and the exit
+code is 1.
 """
 
 import signal
@@ -33,18 +34,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Leftover:
-    """What a stop left undone, by kind; all zero after a clean one."""
+    """Unfinished work after a stop, by kind; all counts are 0 after a clean stop."""
 
     counts: dict[str, int]
 
     @property
     def is_clean(self) -> bool:
-        """Whether nothing was left."""
+        """Whether the stop finished all work."""
         return not any(self.counts.values())
 
 
 class Worker(Protocol):
-    """The work of a daemon, as its process drives it."""
+    """Interface of a daemon's work, which `Process` runs."""
 
     metrics: Metrics
     tracing: Tracing
@@ -53,34 +54,34 @@
         """Bind the sockets."""
 
     async def run(self) -> None:
-        """Work until cancelled or failed."""
+        """Run until cancelled or failed."""
 
     @property
     def ready(self) -> bool:
-        """Whether work is taken."""
+        """Whether the worker accepts requests."""
 
     async def stop(self) -> Leftover:
-        """Finish what is in flight and make durable what must last."""
+        """Finish the work in flight, make records durable, return unfinished work."""
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return what is in force here of an object."""
+        """Return the version of an object that is in force here."""
 
 
 class Process:
-    """Runs a worker from start to exit code.
+    """Runner of a worker, from the start to the exit code.
 
     Parameters
     ----------
     worker
-        What the daemon does.
+        Work of the daemon.
     name
-        Of this node, in logs.
+        Name of this process in log lines.
     metrics_address
         ``ip:port`` of the probes.
     ready_path
-        Path on it that the balancer asks.
+        Path of the readiness probe that the balancer requests.
     reload
-        Called at each HUP, which says that the settings have changed.
+        Called at each SIGHUP, which announces that the settings file has changed.
 
     .. versionadded:: 0.1
     """
@@ -111,7 +112,7 @@
         self._probes = probes.server(host=address.host, port=address.port)
 
     async def main(self) -> int:
-        """Return the exit code once everything is over."""
+        """Run the worker and return the exit code of the process."""
         async with SignalQueue(*_SIGNALS) as signals:
             try:
                 self._worker.open()
@@ -139,7 +140,7 @@
                 await task.cancel()
 
     async def _stop_signal(self, signals) -> None:
-        """Wait for a signal that ends the process; a HUP reloads."""
+        """Wait for a signal that ends the process; reload at each SIGHUP."""
         while await signals.get() is signal.SIGHUP:
             self._reload_settings()
 
@@ -148,8 +149,8 @@
         try:
             self._reload()
         except SettingsError as exc:
-            # What is in force holds: a broken file must not stop a process that
-            # works, as it would at a start.
+            # The former settings stay in force: an invalid file stops a process
+            # only at its start.
             log_error("settings_refused", node=self._name, error=str(exc))
 
     async def _stop(self, signals) -> int:
@@ -188,7 +189,7 @@
 
 
 async def _ends_first(preferred, other) -> bool:
-    """Wait for either call; return whether the preferred one ended first."""
+    """Run both calls until one ends; return whether it was the preferred one."""
     async with curio.TaskGroup(wait=any) as group:
         first = await group.spawn(preferred)
         await group.spawn(other)
@@ -206,8 +207,8 @@
 def run_process(new_process: Callable[[], Process], *, level: LogLevel) -> int:
     """Run a process in a kernel of its own and return its exit code.
 
-    Plain curio tasks share one context, so that a log's or span's fields would
-    show up in another request; `ContextTask` keeps them apart.
+    Each `ContextTask` has its own context.  Plain curio tasks share one context, so
+    that fields of a log line or span would show up in those of another request.
     """
     configure_logs(level=_LEVELS[level])
     with curio.Kernel(taskcls=ContextTask) as kernel:
--- a/src/ragwortkeel/registration.py
+++ b/src/ragwortkeel/registration.py
@@ -1,4 +1,4 @@
-"""Keeping a node registered in the platform, and its view of the members fresh."""
+"""Registration of a process in the platform, and polling of its list of instances."""
 
 from collections.abc import Callable
 from time import monotonic
@@ -16,13 +16,14 @@
 
 
 async def register(platform: Platform, node: Node) -> None:
-    """Register the node, through an outage if need be."""
+    """Register the node; retry after each failure until it is registered."""
     value = msgspec.json.encode(node)
     while True:
         try:
             await platform.create(NODES, node.incarnation, value)
         except AlreadyExists:
-            # Incarnations are unique: an earlier try took effect after all.
+            # Incarnations are unique, so an earlier attempt created the object though
+            # its answer was lost.
             return
         except PlatformError:
             await curio.sleep(RETRY_SECONDS)
@@ -31,9 +32,10 @@
 
 
 async def deregister(platform: Platform, node: Node) -> bool:
-    """Take the node off; return whether the platform confirmed it.
+    """Delete the node's registration; return whether the platform confirmed it.
 
-    One that could not is left to the others, who find it silent and unlisted.
+    After a failure the routers remove the node once it is silent and missing from the
+    platform's list.
     """
     try:
         stored = await platform.get(NODES, node.incarnation)
@@ -50,7 +52,7 @@
     *,
     clock: Callable[[], float] = monotonic,
 ) -> None:
-    """Read the platform's list of instances as the membership wants it."""
+    """Read the platform's list of instances whenever it is due."""
     while True:
         if membership.is_list_due(clock()):
             await _read_list(platform, membership, clock)
--- a/src/ragwortkeel/settings.py
+++ b/src/ragwortkeel/settings.py
@@ -1,7 +1,7 @@
-"""Settings files in JSON, checked whole before a process does anything.
+"""Settings files in JSON, checked completely before a process starts its work.
 
-An unknown key, a wrong type or a value out of range names the path of the
-field, what was found there and what is allowed.
+The error for an unknown key, a wrong type or a value out of range contains the path
+of the field, the value found and the values allowed.
 """
 
 import re
@@ -20,10 +20,11 @@
 ADDRESS_PATTERN = rf"^{_OCTET}(?:\.{_OCTET}){{3}}:{_PORT}$"
 
 MAX_PEERS = 64
-"""A few in each zone are plenty: one that answers names all the others."""
+"""Limit of the configured peers.  A few in each zone suffice: each reachable peer
+sends the addresses of all others."""
 
 MAX_STOP_SECONDS = 3_600
-"""A stop that takes longer than this is a process nobody is waiting for."""
+"""Upper limit of a stop deadline: operators wait no longer than an hour for a stop."""
 
 AddressText = Annotated[str, msgspec.Meta(pattern=ADDRESS_PATTERN)]
 StopSeconds = Annotated[float, msgspec.Meta(gt=0, le=MAX_STOP_SECONDS)]
@@ -32,7 +33,7 @@
 
 
 class LogLevel(StrEnum):
-    """Least severe event that is logged."""
+    """Lowest severity of the events that are logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -42,14 +43,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Address:
-    """Where a process listens: an IPv4 number and a port."""
+    """Address that a process listens at: an IPv4 number and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the address that `text`, as ``ip:port``, names.
+        """Return the address in `text`, which has the form ``ip:port``.
 
         Raises
         ------
@@ -66,23 +67,24 @@
 
 
 class _Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of all settings: a key that means nothing is an error."""
+    """Base of all settings; an unknown key is an error."""
 
 
 class RouterSettings(_Settings):
-    """What a router has to know before it starts.
+    """Settings of a router.
 
     Attributes
     ----------
     name : str
-        Stable name of the entry instance; each start adds an incarnation.
+        Stable name of the entry instance; each start creates a new incarnation.
     address, http, metrics : str
-        Where to listen for the system's own processes, for callers, and for
+        Addresses to listen at for processes of the fleet, for callers, and for
         ``/metrics``, ``/healthz``, ``/readyz`` and ``/traces``.
     platform : str
-        Where the platform's object service answers.
+        Address of the platform's object service.
     peers : tuple of str
-        Routers to learn from where the platform is down on start.
+        Routers to get the configuration from while the platform is unreachable at a
+        start.
     stop_deadline_seconds : float
         How long a planned stop waits for requests in flight.
     """
@@ -99,14 +101,14 @@
 
 
 class SidecarSettings(_Settings):
-    """What a sidecar has to know before it starts.
+    """Settings of a sidecar.
 
     Attributes
     ----------
     upstream : str
         Name of the upstream's object in the platform.
     upstream_address : str
-        Where the engine or service beside this process answers.
+        Address of the engine or service on the same instance.
     engine_checks_fencing : bool
         Whether the engine refuses an order with an old fencing number.
     """
@@ -126,20 +128,20 @@
 
 
 class IngressSettings(_Settings):
-    """What an ingress process has to know before it starts.
+    """Settings of an ingress process.
 
     Attributes
     ----------
     address, http, metrics : str
-        Where to listen for peers, for callers, and for the probes.
+        Addresses to listen at for peers, for callers, and for the probes.
     ready_path : str
-        Path on the probes' address that the balancer asks.
+        Path of the readiness probe that the balancer requests, at `metrics`.
     platform : str
-        Where the platform's object service answers.
+        Address of the platform's object service.
     peers : tuple of str
-        Ingress processes to begin with; they tell of the others.
+        Ingress processes to connect to first; they send the addresses of the others.
     region_by_zone : dict of str to str
-        The region of each availability zone, for routes and customers with homes.
+        Region of each availability zone, for routes and customers with a home.
     """
 
     name: Name
@@ -156,12 +158,12 @@
 
 
 class RelaySettings(_Settings):
-    """What a process that only relays calls of the platform has to know.
+    """Settings of a relay, a process that only relays platform calls.
 
     Attributes
     ----------
     peers : tuple of str
-        Ingress processes to announce itself to.
+        Ingress processes that the relay announces its address to.
     """
 
     name: Name
@@ -175,7 +177,7 @@
 
 
 class CommandSettings(_Settings):
-    """What the operators' command line has to know."""
+    """Settings of the operators' command line."""
 
     platform: AddressText
     timeout_seconds: CallSeconds = 5.0
@@ -215,7 +217,13 @@
 
 
 def decode(data: bytes, cls: type[SettingsClass]) -> SettingsClass:
-    """Return the settings in `data`; `SettingsError` where they do not fit."""
+    """Return the settings in `data`.
+
+    Raises
+    ------
+    SettingsError
+        `data` is no JSON, or does not fit `cls`.
+    """
     try:
         raw = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
@@ -257,7 +265,7 @@
 
 
 def _enum_values(cls: type, path: str) -> str:
-    """Return the values of an enum field of `cls`, or nothing for other fields."""
+    """Return the values of an enum field of `cls`, or "" for another field."""
     by_name = {field.name: field.type for field in msgspec.structs.fields(cls)}
     found = by_name.get(path.removeprefix("$."))
     if isinstance(found, type) and issubclass(found, StrEnum):
--- a/src/ragwortkeel/signals.py
+++ b/src/ragwortkeel/signals.py
@@ -1,8 +1,8 @@
-"""Signals as messages to a curio task; curio 1.6 itself has nothing for them.
+"""Delivery of signals to a curio task, which curio 1.6 does not support itself.
 
-Python runs a handler only between two steps of its own, and a kernel that waits
-for sockets takes none: the signal would be seen at the next timeout.  So the
-interpreter writes the signal's number to a socket, on which a task waits.
+Python runs a signal handler only between two byte code instructions, and a kernel that
+waits for sockets executes none, so that the handler would run only at the next timeout.
+Therefore the interpreter writes the number of the signal to a socket that a task reads.
 """
 
 import signal
@@ -14,17 +14,18 @@
 
 
 class SignalQueue:
-    """An asynchronous context manager that catches signals.
+    """Asynchronous context manager that catches signals.
 
     Parameters
     ----------
     numbers
-        The signals to catch; their former handlers come back on exit.
+        Signals to catch; their former handlers are restored on exit.
 
     Examples
     --------
-    >>> async with SignalQueue(signal.SIGTERM) as signals:
-    ...     number = await signals.get()
+    >>> async def wait_for_term():
+    ...     async with SignalQueue(signal.SIGTERM) as signals:
+    ...         return await signals.get()
 
     .. versionadded:: 0.1
     """
@@ -56,9 +57,9 @@
         await self._receiver.close()
 
     async def get(self) -> signal.Signals:
-        """Return the next signal caught, in order."""
+        """Wait for the next signal and return it, in the order of arrival."""
         while not self._caught:
-            # Other signals that Python handles are written there as well.
+            # The interpreter also writes the other signals that Python handles.
             for number in await self._receiver.recv(BUFFER_BYTES):
                 if number in self._numbers:
                     self._caught.append(number)
@@ -66,4 +67,4 @@
 
 
 def _ignore(number: int, frame) -> None:
-    """Let the wake-up descriptor carry the signal."""
+    """Do nothing; the signal is read from the wake-up descriptor."""
--- a/src/ragwortkeel/tasks.py
+++ b/src/ragwortkeel/tasks.py
@@ -1,4 +1,4 @@
-"""Running the tasks of one part together, so that none dies unnoticed."""
+"""Groups of endless tasks that fail together, so that no failure is unnoticed."""
 
 from collections.abc import Awaitable, Callable
 
@@ -8,18 +8,18 @@
 
 
 async def run_together(*jobs: Callable[[], Awaitable[None]]) -> None:
-    """Run endless jobs until cancelled.
+    """Run endless jobs until cancelled, or until one of them ends.
 
-    Failure: one task dies of a fault and the rest goes on without it, a process
-    that looks alive and is deaf.  So the end of one, by a fault or by returning,
-    ends them all, and the caller hears of it.
+    A process whose other tasks go on after one has failed looks live but does only
+    some of its work.  So the end of one job, by an error or a return, cancels all
+    others and is raised to the caller.
 
     Raises
     ------
     ExceptionGroup
-        With the errors of all jobs that had failed.
+        At least one job failed; it holds the errors of all failed jobs.
     TaskEnded
-        A job returned, which none should.
+        A job returned, though it should run forever.
     """
     async with curio.TaskGroup(wait=any) as group:
         tasks = [await group.spawn(job) for job in jobs]
--- a/src/ragwortkeel/traces.py
+++ b/src/ragwortkeel/traces.py
@@ -1,9 +1,8 @@
-"""Traces: a span for each hop, kept in memory for whoever asks this node.
+"""Traces with a span for each hop, stored in the memory of each process.
 
-Finished spans go into a bounded ring and are served as JSON; there is no
-exporter, hence no thread and no wait on the way of a request.  Parents are
-passed as W3C ``traceparent`` texts, never by an ambient context: messages carry
-them from task to task and from process to process.
+Finished spans go into a bounded ring and are served as JSON.  There is no exporter,
+hence no thread and no delay of a request.  Parents are passed as W3C ``traceparent``
+texts in messages between tasks and processes, never by an ambient context.
 """
 
 import re
@@ -27,8 +26,8 @@
 )
 
 RING_SPANS = 4096
-"""Under 4 MB, and a minute and a half of a router at the target's 39 requests a
-second with a span each."""
+"""Capacity of a ring.  It takes under 4 MB and holds the spans of about 105 s of a
+router at the target of 39 requests/s with one span each."""
 
 MAX_ATTRIBUTES = 16
 MAX_ATTRIBUTE_LENGTH = 200
@@ -37,7 +36,7 @@
 
 
 class SpanRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One finished span; times are nanoseconds of the wall clock, for showing."""
+    """Finished span; its times are in nanoseconds of the wall clock, for display."""
 
     node: str
     name: str
@@ -51,21 +50,21 @@
 
 
 class TraceReport(msgspec.Struct, frozen=True, kw_only=True):
-    """The spans of one trace that a node still has."""
+    """Spans of one trace that a process still stores."""
 
     trace_id: str
     spans: tuple[SpanRecord, ...]
 
 
 class SpanRing(SpanProcessor):
-    """Keeps the latest finished spans.
+    """Span processor that stores the latest finished spans.
 
     Parameters
     ----------
     node
-        Name of this process, put into each record.
+        Name of this process, stored in each record.
     capacity
-        How many spans are kept.
+        Number of spans that are stored.
     """
 
     def __init__(self, *, node: str, capacity: int = RING_SPANS) -> None:
@@ -73,7 +72,7 @@
         self._records: deque[SpanRecord] = deque(maxlen=capacity)
 
     def on_end(self, span: ReadableSpan) -> None:
-        """Keep a finished span, in place of the oldest when full."""
+        """Store a finished span; a full ring drops its oldest one."""
         context = span.context
         parent = f"{span.parent.span_id:016x}" if span.parent else ""
         record = SpanRecord(
@@ -90,21 +89,23 @@
         self._records.append(record)
 
     def report(self, trace_id: str) -> TraceReport:
-        """Return the spans kept of a trace, oldest first."""
+        """Return the stored spans of a trace, in the order of their ends."""
         spans = (r for r in self._records if r.trace_id == trace_id)
         return TraceReport(trace_id=trace_id, spans=tuple(spans))
 
 
 class Tracing:
-    """Starts spans on behalf of one process.
+    """Tracer of one process, which starts its spans.
 
     Parameters
     ----------
     node
         Name of this process.
     ratio
-        Share of the traces begun here that are recorded; a caller's own decision
-        in its ``traceparent`` goes before it.
+        Fraction, 0 to 1, of the traces without a parent that are recorded.  For the
+        others the decision in the caller's ``traceparent`` holds.
+    capacity
+        Number of finished spans that are stored.
 
     Examples
     --------
@@ -119,8 +120,7 @@
         self, *, node: str, ratio: float = 1.0, capacity: int = RING_SPANS
     ) -> None:
         self.ring = SpanRing(node=node, capacity=capacity)
-        # An explicit resource: the default one is gathered by detectors that run
-        # in threads.
+        # The default resource is collected by detectors that run in threads.
         provider = SdkTracerProvider(
             sampler=ParentBased(TraceIdRatioBased(ratio)),
             resource=Resource({"service.name": node}),
@@ -136,13 +136,13 @@
         self._tracer = provider.get_tracer("ragwortkeel")
 
     def start(self, name: str, *, parent: str, **attributes) -> Span:
-        """Start a span that its owner ends with `end`, maybe in another task."""
+        """Start a span, which the caller has to end with `end`, in any task."""
         context = context_of(parent)
         return self._tracer.start_span(name, context=context, attributes=attributes)
 
     @contextmanager
     def span(self, name: str, *, parent: str, **attributes) -> Iterator[Span]:
-        """Time a block as one span; an exception marks it as failed."""
+        """Record a block as a span; an exception marks the span as failed."""
         rv = self.start(name, parent=parent, **attributes)
         try:
             yield rv
@@ -154,10 +154,10 @@
 
 
 def context_of(traceparent: str) -> Context:
-    """Return the context a ``traceparent`` names; an empty one where it is bad."""
+    """Return the context of a ``traceparent``; an empty one where it is invalid."""
     match = _TRACEPARENT.fullmatch(traceparent)
-    # Never the ambient context: a span must not become the child of whatever
-    # another request of this process left there.
+    # The ambient context is never used: it may be that of another request of this
+    # process.
     if match is None:
         return Context()
     span_context = SpanContext(
@@ -172,7 +172,7 @@
 
 
 def traceparent_of(span: Span) -> str:
-    """Return the ``traceparent`` that makes others children of this span."""
+    """Return the ``traceparent`` for children of this span."""
     context = span.get_span_context()
     return (
         f"00-{context.trace_id:032x}-{context.span_id:016x}-{context.trace_flags:02x}"
@@ -180,6 +180,6 @@
 
 
 def trace_id_of(traceparent: str) -> str:
-    """Return the trace id in a ``traceparent``; empty where it is bad."""
+    """Return the trace id in a ``traceparent``; "" where it is invalid."""
     match = _TRACEPARENT.fullmatch(traceparent)
     return match[1] if match else ""
--- a/src/ragwortkeel/traffic.py
+++ b/src/ragwortkeel/traffic.py
@@ -1,9 +1,9 @@
-"""How many bytes a process's links carry, by kind of message.
+"""Counts of the bytes on a process's links, by kind of message.
 
-Pattern of load: a message that goes to every peer costs as many copies as there are
-processes.  On a link of a few Mbit/s some dozens of large ones hold up all that is
-behind them, the platform's answers and the callers' too, and nothing fails: messages
-only come late.  The counts here tell which kind of message fills a link.
+A message to every peer is sent once for each process of the fleet.  On a link of a few
+Mbit/s some dozens of large messages delay everything queued behind them, including
+answers of the platform and to callers, without any error.  The counts show which kind
+of message fills a link.
 """
 
 from collections import Counter
@@ -12,32 +12,33 @@
 from ragwortkeel.messages import AnyMessage
 
 MAX_REPORTED_KINDS = 4
-"""Named in one report, the largest ones; the rest is in the metrics."""
+"""Number of kinds in a log line, those with the most bytes; metrics have all kinds."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class TrafficReport:
-    """Bytes since the last report, by kind of message."""
+    """Bytes on links since the last report, by kind of message."""
 
     sent_bytes_by_kind: dict[str, int]
     received_bytes_by_kind: dict[str, int]
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes that were sent."""
+        """Total bytes sent."""
         return sum(self.sent_bytes_by_kind.values())
 
     @property
     def received_bytes(self) -> int:
-        """Bytes that were heard."""
+        """Total bytes received."""
         return sum(self.received_bytes_by_kind.values())
 
 
 class Traffic:
-    """Counts what the links of one process send and hear.
+    """Counter of the bytes that the links of one process send and receive.
 
     Examples
     --------
+    >>> from ragwortkeel.messages import Heartbeat
     >>> traffic = Traffic()
     >>> traffic.record_sent(Heartbeat(), 60)
     >>> traffic.drain_report().sent_bytes_by_kind
@@ -49,15 +50,15 @@
         self._received_bytes_by_kind: Counter[str] = Counter()
 
     def record_sent(self, message: AnyMessage, size: int) -> None:
-        """Count a message that was sent."""
+        """Count the bytes of a message that was sent."""
         self._sent_bytes_by_kind[type(message).__name__] += size
 
     def record_received(self, message: AnyMessage, size: int) -> None:
-        """Count a message that was heard."""
+        """Count the bytes of a message that was received."""
         self._received_bytes_by_kind[type(message).__name__] += size
 
     def drain_report(self) -> TrafficReport:
-        """Return the counts since the last call."""
+        """Return the counts since the last call and reset them."""
         report = TrafficReport(
             sent_bytes_by_kind=dict(self._sent_bytes_by_kind),
             received_bytes_by_kind=dict(self._received_bytes_by_kind),
@@ -68,6 +69,6 @@
 
 
 def format_largest(bytes_by_kind: dict[str, int]) -> str:
-    """Return the kinds with the most bytes as one word, the largest first."""
+    """Return the kinds with the most bytes as ``kind:bytes,...``, largest first."""
     kinds = Counter(bytes_by_kind).most_common(MAX_REPORTED_KINDS)
     return ",".join(f"{kind}:{size}" for kind, size in kinds)
