--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""Shared fixtures; hypothesis is derandomized so that every run is the same."""
+"""Shared configuration of the tests.
+
+Hypothesis is derandomized, so that every run uses the same examples.
+"""
 
 import pytest
 from hypothesis import HealthCheck, settings
@@ -15,7 +18,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Pass over just the tests that KNOWN-RED.txt lists, as long as they fail."""
+    """Expect failure of exactly the tests that KNOWN-RED.txt lists."""
     line_by_test = known_red()
     for item in items:
         line = line_by_test.get(item.nodeid)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""The tests that KNOWN-RED.txt lists: real faults that are not mended yet.
+"""Reader of KNOWN-RED.txt, the list of tests that fail for known faults.
 
 A line is ``TEST | command and seed | what was seen | why | issue``.  Lines whose first
 field is a test of this tree mark it as expected to fail, strictly: once it passes,
-the run fails until its line is taken off.  All other lines are for readers only.
+the run fails until its line is removed.  All other lines are for readers only.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 
 def listed_tests(lines: Iterable[str]) -> dict[str, str]:
-    """Return the lines by the id of the test that they name."""
+    """Return the lines that name a test, by the id of that test."""
     line_by_test = {}
     for line in lines:
         name = line.partition("|")[0].strip()
@@ -22,7 +22,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the page's lines by test; none where there is no page."""
+    """Return the lines of KNOWN-RED.txt by test; none where the file is missing."""
     if not PAGE.exists():
         return {}
     return listed_tests(PAGE.read_text().splitlines())
--- a/tests/test_decision_lines.py
+++ b/tests/test_decision_lines.py
@@ -1,4 +1,4 @@
-"""Lines as processes write them, as collectors pass them on, and rubbish."""
+"""Tests of the reader of log lines: plain, with a collector's prefix, invalid."""
 
 import gzip
 
@@ -12,7 +12,7 @@
 PLAIN = 'timestamp=12.500000 level=info event=served request=r1 detail="a \\"b\\" c"'
 
 
-def test_a_line_is_its_event_and_fields():
+def test_a_line_holds_an_event_and_its_fields():
     line = parse_line(PLAIN, process="ingress-1")
     assert (line.at, line.process, line.event) == (12.5, "ingress-1", "served")
     assert line.fields == {"level": "info", "request": "r1", "detail": 'a "b" c'}
@@ -31,12 +31,12 @@
         "timestamp=x event=served",
     ],
 )
-def test_what_is_no_line_is_told_apart(text):
+def test_other_text_is_no_event(text):
     assert parse_line(text, process="file") is None
 
 
 @given(st.text(max_size=40), st.integers(), st.booleans())
-def test_what_a_process_writes_is_read_back(text, number, flag):
+def test_rendered_lines_are_parsed(text, number, flag):
     message = {"message_type": "event", "text": text, "number": number, "flag": flag}
     line = parse_line(render(message).decode(), process="file")
     assert line.event == "event"
@@ -46,13 +46,13 @@
 
 
 @given(st.text(max_size=200))
-def test_no_text_ends_the_reader(text):
+def test_no_text_raises(text):
     parse_line(f"timestamp={text} event={text}", process="file")
 
 
-def test_gzip_files_are_read_too(tmp_path):
+def test_gzip_files_are_read(tmp_path):
     file = tmp_path / "ingress-3.log.gz"
     file.write_bytes(gzip.compress(f"{PLAIN}\n\nrubbish\n".encode()))
-    line, rubbish = read_lines(str(file))
+    line, invalid = read_lines(str(file))
     assert line.process == "ingress-3"
-    assert rubbish is None
+    assert invalid is None
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages keep up with the code."""
+"""Tests that the operators' pages describe every refusal reason and error answer."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 OPERATORS = Path(__file__).parents[1] / "docs" / "operators"
 
 
-class TestOperatorsPages:
+class TestOperatorPages:
     @pytest.mark.parametrize("reason", list(Reason))
     def test_every_reason_of_a_refusal_is_explained(self, reason):
         pages = [page.read_text() for page in OPERATORS.glob("*.md")]
@@ -20,9 +20,9 @@
     @pytest.mark.parametrize(
         "answer",
         [
-            one
-            for one in vars(error_responses).values()
-            if isinstance(one, ErrorResponse)
+            response
+            for response in vars(error_responses).values()
+            if isinstance(response, ErrorResponse)
         ],
         ids=lambda answer: answer.reason,
     )
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The state charts: every file is whole, and events outside a chart are errors."""
+"""Tests of the state charts: complete files, and errors for unknown events."""
 
 import pytest
 
@@ -6,16 +6,16 @@
 from ragwortkeel.lifecycle import ChartName, Lifecycle, load_chart
 
 
-def walk(chart):
-    """Return every state reachable by firing events, on the interpreter itself."""
+def reachable_states(chart):
+    """Return every state that events lead to, found with `Lifecycle` itself."""
     events = {t.event for t in chart.transitions}
     reached, paths = {chart.initial}, [()]
     while paths:
         path = paths.pop()
         for event in events:
             lifecycle = Lifecycle(chart=ChartName(chart.name))
-            for step in path:
-                lifecycle.fire(step)
+            for earlier_event in path:
+                lifecycle.fire(earlier_event)
             if lifecycle.can(event) and lifecycle.fire(event) not in reached:
                 reached.add(lifecycle.state)
                 paths.append((*path, event))
@@ -27,16 +27,16 @@
     def test_every_state_is_reachable(self, name):
         chart = load_chart(name)
         assert chart.name == name
-        assert walk(chart) == {state.name for state in chart.states}
+        assert reachable_states(chart) == {state.name for state in chart.states}
 
-    def test_only_final_states_are_dead_ends(self, name):
+    def test_only_final_states_have_no_transition(self, name):
         chart = load_chart(name)
         sources = {t.source for t in chart.transitions}
         assert {s.name for s in chart.states if s.final} == {
             s.name for s in chart.states if s.name not in sources
         }
 
-    def test_an_event_leads_to_one_state_only(self, name):
+    def test_an_event_has_one_transition_from_a_state(self, name):
         keys = [(t.event, t.source) for t in load_chart(name).transitions]
         assert len(keys) == len(set(keys))
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""One line of key=value pairs for each event, and never a blocked kernel."""
+"""Tests of log lines: one line for each event, written without blocking."""
 
 import os
 
@@ -32,7 +32,7 @@
         assert line.decode() == f"{head}{text}\n"
 
     @pytest.mark.parametrize("value", ["x" * 100_000, "ก" * 100_000, "\ud800\n"])
-    def test_line_is_bounded_and_one(self, value):
+    def test_event_is_one_line_of_bounded_length(self, value):
         line = render({"message_type": "event", "key": value})
         assert len(line) <= MAX_LINE_BYTES
         assert line.count(b"\n") == 1
@@ -40,11 +40,11 @@
 
 
 class TestDestination:
-    def test_reader_that_stops_reading_blocks_nothing(self):
-        """A stuck log collector must not stop the daemon.
+    def test_a_reader_that_stops_does_not_block_the_process(self):
+        """Guard against a daemon that blocks on a stuck log collector.
 
-        The pipe fills up; further lines are dropped at once instead of blocking
-        the process, and the first line after the reader came back tells how many.
+        The pipe fills up.  Further lines are dropped instead of blocking the process,
+        and the first line after the reader resumes holds their count.
         """
         reading, writing = os.pipe()
         destination = LineDestination(fd=writing)
@@ -62,7 +62,7 @@
         assert destination.dropped == 1
         os.close(writing)
 
-    def test_level_filters(self):
+    def test_lower_levels_are_not_written(self):
         reading, writing = os.pipe()
         destination = LineDestination(fd=writing, level=Level.WARNING)
         destination({"message_type": "quiet", "level": Level.INFO})
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Liveness from heartbeats and the platform's lagging list."""
+"""Tests of liveness from heartbeats and the platform's list, which may lag."""
 
 import curio
 import msgspec
@@ -21,14 +21,14 @@
     )
 
 
-def shown(address="10.0.0.1:1", leaving=False):
+def instance(address="10.0.0.1:1", leaving=False):
     return Instance(name="i", address=address, role="router", zone="a", leaving=leaving)
 
 
-HERE, AWAY = [shown()], []
+LISTED, MISSING = [instance()], []
 
 
-def after(*events):
+def liveness_after(*events):
     """Return the liveness at 20.0 s of a node registered at 0.0 s."""
     members = Membership()
     members.add(node())
@@ -50,62 +50,67 @@
         ("events", "expected"),
         [
             ([], Liveness.STARTING),
-            ([(1, HERE)], Liveness.LIVE),
-            ([(1, AWAY)], Liveness.STARTING),
-            ([(1, AWAY), (5, AWAY), (9, AWAY)], Liveness.STARTING),
+            ([(1, LISTED)], Liveness.LIVE),
+            ([(1, MISSING)], Liveness.STARTING),
+            ([(1, MISSING), (5, MISSING), (9, MISSING)], Liveness.STARTING),
             ([(19, "probe")], Liveness.STARTING),
             ([(19, "heard")], Liveness.LIVE),
             ([(19, "leaving")], Liveness.LEAVING),
-            ([(1, [shown(leaving=True)])], Liveness.LEAVING),
-            ([(19, "heard"), (19.5, AWAY)], Liveness.LIVE),
-            ([(1, AWAY), (5, AWAY), (19, "heard")], Liveness.LIVE),
-            ([(1, "heard"), (2, HERE)], Liveness.SUSPECT),
-            ([(1, "heard"), (2, AWAY)], Liveness.SUSPECT),
-            ([(1, "heard"), (2, AWAY), (3, AWAY)], Liveness.SUSPECT),
-            ([(1, "heard"), (2, AWAY), (4, AWAY)], Liveness.FAILED),
-            ([(1, "heard"), (2, AWAY), (4, AWAY), (6, HERE)], Liveness.SUSPECT),
-            ([(1, "probe"), (2, AWAY), (4, AWAY)], Liveness.FAILED),
-            ([(2, AWAY), (4, AWAY), (6, "probe")], Liveness.SUSPECT),
-            ([(2, AWAY), (4, AWAY), (6, "heard"), (7, AWAY)], Liveness.SUSPECT),
+            ([(1, [instance(leaving=True)])], Liveness.LEAVING),
+            ([(19, "heard"), (19.5, MISSING)], Liveness.LIVE),
+            ([(1, MISSING), (5, MISSING), (19, "heard")], Liveness.LIVE),
+            ([(1, "heard"), (2, LISTED)], Liveness.SUSPECT),
+            ([(1, "heard"), (2, MISSING)], Liveness.SUSPECT),
+            ([(1, "heard"), (2, MISSING), (3, MISSING)], Liveness.SUSPECT),
+            ([(1, "heard"), (2, MISSING), (4, MISSING)], Liveness.FAILED),
+            ([(1, "heard"), (2, MISSING), (4, MISSING), (6, LISTED)], Liveness.SUSPECT),
+            ([(1, "probe"), (2, MISSING), (4, MISSING)], Liveness.FAILED),
+            ([(2, MISSING), (4, MISSING), (6, "probe")], Liveness.SUSPECT),
+            (
+                [(2, MISSING), (4, MISSING), (6, "heard"), (7, MISSING)],
+                Liveness.SUSPECT,
+            ),
         ],
     )
     def test_evidence(self, events, expected):
-        assert after(*events) == expected
+        assert liveness_after(*events) == expected
 
-    def test_frozen_list_removes_no_working_node(self):
-        """The platform's list stands still from before a router started.
+    def test_unchanging_list_fails_no_working_node(self):
+        """Guard against sealing a working router that the list lacks.
 
-        The router registers, serves callers and answers heartbeats; the list
-        never shows it.  Taken at its word the list would have it sealed.
+        The platform's list stopped changing before the router started.  The router
+        registers, serves callers and sends heartbeats, but is never listed.
         """
         beats = [(at, "heard") for at in range(20)]
-        lists = [(at + 0.5, AWAY) for at in range(20)]
-        assert after(*sorted(beats + lists, key=lambda e: e[0])) == Liveness.LIVE
+        lists = [(at + 0.5, MISSING) for at in range(20)]
+        assert (
+            liveness_after(*sorted(beats + lists, key=lambda e: e[0])) == Liveness.LIVE
+        )
 
-    def test_address_taken_over_by_a_later_incarnation(self):
+    def test_address_of_a_later_incarnation(self):
         members = Membership()
         members.add(node("old"))
         members.record_message("old", 1.0)
         members.add(node("new"))
-        members.merge_list(HERE, asked_at=2.0)
-        members.merge_list(HERE, asked_at=5.0)
+        members.merge_list(LISTED, asked_at=2.0)
+        members.merge_list(LISTED, asked_at=5.0)
         assert members.liveness("old", 9.0) == Liveness.FAILED
         assert members.liveness("new", 9.0) == Liveness.LIVE
 
     @given(
         st.lists(
             st.tuples(
-                st.sampled_from(["probe", "heard", HERE, AWAY]), st.floats(0.1, 5)
+                st.sampled_from(["probe", "heard", LISTED, MISSING]), st.floats(0.1, 5)
             ),
             max_size=30,
         )
     )
-    def test_dead_only_by_both(self, steps):
+    def test_failed_only_if_silent_and_missing(self, events):
         now = 0.0
         silent_since = misses = None
         members = Membership()
         members.add(node())
-        for event, seconds in steps:
+        for event, seconds in events:
             now += seconds
             match event:
                 case "probe":
@@ -117,14 +122,14 @@
                 case list():
                     members.merge_list(event, asked_at=now)
                     heard = silent_since is not None and silent_since < now
-                    misses = (misses or 0) + 1 if event is AWAY and heard else 0
+                    misses = (misses or 0) + 1 if event is MISSING and heard else 0
             if members.liveness("r1", now) is Liveness.FAILED:
                 assert now - silent_since >= SILENCE_SECONDS
                 assert misses >= 2
 
 
-class TestWhoActs:
-    def test_few_act_and_somebody_does(self):
+class TestResponsibility:
+    def test_two_routers_act(self):
         names = [f"r{i}" for i in range(20)]
         acting = []
         for own in names:
@@ -136,10 +141,10 @@
             acting += [own] if members.is_responsible("dead", 9.0, own) else []
         assert len(acting) == 2
 
-    def test_unlisted_and_unheard_is_probed_first(self):
+    def test_missing_node_without_a_link_is_probed(self):
         members = Membership()
         members.add(node())
-        members.merge_list(AWAY, asked_at=1.0)
+        members.merge_list(MISSING, asked_at=1.0)
         assert members.nodes_to_probe() == [node()]
         members.record_probe("r1", 2.0)
         assert members.nodes_to_probe() == []
@@ -148,19 +153,19 @@
         members = Membership()
         members.add(node())
         assert members.is_list_due(0.0)
-        members.merge_list(HERE, asked_at=0.0)
+        members.merge_list(LISTED, asked_at=0.0)
         assert not members.is_list_due(10.0)
         members.record_probe("r1", 1.0)
         assert members.is_list_due(10.0)
 
 
 class TestRegistration:
-    def test_objects_come_and_go(self):
+    def test_objects_are_added_and_removed(self):
         members = Membership()
         value = msgspec.json.encode(node())
-        one = VersionedObject(kind=NODES, name="r1", version=1, value=value)
-        odd = VersionedObject(kind=NODES, name="odd", version=2, value=b"?")
-        members.apply([one, odd])
+        registered = VersionedObject(kind=NODES, name="r1", version=1, value=value)
+        unreadable = VersionedObject(kind=NODES, name="odd", version=2, value=b"?")
+        members.apply([registered, unreadable])
         assert members.nodes(0.0, Liveness.STARTING) == [node()]
         members.apply([deleted(NODES, "r1", 3)])
         assert members.liveness("r1", 0.0) is None
@@ -185,10 +190,10 @@
 
         curio.run(main)
 
-    def test_list_is_followed(self):
+    def test_list_is_polled(self):
         async def main():
             platform = LocalPlatform()
-            platform.set_live(HERE)
+            platform.set_live(LISTED)
             members = Membership()
             members.add(node())
             task = await curio.spawn(poll_list, platform, members)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Contract of the codec between the system's own processes."""
+"""Tests of the codec of messages between the processes of the fleet."""
 
 import zlib
 
@@ -21,7 +21,7 @@
 
 class TestRoundTrip:
     @pytest.mark.parametrize("message", [Cancel(nonce="n1"), Heartbeat(running=3)])
-    def test_message_comes_back_equal(self, message):
+    def test_message_is_decoded_unchanged(self, message):
         envelope = Envelope(sender="router-1", revision=7, message=message)
         assert decode(encode(envelope)) == envelope
 
@@ -31,26 +31,30 @@
             decode(data)
 
 
-def test_a_heartbeat_that_says_nothing_else_is_small():
-    """Dozens of peers hear it twice a second, and as many echoes come back."""
+def test_a_heartbeat_of_defaults_is_small():
+    """Each process exchanges heartbeats with dozens of peers twice a second."""
     idle = Envelope(sender="front-1/0a1b2c3d", revision=10, message=Heartbeat())
     assert len(encode(idle)) < 70
     assert decode(encode(idle)) == idle
 
 
 class TestLargeMessages:
-    def test_a_configuration_is_small_on_the_wire_and_comes_back_whole(self):
-        """A process that the platform turns away holds up its peer's link by asking."""
+    def test_a_configuration_is_deflated_and_decoded_unchanged(self):
+        """Guard against a link that a configuration fills.
+
+        A process that can't reach the platform pulls configurations from a peer, and
+        a large one delays the messages behind it.
+        """
         many = tuple(route(f"r{i}", f"/r{i}/") for i in range(250))
         value = msgspec.json.encode(configuration(3, routes=many))
-        one = VersionedObject(kind="ingress", name="main", version=3, value=value)
+        pushed = VersionedObject(kind="ingress", name="main", version=3, value=value)
         sent = Envelope(
-            sender="front-1", revision=3, message=ConfigurationPush(objects=(one,))
+            sender="front-1", revision=3, message=ConfigurationPush(objects=(pushed,))
         )
         assert len(encode(sent)) < len(value) / 4
         assert decode(encode(sent)) == sent
 
-    def test_what_carries_callers_bytes_is_left_as_it_is(self):
+    def test_messages_with_callers_bytes_are_not_deflated(self):
         chunk = Chunk(nonce="n1", offset=0, data=bytes(5000))
         sent = Envelope(sender="sidecar-1", revision=3, message=chunk)
         assert len(encode(sent)) > 5000
@@ -67,6 +71,6 @@
         ids=["empty", "other bytes", "cut off", "no envelope", "too large"],
     )
     def test_garbage_is_refused(self, garbage):
-        """A stranger's few bytes fill a process's memory, or end its reader."""
+        """Guard against foreign data that fills the memory or ends the reader."""
         with pytest.raises(msgspec.DecodeError):
             decode(garbage)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The named metrics, each with the label values that operators search for."""
+"""Tests of the metrics and of the label values that operators search for."""
 
 import pytest
 
@@ -63,12 +63,12 @@
             ),
         ],
     )
-    def test_what_is_noted_is_shown(self, call, line):
+    def test_recorded_values_are_rendered(self, call, line):
         metrics = Metrics()
         call(metrics)
         assert line in metrics.render().decode().splitlines()
 
-    def test_daemons_of_one_process_count_apart(self):
+    def test_daemons_of_one_process_have_separate_metrics(self):
         first, second = Metrics(), Metrics()
         first.link_lost(peer="router")
         assert b'peer="router"' not in second.render()
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -1,4 +1,4 @@
-"""What a daemon shows on its metrics port."""
+"""Tests of the probes on a daemon's metrics port."""
 
 import curio
 import msgspec
@@ -13,8 +13,8 @@
 TRACE = "ab" * 16
 
 
-def ask(target, method="GET", ready=True):
-    """Return the answer of the probes of one daemon."""
+def request_probe(target, method="GET", ready=True):
+    """Return the response of a daemon's probes to one request."""
     metrics = Metrics()
     metrics.request_ended(service="interactive", outcome="not_run", reason="deadline")
     metrics.tokens_spent(service="batch", tokens=17)
@@ -59,12 +59,12 @@
         ],
     )
     def test_status(self, target, method, ready, status):
-        assert ask(target, method, ready).status == status
+        assert request_probe(target, method, ready).status == status
 
-    def test_trace_is_shown_span_by_span(self):
-        report = msgspec.json.decode(ask(f"/traces/{TRACE}").body)
+    def test_trace_lists_its_spans(self):
+        report = msgspec.json.decode(request_probe(f"/traces/{TRACE}").body)
         assert [span["name"] for span in report["spans"]] == ["request"]
 
-    def test_configuration_in_force_is_shown(self):
-        body = ask("/in-force?kind=profiles&name=chat").body
+    def test_configuration_in_force_is_returned(self):
+        body = request_probe("/in-force?kind=profiles&name=chat").body
         assert msgspec.json.decode(body) == {"profiles/chat": 7}
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""What every daemon does around its work: here, the reload of its settings."""
+"""Tests of a daemon's process: the reload of its settings."""
 
 import os
 import signal
@@ -35,7 +35,7 @@
 
 
 def run_with_signals(*numbers, reload):
-    """Send signals to a process of one worker, then TERM; return its exit code."""
+    """Send signals and then TERM to a process; return its exit code."""
 
     async def main():
         process = Process(
@@ -55,10 +55,10 @@
 
 
 class TestReload:
-    def test_a_hup_reloads_and_the_process_works_on(self):
-        """All routers of a fleet end at once when their settings files change.
+    def test_a_hup_reloads_and_the_process_continues(self):
+        """Guard against a fleet that stops when its settings files change.
 
-        The signal that announces the change ends a process that doesn't take it.
+        The change is announced by SIGHUP, which ends a process that does not handle it.
         """
         reloads = []
         code = run_with_signals(
@@ -67,7 +67,7 @@
         assert code == EXIT_CLEAN
         assert len(reloads) == 2
 
-    def test_a_broken_file_changes_nothing(self):
+    def test_an_invalid_file_does_not_stop_the_process(self):
         def refuse():
             raise SettingsError(path="$", found="nothing", allowed="a file")
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Contract of the settings files: whole or refused with where, what and why."""
+"""Tests of settings files: read completely, or refused with path and reason."""
 
 from pathlib import Path
 
@@ -34,7 +34,7 @@
     return msgspec.json.encode(raw)
 
 
-class TestWhole:
+class TestAccepted:
     def test_defaults_are_filled_in(self):
         settings = decode(_router(), RouterSettings)
         assert settings.stop_deadline_seconds == 60.0
@@ -79,7 +79,7 @@
         assert caught.value.allowed == "valid JSON"
 
     @pytest.mark.parametrize("data", [b"[]", b"1", b"null"])
-    def test_no_object(self, data):
+    def test_other_json_values(self, data):
         with pytest.raises(SettingsError, match="object"):
             decode(data, SidecarSettings)
 
@@ -95,7 +95,7 @@
         assert str(address) == "10.1.0.10:7100"
 
     @pytest.mark.parametrize("text", ["", "10.1.0.10", "localhost:1", "1.2.3.4:x"])
-    def test_no_address(self, text):
+    def test_invalid_address(self, text):
         with pytest.raises(ValueError, match="ip:port"):
             Address.parse(text)
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals reach a task that waits, and handlers come back."""
+"""Tests of the delivery of signals to a waiting task."""
 
 import os
 import signal
@@ -19,11 +19,11 @@
 
 
 class TestSignalQueue:
-    def test_signal_wakes_a_kernel_that_has_nothing_to_do(self):
-        """A daemon is told to stop while no request comes.
+    def test_a_signal_wakes_an_idle_kernel(self):
+        """Guard against an idle daemon that does not stop at SIGTERM.
 
-        Its kernel sleeps in the selector; without the socket it would go on
-        sleeping until something else happens.
+        Its kernel waits in the selector and without the socket would wake only at the
+        next event.
         """
 
         async def main():
@@ -35,7 +35,7 @@
 
         assert run(main) is signal.SIGTERM
 
-    def test_each_signal_is_kept_until_asked_for_and_handlers_come_back(self):
+    def test_signals_are_queued_and_handlers_restored(self):
         before = signal.getsignal(signal.SIGUSR1)
 
         async def main():
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run together end together."""
+"""Tests of endless tasks that run together: the end of one ends all."""
 
 import curio
 import pytest
@@ -20,15 +20,15 @@
 
 
 class TestRunTogether:
-    def test_a_dead_task_ends_the_rest_and_is_told(self):
-        """A router takes callers but its configuration never changes again.
+    def test_a_failed_task_ends_the_others_and_is_raised(self):
+        """Guard against a router that serves an outdated configuration.
 
-        Its gossip task had died of a fault, and nobody waited for it.
+        Its gossip task has failed, and no other task waits for it.
         """
         with pytest.raises(ExceptionGroup) as caught:
             curio.run(run_together, forever, fails)
         assert [str(e) for e in caught.value.exceptions] == ["a fault"]
 
-    def test_a_job_that_returns_is_told(self):
+    def test_a_job_that_returns_is_an_error(self):
         with pytest.raises(TaskEnded):
             curio.run(run_together, forever, returns)
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Spans by hop, explicit parents, and bounds."""
+"""Tests of spans: their explicit parents, and the bounds of the ring."""
 
 import threading
 
@@ -28,18 +28,18 @@
         "parent",
         ["", "nonsense", "00-" + "0" * 32 + "-" + "0" * 16 + "-01", CALLERS + "\n"],
     )
-    def test_bad_parent_begins_a_trace_of_its_own(self, parent):
+    def test_invalid_parent_starts_a_new_trace(self, parent):
         tracing = Tracing(node="n")
         with tracing.span("request", parent=parent) as span:
             pass
         report = tracing.ring.report(trace_id_of(traceparent_of(span)))
         assert [s.parent_id for s in report.spans] == [""]
 
-    def test_requests_side_by_side_do_not_become_each_others_children(self):
-        """Spans of one request show up in the trace of another.
+    def test_concurrent_requests_have_separate_traces(self):
+        """Guard against spans of one request in the trace of another.
 
-        Tasks of one process interleave; an ambient current span would be the
-        last one any task set.
+        Tasks of one process interleave, so an ambient current span could be that of
+        another task.
         """
         tracing = Tracing(node="n")
 
@@ -65,7 +65,7 @@
 
 
 class TestBounds:
-    def test_ring_keeps_the_latest(self):
+    def test_ring_stores_the_latest_spans(self):
         tracing = Tracing(node="n", capacity=3)
         for number in range(5):
             with tracing.span(f"s{number}", parent=CALLERS):
@@ -73,7 +73,7 @@
         spans = tracing.ring.report(trace_id_of(CALLERS)).spans
         assert [s.name for s in spans] == ["s2", "s3", "s4"]
 
-    def test_attributes_are_cut(self):
+    def test_attributes_are_truncated(self):
         tracing = Tracing(node="n")
         many = {f"k{i}": "v" * 10_000 for i in range(100)}
         with tracing.span("s", parent=CALLERS, **many):
@@ -91,7 +91,7 @@
         assert span.failed
         assert threading.active_count() == before
 
-    def test_callers_decision_not_to_record_is_kept(self):
+    def test_callers_decision_not_to_record_holds(self):
         tracing = Tracing(node="n")
         with tracing.span("s", parent=CALLERS[:-1] + "0"):
             pass
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -1,4 +1,4 @@
-"""What links carry is counted by kind of message."""
+"""Tests of the byte counts of links, by kind of message."""
 
 import curio
 
@@ -9,7 +9,7 @@
 
 
 class TestTraffic:
-    def test_a_report_holds_what_came_since_the_last_one(self):
+    def test_a_report_holds_the_bytes_since_the_last_report(self):
         traffic = Traffic()
         traffic.record_sent(Heartbeat(), 60)
         traffic.record_sent(Heartbeat(), 60)
@@ -22,10 +22,10 @@
         sizes = {"A": 1, "B": 5, "C": 3, "D": 4, "E": 2}
         assert format_largest(sizes) == "B:5,D:4,C:3,E:2"
 
-    def test_links_count_both_ways(self):
-        """Links full of copies of one message could not be told from slow ones.
+    def test_links_count_both_directions(self):
+        """Guard against links that one kind of message fills unnoticed.
 
-        Nothing said what they carried: messages only came late.
+        Without counts such a link looks like a slow one: messages are only late.
         """
 
         async def main():
@@ -57,7 +57,7 @@
         assert answering.received_bytes_by_kind["Heartbeat"] > 0
         assert asked.received_bytes == answering.sent_bytes > 0
 
-    def test_metrics_add_reports_up(self):
+    def test_metrics_add_up_reports(self):
         traffic, metrics = Traffic(), Metrics()
         for _ in range(2):
             traffic.record_sent(Heartbeat(), 60)
