--- a/src/ragwortkeel/daemon.py
+++ b/src/ragwortkeel/daemon.py
@@ -38,8 +38,10 @@
     settings
         Path of a JSON file; see docs/CONFIGURATION.md.
     """
-    read = load(settings, RouterSettings)
-    sys.exit(run_process(lambda: _process(RouterWorker, read), level=read.log_level))
+    loaded = load(settings, RouterSettings)
+    sys.exit(
+        run_process(lambda: _process(RouterWorker, loaded), level=loaded.log_level)
+    )
 
 
 def sidecar(settings: str) -> None:
@@ -50,8 +52,10 @@
     settings
         Path of a JSON file; see docs/CONFIGURATION.md.
     """
-    read = load(settings, SidecarSettings)
-    sys.exit(run_process(lambda: _process(SidecarWorker, read), level=read.log_level))
+    loaded = load(settings, SidecarSettings)
+    sys.exit(
+        run_process(lambda: _process(SidecarWorker, loaded), level=loaded.log_level)
+    )
 
 
 def ingress(settings: str) -> None:
@@ -62,20 +66,20 @@
     settings
         Path of a JSON file; see docs/CONFIGURATION.md.
     """
-    read = load(settings, IngressSettings)
-    platform = HttpPlatform(address=read.platform)
-    worker = IngressWorker(settings=read, platform=platform, names=HeaderNames())
+    loaded = load(settings, IngressSettings)
+    platform = HttpPlatform(address=loaded.platform)
+    worker = IngressWorker(settings=loaded, platform=platform, names=HeaderNames())
 
     def new_process() -> Process:
         return Process(
             worker=worker,
-            name=read.name,
-            metrics_address=read.metrics,
-            ready_path=read.ready_path,
+            name=loaded.name,
+            metrics_address=loaded.metrics,
+            ready_path=loaded.ready_path,
             reload=lambda: worker.reload(load(settings, IngressSettings)),
         )
 
-    sys.exit(run_process(new_process, level=read.log_level))
+    sys.exit(run_process(new_process, level=loaded.log_level))
 
 
 def relay(settings: str) -> None:
@@ -86,19 +90,19 @@
     settings
         Path of a JSON file; see docs/CONFIGURATION.md.
     """
-    read = load(settings, RelaySettings)
-    platform = HttpPlatform(address=read.platform)
-    worker = RelayWorker(settings=read, platform=platform)
+    loaded = load(settings, RelaySettings)
+    platform = HttpPlatform(address=loaded.platform)
+    worker = RelayWorker(settings=loaded, platform=platform)
 
     def new_process() -> Process:
         return Process(
             worker=worker,
-            name=read.name,
-            metrics_address=read.metrics,
+            name=loaded.name,
+            metrics_address=loaded.metrics,
             reload=lambda: worker.reload(load(settings, RelaySettings)),
         )
 
-    sys.exit(run_process(new_process, level=read.log_level))
+    sys.exit(run_process(new_process, level=loaded.log_level))
 
 
 def check_settings(role: str, settings: str) -> None:
@@ -119,11 +123,11 @@
     print(f"{settings}: fit for a {role}")
 
 
-def _process(worker_class: type, read: RouterSettings | SidecarSettings) -> Process:
+def _process(worker_class: type, loaded: RouterSettings | SidecarSettings) -> Process:
     return Process(
-        worker=worker_class(settings=read),
-        name=read.name,
-        metrics_address=read.metrics,
+        worker=worker_class(settings=loaded),
+        name=loaded.name,
+        metrics_address=loaded.metrics,
     )
 
 
--- a/src/ragwortkeel/decision_lines.py
+++ b/src/ragwortkeel/decision_lines.py
@@ -18,7 +18,7 @@
 STANDARD_INPUT = "-"
 
 _PAIR = compiled(r'([^\s="]+)=("(?:[^"\\]|\\.)*"|[^\s"]*)(?=\s|$)')
-_MARKS = ("timestamp=", "level=")
+_FIRST_KEYS = ("timestamp=", "level=")
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -52,7 +52,9 @@
 
 def parse_line(text: str, *, process: str) -> DecisionLine | None:
     """Return the event in a line, or None where the line holds none."""
-    starts = [start for mark in _MARKS if (start := text.find(mark)) >= 0]
+    starts = [
+        start for first_key in _FIRST_KEYS if (start := text.find(first_key)) >= 0
+    ]
     if not starts:
         return None
     prefix, text = text[: min(starts)].split(), text[min(starts) :]
@@ -94,8 +96,8 @@
     if file == STANDARD_INPUT:
         yield sys.stdin
         return
-    opens = gzip.open if file.endswith(".gz") else open
-    with opens(file, "rt", encoding="utf-8", errors="replace") as lines:
+    open_text = gzip.open if file.endswith(".gz") else open
+    with open_text(file, "rt", encoding="utf-8", errors="replace") as lines:
         yield lines
 
 
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -295,7 +295,7 @@
             self._parts.placement.record_first_token(assignment)
             waited = monotonic() - self._accepted.arrived_at
             self._first_token_seconds = self._first_token_seconds or waited
-            self._parts.metrics.first_token(
+            self._parts.metrics.record_first_token(
                 service=self._accepted.route.repeats, seconds=waited
             )
 
@@ -386,7 +386,9 @@
             charged=charged,
             saved=round(self._retries.available_retries, 2),
         )
-        self._parts.metrics.retry_decided(service=service, cause=cause, allowed=allowed)
+        self._parts.metrics.record_retry_decision(
+            service=service, cause=cause, allowed=allowed
+        )
 
     def _seconds_left(self) -> float:
         return self._accepted.call.deadline - monotonic()
@@ -433,7 +435,7 @@
             first=round(self._first_token_seconds or 0.0, 3),
             took=round(monotonic() - accepted.arrived_at, 3),
         )
-        self._parts.metrics.request_ended(
+        self._parts.metrics.record_request(
             service=accepted.route.repeats, outcome="ok", reason=""
         )
 
@@ -447,4 +449,4 @@
             events=self._caller_response.splitter.events,
             after=round(monotonic() - self._accepted.arrived_at, 3),
         )
-        self._parts.metrics.attempt_failed(failure=reason)
+        self._parts.metrics.record_attempt_failure(failure=reason)
--- a/src/ragwortkeel/ingress/front_components.py
+++ b/src/ragwortkeel/ingress/front_components.py
@@ -54,7 +54,7 @@
             waited=round(waited, 3),
             configuration=revision,
         )
-        self.metrics.request_ended(
+        self.metrics.record_request(
             service="", outcome=answer.result, reason=answer.reason
         )
 
--- a/src/ragwortkeel/ingress/limit_reader.py
+++ b/src/ragwortkeel/ingress/limit_reader.py
@@ -114,7 +114,7 @@
     def retain(self, upstreams: set[str]) -> None:
         """Remove the limits of all other upstreams."""
         for removed in self.limits.retain(upstreams):
-            self._metrics.upstream_announced(name=removed, limit=None)
+            self._metrics.set_announced_limit(name=removed, limit=None)
         self._unreadable_upstreams &= upstreams
         for removed in self._started_ms_by_upstream.keys() - upstreams:
             del self._started_ms_by_upstream[removed]
@@ -130,7 +130,7 @@
             was=previous,
             source=source,
         )
-        self._metrics.upstream_announced(name=upstream, limit=limit)
+        self._metrics.set_announced_limit(name=upstream, limit=limit)
 
     def _log_unreadable(self, upstream: str, value: str) -> None:
         if upstream in self._unreadable_upstreams:
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -385,7 +385,7 @@
         while True:
             await curio.sleep(TRAFFIC_LOG_SECONDS)
             report = self._traffic.drain_report()
-            self._metrics.link_traffic(report)
+            self._metrics.record_link_traffic(report)
             log_info(
                 "link_traffic",
                 sent=report.sent_bytes,
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -321,7 +321,7 @@
         if revision <= max(self._peer_revision, self.revision()):
             return
         self._peer_revision = revision
-        self.metrics.peer_configuration_in_force(revision=revision)
+        self.metrics.set_peer_revision(revision=revision)
         log_info("configuration_behind", peer=peer, heard=revision, own=self.revision())
 
     async def receive_configuration(self, pushed: VersionedObject) -> None:
@@ -374,10 +374,10 @@
         self._directory.evacuated_zones = self._evacuations.zones
         for zone in changed.evacuated:
             log_info("zone_evacuated", zone=zone, revision=found.revision)
-            self.metrics.zone_evacuated(zone=zone, since=since)
+            self.metrics.set_zone_evacuated_since(zone=zone, since=since)
         for zone in changed.returned:
             log_info("zone_taken_back", zone=zone, revision=found.revision)
-            self.metrics.zone_evacuated(zone=zone, since=0.0)
+            self.metrics.set_zone_evacuated_since(zone=zone, since=0.0)
         for name in self._directory.names_in_zones(changed.returned):
             self._placement.set_cold(name, ENTRY_LAG_SECONDS, monotonic())
         await self._dispatcher.assign_queued()
@@ -439,7 +439,7 @@
         limits = configuration.limits
         self._server.keep_alive_seconds = limits.idle_seconds * IDLE_TIMEOUT_FACTOR
         self._server.max_body_bytes = limits.max_body_bytes
-        self.metrics.configuration_in_force(revision=configuration.revision)
+        self.metrics.set_configuration_revision(revision=configuration.revision)
         await self._peers.announce_revision()
 
     async def _apply_directory_changes(self, changes: list[DirectoryChange]) -> None:
@@ -468,7 +468,7 @@
         while self._crashes.unreported:
             crash = self._crashes.unreported.popleft()
             log_warning("upstream_crashed", crash=crash.crash_id)
-            self.metrics.upstream_crashed()
+            self.metrics.record_crash()
             fingerprints = tuple(sorted(crash.fingerprints))
             message = CrashSeen(crash_id=crash.crash_id, fingerprints=fingerprints)
             await self._peers.send_crash(message)
@@ -482,7 +482,7 @@
             processes = max(self._peers.ingress_count, holders)
             reserve = process_reserve(processes=processes, most=RETRY_RESERVE)
             self._retries.set_reserve(reserve)
-            self.metrics.load(
+            self.metrics.set_load(
                 running=self._server.open_exchanges, queued=len(self._dispatcher.queue)
             )
             due_at = monotonic() + UPKEEP_SECONDS
--- a/src/ragwortkeel/membership.py
+++ b/src/ragwortkeel/membership.py
@@ -181,22 +181,26 @@
         """Return whether the platform's list is to be read now."""
         if self._list_asked_at is None:
             return True
-        since = now - self._list_asked_at
+        elapsed = now - self._list_asked_at
         suspects = self.nodes(now, Liveness.SUSPECT)
-        return since >= (LIST_SPACING_SECONDS if suspects else IDLE_LIST_SECONDS)
+        return elapsed >= (LIST_SPACING_SECONDS if suspects else IDLE_LIST_SECONDS)
 
-    def is_responsible(self, incarnation: str, now: float, own: str) -> bool:
+    def is_responsible(
+        self, incarnation: str, now: float, own_incarnation: str
+    ) -> bool:
         """Return whether this router acts on the failure of a node.
 
         Parameters
         ----------
-        own : str
+        own_incarnation : str
             Incarnation of this router.
         """
         live = self.nodes(now, Liveness.LIVE, Liveness.STARTING)
         routers = {node.incarnation for node in live if node.role == Role.ROUTER}
-        chosen = rendezvous(incarnation, routers | {own}, RESPONSIBLE_ROUTERS)
-        return own in chosen
+        responsible = rendezvous(
+            incarnation, routers | {own_incarnation}, RESPONSIBLE_ROUTERS
+        )
+        return own_incarnation in responsible
 
     def _members(self) -> Iterable[_Member]:
         return self._member_by_incarnation.values()
--- a/src/ragwortkeel/metrics.py
+++ b/src/ragwortkeel/metrics.py
@@ -30,7 +30,7 @@
     Examples
     --------
     >>> metrics = Metrics()
-    >>> metrics.request_ended(service="interactive", outcome="ok", reason="")
+    >>> metrics.record_request(service="interactive", outcome="ok", reason="")
 
     .. versionadded:: 0.1
     """
@@ -144,32 +144,32 @@
             FIRST_TOKEN_BUCKETS,
         )
 
-    def request_ended(self, *, service: str, outcome: str, reason: str) -> None:
+    def record_request(self, *, service: str, outcome: str, reason: str) -> None:
         """Count a request by its final answer."""
         self._requests.labels(service, outcome, reason).inc()
 
-    def decided(self, *, decision: str, reason: str) -> None:
+    def record_decision(self, *, decision: str, reason: str) -> None:
         """Count a decision under load."""
         self._decisions.labels(decision, reason).inc()
 
-    def attempt_failed(self, *, failure: str) -> None:
+    def record_attempt_failure(self, *, failure: str) -> None:
         """Count a failed attempt."""
         self._failures.labels(failure).inc()
 
-    def retry_decided(self, *, service: str, cause: str, allowed: bool) -> None:
+    def record_retry_decision(self, *, service: str, cause: str, allowed: bool) -> None:
         """Count a decision on another attempt of a request."""
         self._retries.labels(service, cause, str(allowed).lower()).inc()
 
-    def upstream_crashed(self) -> None:
+    def record_crash(self) -> None:
         """Count a crash of an upstream that became known to this process."""
         self._crashes.inc()
 
-    def upstream(self, *, name: str, limit: int, load: int) -> None:
+    def set_upstream_load(self, *, name: str, limit: int, load: int) -> None:
         """Set the limit and load of a linked upstream, in requests."""
         self._upstream_limit.labels(name).set(limit)
         self._upstream_load.labels(name).set(load)
 
-    def upstream_announced(self, *, name: str, limit: float | None) -> None:
+    def set_announced_limit(self, *, name: str, limit: float | None) -> None:
         """Set an upstream's announced limit in requests/s, or remove it for None."""
         gauge = self._upstream_announced.labels(name)
         if limit is None:
@@ -177,63 +177,63 @@
             return
         gauge.set(limit)
 
-    def tokens_spent(self, *, service: str, tokens: int) -> None:
+    def record_tokens(self, *, service: str, tokens: int) -> None:
         """Add billed tokens."""
         self._tokens.labels(service).inc(tokens)
 
-    def slice_operation(self, *, operation: str, outcome: str) -> None:
+    def record_slice_operation(self, *, operation: str, outcome: str) -> None:
         """Count an operation on a slice: take, return, settle, renew or transfer."""
         self._slices.labels(operation, outcome).inc()
 
-    def receipts(self, *, state: str, count: int = 1) -> None:
+    def record_receipts(self, *, state: str, count: int = 1) -> None:
         """Count receipts that were created or became durable."""
         self._receipts.labels(state).inc(count)
 
-    def link_lost(self, *, peer: str) -> None:
+    def record_link_lost(self, *, peer: str) -> None:
         """Count a link that was lost because its peer, of that role, was silent."""
         self._links_lost.labels(peer).inc()
 
-    def link_traffic(self, report: TrafficReport) -> None:
+    def record_link_traffic(self, report: TrafficReport) -> None:
         """Add the bytes of a report on links."""
         for kind, size in report.sent_bytes_by_kind.items():
             self._link_bytes.labels("sent", kind).inc(size)
         for kind, size in report.received_bytes_by_kind.items():
             self._link_bytes.labels("heard", kind).inc(size)
 
-    def platform_failed(self, *, error: str) -> None:
+    def record_platform_failure(self, *, error: str) -> None:
         """Count a failed call to the platform."""
         self._platform_errors.labels(error).inc()
 
-    def platform_called(self, *, operation: str, kind: str, outcome: str) -> None:
+    def record_platform_call(self, *, operation: str, kind: str, outcome: str) -> None:
         """Count a call to the platform."""
         self._platform_calls.labels(operation, kind, outcome).inc()
 
-    def configuration_in_force(self, *, revision: int) -> None:
+    def set_configuration_revision(self, *, revision: int) -> None:
         """Set the highest configuration revision in force here."""
         self._revision.set(revision)
 
-    def peer_configuration_in_force(self, *, revision: int) -> None:
+    def set_peer_revision(self, *, revision: int) -> None:
         """Set the highest configuration revision in force at a peer."""
         self._peer_revision.set(revision)
 
-    def zone_evacuated(self, *, zone: str, since: float) -> None:
+    def set_zone_evacuated_since(self, *, zone: str, since: float) -> None:
         """Set the time of an availability zone's evacuation; 0 once it has ended."""
         self._zone_evacuated_since.labels(zone).set(since)
 
-    def load(self, *, running: int, queued: int) -> None:
+    def set_load(self, *, running: int, queued: int) -> None:
         """Set the number of open requests and how many of them are queued."""
         self._open_requests.set(running)
         self._queued_requests.set(queued)
 
-    def slice_tokens(self, *, tokens: int) -> None:
+    def set_slice_tokens(self, *, tokens: int) -> None:
         """Set the number of unspent tokens in slices."""
         self._slice_tokens.set(tokens)
 
-    def queue_waited(self, *, service: str, seconds: float) -> None:
+    def record_queue_wait(self, *, service: str, seconds: float) -> None:
         """Record the time that a request waited for its dispatch."""
         self._queue_wait.labels(service).observe(seconds)
 
-    def first_token(self, *, service: str, seconds: float) -> None:
+    def record_first_token(self, *, service: str, seconds: float) -> None:
         """Record the time until the first token of a request."""
         self._first_token.labels(service).observe(seconds)
 
--- a/src/ragwortkeel/platform_counts.py
+++ b/src/ragwortkeel/platform_counts.py
@@ -106,6 +106,6 @@
             raise
         finally:
             self._count_by_call[f"{operation}/{kind}/{outcome}"] += 1
-            self._metrics.platform_called(
+            self._metrics.record_platform_call(
                 operation=operation, kind=kind, outcome=outcome
             )
--- a/src/ragwortkeel/process.py
+++ b/src/ragwortkeel/process.py
@@ -125,18 +125,18 @@
             return await self._run_worker(signals)
 
     async def _run_worker(self, signals) -> int:
-        probing = await curio.spawn(self._probes.serve, daemon=True)
-        watching = await curio.spawn(self._watch_ready, daemon=True)
-        working = await curio.spawn(self._worker.run, daemon=True)
+        probe_task = await curio.spawn(self._probes.serve, daemon=True)
+        ready_task = await curio.spawn(self._watch_ready, daemon=True)
+        worker_task = await curio.spawn(self._worker.run, daemon=True)
         try:
             stop_requested = await _ends_first(
-                lambda: self._stop_signal(signals), working.wait
+                lambda: self._stop_signal(signals), worker_task.wait
             )
             if not stop_requested:
-                return self._fail(working)
+                return self._fail(worker_task)
             return await self._stop(signals)
         finally:
-            for task in (watching, working, probing):
+            for task in (ready_task, worker_task, probe_task):
                 await task.cancel()
 
     async def _stop_signal(self, signals) -> None:
@@ -155,13 +155,13 @@
 
     async def _stop(self, signals) -> int:
         self._lifecycle.fire("stop")
-        stopping = await curio.spawn(self._worker.stop, daemon=True)
-        finished = await _ends_first(stopping.wait, lambda: self._stop_signal(signals))
+        stop_task = await curio.spawn(self._worker.stop, daemon=True)
+        finished = await _ends_first(stop_task.wait, lambda: self._stop_signal(signals))
         if not finished:
-            await stopping.cancel()
+            await stop_task.cancel()
             log_warning("stop_cut_short", node=self._name)
             return EXIT_FAILED
-        leftover = stopping.result
+        leftover = stop_task.result
         if self._lifecycle.can("drained"):
             self._lifecycle.fire("drained")
         self._lifecycle.fire("flushed" if leftover.is_clean else "deadline")
@@ -170,9 +170,9 @@
             return EXIT_FAILED
         return EXIT_CLEAN
 
-    def _fail(self, working: curio.Task) -> int:
+    def _fail(self, worker_task: curio.Task) -> int:
         self._lifecycle.fire("fail")
-        log_error("worker_failed", node=self._name, error=repr(working.exception))
+        log_error("worker_failed", node=self._name, error=repr(worker_task.exception))
         return EXIT_FAILED
 
     async def _watch_ready(self) -> None:
--- a/src/ragwortkeel/router/observer.py
+++ b/src/ragwortkeel/router/observer.py
@@ -56,11 +56,11 @@
         refusal, service = ended.refusal, ended.profile.service
         outcome = ANSWERED if refusal is None else refusal.outcome
         reason = "" if refusal is None else refusal.reason
-        self._metrics.request_ended(service=service, outcome=outcome, reason=reason)
+        self._metrics.record_request(service=service, outcome=outcome, reason=reason)
         if ended.tokens:
-            self._metrics.tokens_spent(service=service, tokens=ended.tokens)
+            self._metrics.record_tokens(service=service, tokens=ended.tokens)
         if ended.first_token_seconds is not None:
-            self._metrics.first_token(
+            self._metrics.record_first_token(
                 service=service, seconds=ended.first_token_seconds
             )
         log_info(
@@ -81,8 +81,8 @@
         request = decision.request
         match decision:
             case Assignment(upstream=upstream, attempt=attempt, alone=alone):
-                self._metrics.decided(decision=DISPATCHED, reason="")
-                self._metrics.queue_waited(
+                self._metrics.record_decision(decision=DISPATCHED, reason="")
+                self._metrics.record_queue_wait(
                     service=request.service_class, seconds=waited
                 )
                 log_debug(
@@ -94,7 +94,7 @@
                     waited=waited,
                 )
             case PolicyRefusal(reason=reason):
-                self._metrics.decided(decision=REFUSED, reason=reason)
+                self._metrics.record_decision(decision=REFUSED, reason=reason)
                 log_info(
                     "refused",
                     request=request.request_id,
@@ -105,12 +105,12 @@
 
     def record_attempt_failure(self, request_id: str, failure: Failure) -> None:
         """Tell that an attempt gave no usable answer."""
-        self._metrics.attempt_failed(failure=failure)
+        self._metrics.record_attempt_failure(failure=failure)
         log_info("attempt_failed", request=request_id, failure=failure)
 
     def record_crash(self, crash: Crash) -> None:
         """Tell of a crash that was news here."""
-        self._metrics.upstream_crashed()
+        self._metrics.record_crash()
         log_warning(
             "upstream_crashed",
             crash=crash.crash_id,
@@ -120,7 +120,7 @@
 
     def record_load(self, report: LoadReport) -> None:
         """Show what a sidecar reports."""
-        self._metrics.upstream(
+        self._metrics.set_upstream_load(
             name=report.upstream,
             limit=report.limit,
             load=report.running + report.waiting,
@@ -128,19 +128,19 @@
 
     def record_slice_renewal(self, outcome: str) -> None:
         """Count how bringing a slice and its ledger in step ended."""
-        self._metrics.slice_operation(operation="renew", outcome=outcome)
+        self._metrics.record_slice_operation(operation="renew", outcome=outcome)
 
     def record_platform_failure(self, error: str) -> None:
         """Count a failed call of the platform."""
-        self._metrics.platform_failed(error=error)
+        self._metrics.record_platform_failure(error=error)
 
     def record_link_down(self, role: str, peer: str) -> None:
         """Tell that a peer went silent."""
-        self._metrics.link_lost(peer=role)
+        self._metrics.record_link_lost(peer=role)
         log_warning("link_down", role=role, peer=peer)
 
     def set_gauges(self, gauges: Gauges) -> None:
         """Show the state of the moment."""
-        self._metrics.configuration_in_force(revision=gauges.revision)
-        self._metrics.load(running=gauges.running, queued=gauges.queued)
-        self._metrics.slice_tokens(tokens=gauges.slice_tokens)
+        self._metrics.set_configuration_revision(revision=gauges.revision)
+        self._metrics.set_load(running=gauges.running, queued=gauges.queued)
+        self._metrics.set_slice_tokens(tokens=gauges.slice_tokens)
--- a/src/ragwortkeel/settings.py
+++ b/src/ragwortkeel/settings.py
@@ -266,10 +266,10 @@
 
 def _enum_values(cls: type, path: str) -> str:
     """Return the values of an enum field of `cls`, or "" for another field."""
-    by_name = {field.name: field.type for field in msgspec.structs.fields(cls)}
-    found = by_name.get(path.removeprefix("$."))
-    if isinstance(found, type) and issubclass(found, StrEnum):
-        return f"one of {', '.join(found)}"
+    type_by_name = {field.name: field.type for field in msgspec.structs.fields(cls)}
+    field_type = type_by_name.get(path.removeprefix("$."))
+    if isinstance(field_type, type) and issubclass(field_type, StrEnum):
+        return f"one of {', '.join(field_type)}"
     return ""
 
 
--- a/src/ragwortkeel/sidecar/reporting.py
+++ b/src/ragwortkeel/sidecar/reporting.py
@@ -48,21 +48,21 @@
         """Report what came in from the upstream, the platform or the recorder."""
         match item:
             case AnswerEnded():
-                self._metrics.decided(decision=RUN_ENDED, reason="finished")
-                self._metrics.receipts(state="made")
+                self._metrics.record_decision(decision=RUN_ENDED, reason="finished")
+                self._metrics.record_receipts(state="made")
             case RunBroken(nonce=nonce, reason=reason, tokens=tokens):
-                self._metrics.decided(decision=RUN_ENDED, reason=reason)
+                self._metrics.record_decision(decision=RUN_ENDED, reason=reason)
                 self._warn("run_broken", nonce=nonce, reason=reason, tokens=tokens)
             case RunDeclined(nonce=nonce, reason=reason):
-                self._metrics.decided(decision=RUN_ENDED, reason=reason)
+                self._metrics.record_decision(decision=RUN_ENDED, reason=reason)
                 self._warn("run_declined", nonce=nonce, reason=reason)
             case ReceiptsDurable(nonces=nonces):
-                self._metrics.receipts(state="durable", count=len(nonces))
+                self._metrics.record_receipts(state="durable", count=len(nonces))
                 self._info("receipts_written", count=len(nonces))
             case OutcomeDurable(nonces=nonces):
                 self._info("outcome_written", nonce=",".join(nonces))
             case WriteFailed():
-                self._metrics.platform_failed(error="write_failed")
+                self._metrics.record_platform_failure(error="write_failed")
             case Registration(fencing_number=number, sealed=sealed):
                 self._info("registered", fencing_number=number, seals=len(sealed))
             case StruckOff():
@@ -72,7 +72,7 @@
         """Report an effect of the core."""
         match effect:
             case Send(message=Refused(nonce=nonce, reason=reason)):
-                self._metrics.decided(decision=REFUSED, reason=reason)
+                self._metrics.record_decision(decision=REFUSED, reason=reason)
                 log = log_debug if reason in _ORDINARY else log_info
                 log("run_refused", sidecar=self._sidecar, nonce=nonce, reason=reason)
             case Send(message=Sealed(router=router, ran=ran)):
@@ -90,7 +90,7 @@
 
     def level(self, core: SidecarCore) -> None:
         """Report how much is in flight."""
-        self._metrics.load(running=core.journal.running, queued=core.load.waiting)
+        self._metrics.set_load(running=core.journal.running, queued=core.load.waiting)
 
     def _info(self, event: str, **fields) -> None:
         log_info(event, sidecar=self._sidecar, **fields)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -10,55 +10,55 @@
         ("call", "line"),
         [
             (
-                lambda m: m.request_ended(
+                lambda m: m.record_request(
                     service="batch", outcome="not_run", reason="deadline"
                 ),
                 "ragwortkeel_requests_total"
                 '{outcome="not_run",reason="deadline",service="batch"} 1.0',
             ),
             (
-                lambda m: m.decided(decision="refuse", reason="burst"),
+                lambda m: m.record_decision(decision="refuse", reason="burst"),
                 'ragwortkeel_decisions_total{decision="refuse",reason="burst"} 1.0',
             ),
             (
-                lambda m: m.tokens_spent(service="batch", tokens=17),
+                lambda m: m.record_tokens(service="batch", tokens=17),
                 'ragwortkeel_tokens_spent_total{service="batch"} 17.0',
             ),
             (
-                lambda m: m.slice_operation(operation="take", outcome="granted"),
+                lambda m: m.record_slice_operation(operation="take", outcome="granted"),
                 "ragwortkeel_slice_operations_total"
                 '{operation="take",outcome="granted"} 1.0',
             ),
             (
-                lambda m: m.receipts(state="durable", count=3),
+                lambda m: m.record_receipts(state="durable", count=3),
                 'ragwortkeel_receipts_total{state="durable"} 3.0',
             ),
             (
-                lambda m: m.link_lost(peer="sidecar"),
+                lambda m: m.record_link_lost(peer="sidecar"),
                 'ragwortkeel_links_lost_total{peer="sidecar"} 1.0',
             ),
             (
-                lambda m: m.platform_failed(error="unavailable"),
+                lambda m: m.record_platform_failure(error="unavailable"),
                 'ragwortkeel_platform_errors_total{error="unavailable"} 1.0',
             ),
             (
-                lambda m: m.configuration_in_force(revision=9),
+                lambda m: m.set_configuration_revision(revision=9),
                 "ragwortkeel_configuration_revision 9.0",
             ),
             (
-                lambda m: m.load(running=4, queued=2),
+                lambda m: m.set_load(running=4, queued=2),
                 "ragwortkeel_queued_requests 2.0",
             ),
             (
-                lambda m: m.slice_tokens(tokens=500),
+                lambda m: m.set_slice_tokens(tokens=500),
                 "ragwortkeel_slice_tokens 500.0",
             ),
             (
-                lambda m: m.queue_waited(service="batch", seconds=0.03),
+                lambda m: m.record_queue_wait(service="batch", seconds=0.03),
                 'ragwortkeel_queue_wait_seconds_bucket{le="0.05",service="batch"} 1.0',
             ),
             (
-                lambda m: m.first_token(service="batch", seconds=1.4),
+                lambda m: m.record_first_token(service="batch", seconds=1.4),
                 'ragwortkeel_first_token_seconds_bucket{le="1.5",service="batch"} 1.0',
             ),
         ],
@@ -70,5 +70,5 @@
 
     def test_daemons_of_one_process_have_separate_metrics(self):
         first, second = Metrics(), Metrics()
-        first.link_lost(peer="router")
+        first.record_link_lost(peer="router")
         assert b'peer="router"' not in second.render()
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -16,9 +16,9 @@
 def request_probe(target, method="GET", ready=True):
     """Return the response of a daemon's probes to one request."""
     metrics = Metrics()
-    metrics.request_ended(service="interactive", outcome="not_run", reason="deadline")
-    metrics.tokens_spent(service="batch", tokens=17)
-    metrics.first_token(service="interactive", seconds=1.2)
+    metrics.record_request(service="interactive", outcome="not_run", reason="deadline")
+    metrics.record_tokens(service="batch", tokens=17)
+    metrics.record_first_token(service="interactive", seconds=1.2)
     tracing = Tracing(node="router-1")
     with tracing.span("request", parent=f"00-{TRACE}-{'cd' * 8}-01"):
         pass
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -61,6 +61,6 @@
         traffic, metrics = Traffic(), Metrics()
         for _ in range(2):
             traffic.record_sent(Heartbeat(), 60)
-            metrics.link_traffic(traffic.drain_report())
+            metrics.record_link_traffic(traffic.drain_report())
         line = 'link_bytes_total{direction="sent",message="Heartbeat"} 120.0'
         assert line in metrics.render().decode()
