--- a/src/ragwortkeel/router/observer.py
+++ b/src/ragwortkeel/router/observer.py
@@ -66,11 +66,11 @@
         refusal, service = ended.refusal, ended.profile.service
         outcome = ANSWERED if refusal is None else refusal.outcome
         reason = "" if refusal is None else refusal.reason
-        self._metrics.request_ended(service=service, outcome=outcome, reason=reason)
+        self._metrics.record_request(service=service, outcome=outcome, reason=reason)
         if ended.tokens:
-            self._metrics.tokens_spent(service=service, tokens=ended.tokens)
+            self._metrics.record_tokens(service=service, tokens=ended.tokens)
         if ended.first_token_seconds is not None:
-            self._metrics.first_token(
+            self._metrics.record_first_token(
                 service=service, seconds=ended.first_token_seconds
             )
         log_info(
@@ -94,8 +94,8 @@
         request = decision.request
         match decision:
             case Assignment(upstream=upstream, attempt=attempt, alone=alone):
-                self._metrics.decided(decision=DISPATCHED, reason="")
-                self._metrics.queue_waited(
+                self._metrics.record_decision(decision=DISPATCHED, reason="")
+                self._metrics.record_queue_wait(
                     service=request.service_class, seconds=waited
                 )
                 log_debug(
@@ -107,7 +107,7 @@
                     waited=waited,
                 )
             case PolicyRefusal(reason=reason):
-                self._metrics.decided(decision=REFUSED, reason=reason)
+                self._metrics.record_decision(decision=REFUSED, reason=reason)
                 log_info(
                     "refused",
                     request=request.request_id,
@@ -118,12 +118,12 @@
 
     def record_attempt_failure(self, request_id: str, failure: Failure) -> None:
         """Log and count an attempt without a usable answer."""
-        self._metrics.attempt_failed(failure=failure)
+        self._metrics.record_attempt_failure(failure=failure)
         log_info("attempt_failed", request=request_id, failure=failure)
 
     def record_crash(self, crash: Crash) -> None:
         """Log and count an upstream crash that this router didn't know of."""
-        self._metrics.upstream_crashed()
+        self._metrics.record_crash()
         log_warning(
             "upstream_crashed",
             crash=crash.crash_id,
@@ -133,7 +133,7 @@
 
     def record_load(self, report: LoadReport) -> None:
         """Update the metrics of an upstream from its sidecar's load report."""
-        self._metrics.upstream(
+        self._metrics.set_upstream_load(
             name=report.upstream,
             limit=report.limit,
             load=report.running + report.waiting,
@@ -141,19 +141,19 @@
 
     def record_slice_renewal(self, outcome: str) -> None:
         """Count the outcome of a slice's renewal at its ledger."""
-        self._metrics.slice_operation(operation="renew", outcome=outcome)
+        self._metrics.record_slice_operation(operation="renew", outcome=outcome)
 
     def record_platform_failure(self, error: str) -> None:
         """Count a failed platform call."""
-        self._metrics.platform_failed(error=error)
+        self._metrics.record_platform_failure(error=error)
 
     def record_link_down(self, role: str, peer: str) -> None:
         """Log and count the loss of a link."""
-        self._metrics.link_lost(peer=role)
+        self._metrics.record_link_lost(peer=role)
         log_warning("link_down", role=role, peer=peer)
 
     def set_gauges(self, gauges: Gauges) -> None:
         """Set the gauges to the router's present values."""
-        self._metrics.configuration_in_force(revision=gauges.revision)
-        self._metrics.load(running=gauges.running, queued=gauges.queued)
-        self._metrics.slice_tokens(tokens=gauges.slice_tokens)
+        self._metrics.set_configuration_revision(revision=gauges.revision)
+        self._metrics.set_load(running=gauges.running, queued=gauges.queued)
+        self._metrics.set_slice_tokens(tokens=gauges.slice_tokens)
