--- a/src/ragwortkeel/budget/allowance.py
+++ b/src/ragwortkeel/budget/allowance.py
@@ -3,7 +3,7 @@
 What a crashed process spent since its last report to the ledger is unknown.  Each
 process therefore keeps its unreported spend and open reservations under a cap that the
 ledger records, and its successor on the same instance charges the cap.  A fixed cap
-would have to cover a whole outage of the platform, and each crash would strand that
+would have to cover a full outage of the platform, and each crash would strand that
 much.  So the cap grows from some time after the last write on, at the rate of the
 demand, and the successor charges what it can have grown to.  Both count on the safe
 side: the process from its last *attempt* to write and by its slowest clock, the
--- a/src/ragwortkeel/budget/ledger.py
+++ b/src/ragwortkeel/budget/ledger.py
@@ -297,7 +297,7 @@
 def _operation_count_of(operation_id: str) -> int:
     count, _, nonce = operation_id.partition(".")
     if not nonce or not count.isdecimal():
-        raise InvalidOperation(f"operation id {operation_id!r} is not COUNT.NONCE")
+        raise InvalidOperation(f"{operation_id!r} is no operation id")
     return int(count)
 
 
--- a/src/ragwortkeel/budget/write_order.py
+++ b/src/ragwortkeel/budget/write_order.py
@@ -169,7 +169,7 @@
         return True
 
     def reset(self) -> None:
-        """Start the wait anew, as another process writes for this one."""
+        """Restart the wait, as another process writes for this one."""
         self._writes_at = None
 
 
