--- a/src/ragwortkeel/sidecar/admission.py
+++ b/src/ragwortkeel/sidecar/admission.py
@@ -7,14 +7,14 @@
 from ragwortkeel.logs import log_error
 from ragwortkeel.messages import Dispatch, RefusalReason, VersionedObject
 
-RETRY_SOON_SECONDS = 1.0
+SHORT_RETRY_SECONDS = 1.0
 """For reasons that pass by themselves, such as a full upstream."""
 
-RETRY_LATER_SECONDS = 10.0
+LONG_RETRY_SECONDS = 10.0
 """For reasons that wait for an operator or the platform."""
 
-_LATER = {RefusalReason.NOT_ADMITTED, RefusalReason.QUARANTINED}
-_SOON = {RefusalReason.OVERLOADED, RefusalReason.UPSTREAM_UNREACHABLE}
+_LONG_RETRY_REASONS = {RefusalReason.NOT_ADMITTED, RefusalReason.QUARANTINED}
+_SHORT_RETRY_REASONS = {RefusalReason.OVERLOADED, RefusalReason.UPSTREAM_UNREACHABLE}
 
 
 class Admission:
@@ -30,7 +30,7 @@
 
     Attributes
     ----------
-    limit : int
+    refusal_threshold : int
         Runs at once beyond which the upstream would be overloaded.
     admitted : bool
         Set once the sidecar is registered and has read the seals.
@@ -41,7 +41,7 @@
     def __init__(self, *, upstream: str, max_running: int = 256) -> None:
         self.upstream = upstream
         self.max_running = max_running
-        self.limit = max_running
+        self.refusal_threshold = max_running
         self.admitted = False
         self.draining = False
         self.stopping = False
@@ -52,7 +52,7 @@
         """Whether routers should send new work elsewhere."""
         return self.draining or self.stopping
 
-    def learn(self, thing: VersionedObject) -> bool:
+    def merge_object(self, thing: VersionedObject) -> bool:
         """Keep the highest rank of an object; return whether it was news."""
         key = (thing.kind, thing.name)
         known = self._objects_by_key.get(key)
@@ -74,15 +74,15 @@
             # router in.  Registered first and the seals read after, either the
             # sealer finds this sidecar or this sidecar finds the seal.
             return RefusalReason.NOT_ADMITTED
-        if self.newer_than(dispatch):
+        if self.newer_objects(dispatch):
             return RefusalReason.STALE_CONFIGURATION
         if self.draining:
             return RefusalReason.DRAINING
-        if running >= min(self.limit, self.max_running):
+        if running >= min(self.refusal_threshold, self.max_running):
             return RefusalReason.OVERLOADED
         return None
 
-    def newer_than(self, dispatch: Dispatch) -> tuple[VersionedObject, ...]:
+    def newer_objects(self, dispatch: Dispatch) -> tuple[VersionedObject, ...]:
         """Return the objects that the sender of the dispatch has yet to learn."""
         versions_by_key = {
             (PROFILES, dispatch.profile): dispatch.profile_version,
@@ -95,11 +95,11 @@
             and self._objects_by_key[key].version > version
         )
 
-    def retry_after(self, reason: RefusalReason) -> float:
+    def retry_delay_seconds(self, reason: RefusalReason) -> float:
         """Return the seconds after which coming back here may help, else 0."""
-        if reason in _SOON:
-            return RETRY_SOON_SECONDS
-        return RETRY_LATER_SECONDS if reason in _LATER else 0.0
+        if reason in _SHORT_RETRY_REASONS:
+            return SHORT_RETRY_SECONDS
+        return LONG_RETRY_SECONDS if reason in _LONG_RETRY_REASONS else 0.0
 
 
 def _is_leaving(thing: VersionedObject) -> bool:
--- a/src/ragwortkeel/sidecar/outlet.py
+++ b/src/ragwortkeel/sidecar/answer_streams.py
@@ -14,7 +14,7 @@
 from ragwortkeel.sidecar.effects import Peer, Send
 
 
-class Outlet:
+class AnswerStreams:
     """Answers, their followers, and how ended runs ended.
 
     Parameters
@@ -28,36 +28,38 @@
         self._followers_by_nonce: dict[str, set[Peer]] = defaultdict(set)
         self._ended_by_nonce: dict[str, Finished | Failed] = {}
 
-    def ended(self, nonce: str) -> Finished | Failed | None:
+    def end_of(self, nonce: str) -> Finished | Failed | None:
         """Return how a run ended, None where it has not or is forgotten."""
         return self._ended_by_nonce.get(nonce)
 
-    def follow(self, peer: Peer, nonce: str) -> None:
+    def add_follower(self, peer: Peer, nonce: str) -> None:
         """Tell the peer how a running run goes on."""
         self._followers_by_nonce[nonce].add(peer)
 
-    def begin(self, started: Started) -> list[Send]:
+    def start_answer(self, started: Started) -> list[Send]:
         """Begin an answer."""
         self.answers.open(
             started.nonce, status=started.status, content_type=started.content_type
         )
-        return self._tell(started.nonce, started)
+        return self._send_to_followers(started.nonce, started)
 
-    def add(self, nonce: str, data: bytes) -> list[Send]:
+    def append_chunk(self, nonce: str, data: bytes) -> list[Send]:
         """Add to an answer; `AnswerTooLarge` where it won't fit."""
         offset = self.answers.append(nonce, data)
-        return self._tell(nonce, Chunk(nonce=nonce, offset=offset, data=data))
+        return self._send_to_followers(
+            nonce, Chunk(nonce=nonce, offset=offset, data=data)
+        )
 
-    def end(self, message: Finished | Failed, *, pinned: bool) -> list[Send]:
+    def end_answer(self, message: Finished | Failed, *, pinned: bool) -> list[Send]:
         """End an answer; a pinned one stays until it is unpinned."""
         nonce = message.nonce
         self._ended_by_nonce[nonce] = message
         self.answers.finish(nonce, pinned=pinned)
-        return self.dismiss(nonce, message)
+        return self.send_last(nonce, message)
 
-    def dismiss(self, nonce: str, message: AnyMessage) -> list[Send]:
+    def send_last(self, nonce: str, message: AnyMessage) -> list[Send]:
         """Tell followers the last they will hear of a run."""
-        rv = self._tell(nonce, message)
+        rv = self._send_to_followers(nonce, message)
         self._followers_by_nonce.pop(nonce, None)
         return rv
 
@@ -67,7 +69,7 @@
         ended = self._ended_by_nonce.get(nonce)
         if answer is None:
             if isinstance(ended, Finished):
-                return [answer_lost(nonce, tokens=tokens)]
+                return [lost_answer_failure(nonce, tokens=tokens)]
             return [] if ended is None else [ended]
         rv: list[AnyMessage] = [
             Started(nonce=nonce, status=answer.status, content_type=answer.content_type)
@@ -76,23 +78,23 @@
             rv.append(Chunk(nonce=nonce, offset=start, data=data))
         return rv if ended is None else [*rv, ended]
 
-    def forget(self, nonces: list[str]) -> None:
+    def discard(self, nonces: list[str]) -> None:
         """Drop what is kept of these runs."""
         for nonce in nonces:
             self.answers.remove(nonce)
             self._ended_by_nonce.pop(nonce, None)
 
-    def peer_lost(self, peer: Peer) -> None:
+    def remove_peer(self, peer: Peer) -> None:
         """Forget a peer that is not connected any more."""
         for followers in self._followers_by_nonce.values():
             followers.discard(peer)
 
-    def _tell(self, nonce: str, message: AnyMessage) -> list[Send]:
+    def _send_to_followers(self, nonce: str, message: AnyMessage) -> list[Send]:
         followers = self._followers_by_nonce.get(nonce, ())
         return [Send(peer=peer, message=message) for peer in sorted(followers)]
 
 
-def answer_lost(nonce: str, *, tokens: int) -> Failed:
+def lost_answer_failure(nonce: str, *, tokens: int) -> Failed:
     """Return the truth about a run whose answer is not here (any more)."""
     return Failed(
         nonce=nonce,
--- a/src/ragwortkeel/sidecar/core.py
+++ b/src/ragwortkeel/sidecar/core.py
@@ -30,11 +30,13 @@
 from ragwortkeel.runs.answer import AnswerStore, AnswerTooLarge
 from ragwortkeel.runs.journal import Journal, Run
 from ragwortkeel.sidecar.admission import Admission
-from ragwortkeel.sidecar.crashes import CrashWatch
+from ragwortkeel.sidecar.answer_streams import AnswerStreams, lost_answer_failure
+from ragwortkeel.sidecar.crashes import CrashDetector
+from ragwortkeel.sidecar.dispatch_check import DispatchCheck
 from ragwortkeel.sidecar.effects import (
-    AnswerBegun,
-    AnswerEnded,
-    AnswerPiece,
+    AnswerChunk,
+    AnswerCompleted,
+    AnswerStarted,
     CancelRun,
     Effect,
     Peer,
@@ -45,12 +47,10 @@
     StopRun,
     UpstreamEvent,
 )
-from ragwortkeel.sidecar.gate import Gate
 from ragwortkeel.sidecar.isolation import Isolation
-from ragwortkeel.sidecar.limiting import Limiting
 from ragwortkeel.sidecar.load import LoadReport
-from ragwortkeel.sidecar.outlet import Outlet, answer_lost
 from ragwortkeel.sidecar.sealing import Sealing
+from ragwortkeel.sidecar.upstream_limit import UpstreamLimit
 
 _CRASHED = FailureReason.CRASHED
 
@@ -83,18 +83,18 @@
         self.admission = admission
         self.journal = journal or Journal(sidecar=incarnation)
         self.load = LoadReport()
-        self.outlet = Outlet(answers=answers or AnswerStore())
+        self.answer_streams = AnswerStreams(answers=answers or AnswerStore())
         self._isolation = Isolation()
-        self._crashes = CrashWatch(sidecar=incarnation)
-        self._gate = Gate(
+        self._crash_detector = CrashDetector(sidecar=incarnation)
+        self._dispatch_check = DispatchCheck(
             incarnation=incarnation,
             admission=admission,
             journal=self.journal,
-            answers=self.outlet.answers,
+            answers=self.answer_streams.answers,
             isolation=self._isolation,
         )
         self._sealing = Sealing(incarnation=incarnation, journal=self.journal)
-        self._limiting = Limiting()
+        self._upstream_limit = UpstreamLimit()
         self._now = 0.0
 
     def on_message(
@@ -102,7 +102,7 @@
     ) -> list[Effect]:
         """Take a message from a peer whose incarnation is `sender`."""
         self._now = now
-        self._crashes.heard(peer, now)
+        self._crash_detector.record_peer(peer, now)
         match message:
             case Dispatch():
                 return self._on_dispatch(peer, sender, message)
@@ -130,35 +130,39 @@
         if self.journal.state(event.nonce) is not RunState.RUNNING:
             return []
         match event:
-            case AnswerBegun():
-                return self._on_begun(event)
-            case AnswerPiece():
-                return self._on_piece(event, now)
-            case AnswerEnded(nonce=nonce, tokens=tokens):
+            case AnswerStarted():
+                return self._on_answer_started(event)
+            case AnswerChunk():
+                return self._on_answer_chunk(event, now)
+            case AnswerCompleted(nonce=nonce, tokens=tokens):
                 return self._finish(nonce, tokens, now)
             case RunDeclined():
                 return self._on_declined(event)
             case RunBroken(nonce=nonce, reason=reason, tokens=tokens):
-                seen = self._crashes.crashed(nonce, now) if reason == _CRASHED else []
+                seen = (
+                    self._crash_detector.report_crash(nonce, now)
+                    if reason == _CRASHED
+                    else []
+                )
                 return seen + self._fail(nonce, reason, tokens, now)
 
     def on_epoch(self, now: float) -> None:
         """Begin the next epoch and forget what has become safe to forget."""
-        self.outlet.forget(self.journal.next_epoch())
-        self._crashes.forget_gone(now)
+        self.answer_streams.discard(self.journal.next_epoch())
+        self._crash_detector.remove_expired_peers(now)
 
     def on_outcomes_durable(self, nonces: tuple[str, ...]) -> None:
         """Let go of must-not-repeat runs whose intents hold their outcomes."""
         for nonce in nonces:
             self.journal.record_durable_outcome(nonce)
-            self.outlet.answers.unpin(nonce)
+            self.answer_streams.answers.unpin(nonce)
 
     def heartbeat(self) -> Heartbeat:
         """Return the load report for routers."""
         return Heartbeat(
             running=self.journal.running,
             waiting=self.load.waiting,
-            limit=self._limiting.limit,
+            limit=self._upstream_limit.limit,
             leaving=self.admission.leaving,
             epoch=self.journal.epoch,
         )
@@ -170,9 +174,9 @@
                 return self._attach(peer, nonce, 0)
             case RunState.TOMBSTONED:
                 return self._refuse(peer, nonce, RefusalReason.TOMBSTONED)
-        reason = self._gate.reason_to_refuse(sender, dispatch)
+        reason = self._dispatch_check.reason_to_refuse(sender, dispatch)
         if reason is not None:
-            return self._refuse_for_good(peer, dispatch, reason)
+            return self._refuse_permanently(peer, dispatch, reason)
         run = Run(
             nonce=nonce,
             router=sender,
@@ -184,38 +188,40 @@
             replayable=dispatch.replayable,
         )
         self.journal.admit(run)
-        self.outlet.follow(peer, nonce)
+        self.answer_streams.add_follower(peer, nonce)
         if dispatch.alone:
-            self._isolation.hold(dispatch)
-            return self._start_alone()
+            self._isolation.set_pending(dispatch)
+            return self._start_isolated()
         return self._start(dispatch)
 
     def _start(self, dispatch: Dispatch) -> list[Effect]:
-        self._crashes.started(dispatch)
-        self._limiting.started(dispatch.nonce, dispatch.promised_seconds, self._now)
+        self._crash_detector.record_start(dispatch)
+        self._upstream_limit.record_start(
+            dispatch.nonce, dispatch.promised_seconds, self._now
+        )
         return [StartRun(dispatch=dispatch)]
 
-    def _start_alone(self) -> list[Effect]:
-        dispatch = self._isolation.start(self.journal.running)
+    def _start_isolated(self) -> list[Effect]:
+        dispatch = self._isolation.start_if_alone(self.journal.running)
         return [] if dispatch is None else self._start(dispatch)
 
-    def _forget_run(self, nonce: str) -> list[Effect]:
+    def _remove_run(self, nonce: str) -> list[Effect]:
         """Take a run that is over out of what is in flight; start what waited."""
-        self._crashes.ended(nonce)
-        self._limiting.ended(nonce)
-        self._isolation.ended(nonce)
-        return self._start_alone()
+        self._crash_detector.record_end(nonce)
+        self._upstream_limit.record_end(nonce)
+        self._isolation.record_end(nonce)
+        return self._start_isolated()
 
-    def _refuse_for_good(
+    def _refuse_permanently(
         self, peer: Peer, dispatch: Dispatch, reason: RefusalReason
     ) -> list[Effect]:
         # A refusal promises that the nonce never runs: a second copy of the
         # dispatch may come once the reason has passed.
         self.journal.tombstone(dispatch.nonce)
-        self.outlet.forget(self.journal.evict_ended())
+        self.answer_streams.discard(self.journal.evict_ended())
         newer: tuple[VersionedObject, ...] = ()
         if reason is RefusalReason.STALE_CONFIGURATION:
-            newer = self.admission.newer_than(dispatch)
+            newer = self.admission.newer_objects(dispatch)
         rv = self._refuse(peer, dispatch.nonce, reason, newer=newer)
         if reason is RefusalReason.STALE_EPOCH:
             rv.append(Send(peer=peer, message=self.heartbeat()))
@@ -232,7 +238,7 @@
             nonce=nonce,
             reason=reason,
             newer=newer,
-            retry_after_seconds=self.admission.retry_after(reason),
+            retry_after_seconds=self.admission.retry_delay_seconds(reason),
         )
         return [Send(peer=peer, message=refused)]
 
@@ -242,11 +248,11 @@
         if state is RunState.TOMBSTONED:
             return self._refuse(peer, nonce, RefusalReason.TOMBSTONED)
         if state is RunState.UNSEEN:
-            return [Send(peer=peer, message=answer_lost(nonce, tokens=0))]
+            return [Send(peer=peer, message=lost_answer_failure(nonce, tokens=0))]
         if state is RunState.RUNNING:
-            self.outlet.follow(peer, nonce)
+            self.answer_streams.add_follower(peer, nonce)
         tokens = self.journal.tokens(nonce)
-        messages = self.outlet.replay(nonce, offset, tokens=tokens)
+        messages = self.answer_streams.replay(nonce, offset, tokens=tokens)
         return [Send(peer=peer, message=message) for message in messages]
 
     def _tombstone(self, message: Tombstone) -> TombstoneResult:
@@ -256,7 +262,7 @@
             # run of this nonce it can't know of.
             return TombstoneResult(nonce=nonce, state=RunState.UNSEEN)
         state = self.journal.tombstone(nonce)
-        self.outlet.forget(self.journal.evict_ended())
+        self.answer_streams.discard(self.journal.evict_ended())
         return TombstoneResult(nonce=nonce, state=state)
 
     def _locate(self, locate: Locate) -> Located:
@@ -293,21 +299,21 @@
         self.journal.cancel(nonce)
         return [CancelRun(nonce=nonce, request_id=run.request_id)]
 
-    def _on_begun(self, event: AnswerBegun) -> list[Effect]:
+    def _on_answer_started(self, event: AnswerStarted) -> list[Effect]:
         self.journal.begin(event.nonce)
         started = Started(
             nonce=event.nonce, status=event.status, content_type=event.content_type
         )
-        return self.outlet.begin(started)
+        return self.answer_streams.start_answer(started)
 
-    def _on_piece(self, event: AnswerPiece, now: float) -> list[Effect]:
-        self._limiting.answered(
+    def _on_answer_chunk(self, event: AnswerChunk, now: float) -> list[Effect]:
+        self._upstream_limit.record_first_chunk(
             event.nonce,
             running=self.journal.running,
             queued=self.load.waiting > 0,
             now=now,
         )
-        self.admission.limit = self._limiting.most
+        self.admission.refusal_threshold = self._upstream_limit.max_runs
         outrun = self.journal.progress(event.nonce, event.tokens)
         if outrun:
             # Failure: an engine ignores its limit and spends past what the
@@ -316,7 +322,7 @@
                 event.nonce, FailureReason.RESERVATION_OUTRUN, event.tokens, now
             )
         try:
-            return self.outlet.add(event.nonce, event.data)
+            return self.answer_streams.append_chunk(event.nonce, event.data)
         except AnswerTooLarge:
             return self._fail(
                 event.nonce, FailureReason.ANSWER_TOO_LARGE, event.tokens, now
@@ -326,7 +332,7 @@
         receipt = self.journal.end(
             nonce, RunState.FINISHED, tokens=tokens, billable=True, now=now
         )
-        answer = self.outlet.answers.get(nonce)
+        answer = self.answer_streams.answers.get(nonce)
         finished = Finished(
             nonce=nonce,
             status=answer.status,
@@ -354,19 +360,19 @@
     def _on_declined(self, event: RunDeclined) -> list[Effect]:
         router = self.journal.run(event.nonce).router
         self.journal.retract(event.nonce)
-        self.outlet.forget(self.journal.evict_ended())
+        self.answer_streams.discard(self.journal.evict_ended())
         refused = Refused(
             nonce=event.nonce,
             reason=event.reason,
             retry_after_seconds=event.retry_after_seconds,
         )
-        effects = self.outlet.dismiss(event.nonce, refused)
-        effects += self._forget_run(event.nonce)
-        return effects + self._sealing.run_ended(router)
+        effects = self.answer_streams.send_last(event.nonce, refused)
+        effects += self._remove_run(event.nonce)
+        return effects + self._sealing.record_run_end(router)
 
     def _end(self, nonce: str, message: Finished | Failed) -> list[Effect]:
         run = self.journal.run(nonce)
-        effects = self.outlet.end(message, pinned=not run.idempotent)
-        effects += self._forget_run(nonce)
-        self.outlet.forget(self.journal.evict_ended())
-        return effects + self._sealing.run_ended(run.router)
+        effects = self.answer_streams.end_answer(message, pinned=not run.idempotent)
+        effects += self._remove_run(nonce)
+        self.answer_streams.discard(self.journal.evict_ended())
+        return effects + self._sealing.record_run_end(run.router)
--- a/src/ragwortkeel/sidecar/crashes.py
+++ b/src/ragwortkeel/sidecar/crashes.py
@@ -10,7 +10,7 @@
 from ragwortkeel.policy.quarantine import fingerprint
 from ragwortkeel.sidecar.effects import Peer, Send
 
-PEER_SECONDS = 10.0
+PEER_EXPIRY_SECONDS = 10.0
 """Routers heartbeat every second; one not heard for so long is gone."""
 
 
@@ -20,7 +20,7 @@
     alone: bool
 
 
-class CrashWatch:
+class CrashDetector:
     """Runs in flight by nonce, and the crashes that they were part of.
 
     Parameters
@@ -32,52 +32,56 @@
     def __init__(self, *, sidecar: str) -> None:
         self._sidecar = sidecar
         self._running_by_nonce: dict[str, _Suspect] = {}
-        self._told: set[str] = set()
-        self._heard_by_peer: dict[Peer, float] = {}
-        self._crashes = 0
+        self._reported_nonces: set[str] = set()
+        self._last_received_at_by_peer: dict[Peer, float] = {}
+        self._crash_count = 0
 
-    def started(self, dispatch: Dispatch) -> None:
+    def record_start(self, dispatch: Dispatch) -> None:
         """Note a run that goes to the upstream."""
         self._running_by_nonce[dispatch.nonce] = _Suspect(
             fingerprint=dispatch.fingerprint or fingerprint(dispatch.body),
             alone=dispatch.alone,
         )
 
-    def ended(self, nonce: str) -> None:
+    def record_end(self, nonce: str) -> None:
         """Note that a run is over."""
         self._running_by_nonce.pop(nonce, None)
-        self._told.discard(nonce)
+        self._reported_nonces.discard(nonce)
 
-    def heard(self, peer: Peer, now: float) -> None:
+    def record_peer(self, peer: Peer, now: float) -> None:
         """Note a router that is connected."""
         if peer:
-            self._heard_by_peer[peer] = now
+            self._last_received_at_by_peer[peer] = now
 
-    def forget_gone(self, now: float) -> None:
+    def remove_expired_peers(self, now: float) -> None:
         """Forget routers that are not heard any more.
 
         Every reconnection is a peer of another name, so they would add up.
         """
-        self._heard_by_peer = self._recent(now)
+        self._last_received_at_by_peer = self._live_peers(now)
 
-    def crashed(self, nonce: str, now: float) -> list[Send]:
+    def report_crash(self, nonce: str, now: float) -> list[Send]:
         """Tell every connected router of the crash that broke a run, once.
 
         One crash breaks every run in flight, and each reports it: the first
         names them all, so that the rest are not taken for crashes of their own.
         """
-        if nonce in self._told or nonce not in self._running_by_nonce:
+        if nonce in self._reported_nonces or nonce not in self._running_by_nonce:
             return []
-        self._crashes += 1
-        self._told.update(self._running_by_nonce)
+        self._crash_count += 1
+        self._reported_nonces.update(self._running_by_nonce)
         suspects = list(self._running_by_nonce.values())
         seen = CrashSeen(
-            crash_id=f"{self._sidecar}/{self._crashes}",
+            crash_id=f"{self._sidecar}/{self._crash_count}",
             fingerprints=tuple(sorted({s.fingerprint for s in suspects})),
             alone=len(suspects) == 1 and suspects[0].alone,
         )
-        return [Send(peer=peer, message=seen) for peer in self._recent(now)]
-
-    def _recent(self, now: float) -> dict[Peer, float]:
-        since = now - PEER_SECONDS
-        return {peer: at for peer, at in self._heard_by_peer.items() if at >= since}
+        return [Send(peer=peer, message=seen) for peer in self._live_peers(now)]
+
+    def _live_peers(self, now: float) -> dict[Peer, float]:
+        since = now - PEER_EXPIRY_SECONDS
+        return {
+            peer: at
+            for peer, at in self._last_received_at_by_peer.items()
+            if at >= since
+        }
--- a/src/ragwortkeel/sidecar/gate.py
+++ b/src/ragwortkeel/sidecar/dispatch_check.py
@@ -7,7 +7,7 @@
 from ragwortkeel.sidecar.isolation import Isolation
 
 
-class Gate:
+class DispatchCheck:
     """Finds the reason to refuse a dispatch whose nonce is new.
 
     Parameters
@@ -41,25 +41,25 @@
             # Failure: a paused router wakes and spends a slice that has been
             # given back meanwhile.
             return RefusalReason.SEALED
-        if not self._is_fresh(dispatch):
+        if not self._accepts_epoch(dispatch):
             return RefusalReason.STALE_EPOCH
-        if not dispatch.idempotent and self._runs_already(dispatch):
+        if not dispatch.idempotent and self._is_duplicate(dispatch):
             return RefusalReason.DUPLICATE
         if (
             self._journal.is_full
             or self._answers.is_nearly_full
-            or self._isolation.taken
+            or self._isolation.is_occupied
         ):
             return RefusalReason.OVERLOADED
         return self._admission.reason_to_refuse(dispatch, self._journal.running)
 
-    def _is_fresh(self, dispatch: Dispatch) -> bool:
+    def _accepts_epoch(self, dispatch: Dispatch) -> bool:
         if dispatch.idempotent and dispatch.epoch == 0:
             # A router that sends each dispatch only once needs no epoch here.
             return True
         return self._journal.accepts_epoch(dispatch.epoch)
 
-    def _runs_already(self, dispatch: Dispatch) -> bool:
+    def _is_duplicate(self, dispatch: Dispatch) -> bool:
         # The intent keeps two attempts apart; this holds even if it is lost.
         found = self._journal.nonce_of_request(dispatch.profile, dispatch.request_id)
         return found is not None
--- a/src/ragwortkeel/sidecar/effects.py
+++ b/src/ragwortkeel/sidecar/effects.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AnswerBegun:
+class AnswerStarted:
     """The upstream has sent the head of its answer."""
 
     nonce: str
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AnswerPiece:
+class AnswerChunk:
     """Bytes of the answer; `tokens` is the most that may be spent so far."""
 
     nonce: str
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AnswerEnded:
+class AnswerCompleted:
     """The answer is whole and cost `tokens`."""
 
     nonce: str
@@ -86,4 +86,4 @@
     tokens: int
 
 
-UpstreamEvent = AnswerBegun | AnswerPiece | AnswerEnded | RunDeclined | RunBroken
+UpstreamEvent = AnswerStarted | AnswerChunk | AnswerCompleted | RunDeclined | RunBroken
--- a/src/ragwortkeel/sidecar/control.py
+++ b/src/ragwortkeel/sidecar/inbox_items.py
@@ -6,7 +6,7 @@
 from ragwortkeel.messages import VersionedObject
 
 
-class SidecarBroken(RagwortkeelError):
+class SidecarFailed(RagwortkeelError):
     """A task of the sidecar ended by a fault; the process has to start anew."""
 
 
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Learned:
+class ObjectsReceived:
     """Configuration objects that may be newer than those known."""
 
     objects: tuple[VersionedObject, ...]
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Crashed:
+class TaskFailed:
     """A task ended by a fault of the program."""
 
     error: Exception
--- a/src/ragwortkeel/sidecar/isolation.py
+++ b/src/ragwortkeel/sidecar/isolation.py
@@ -16,27 +16,27 @@
         self._started = False
 
     @property
-    def taken(self) -> bool:
+    def is_occupied(self) -> bool:
         """Whether a request runs alone or waits to; nothing else may start."""
         return self._dispatch is not None
 
-    def hold(self, dispatch: Dispatch) -> None:
+    def set_pending(self, dispatch: Dispatch) -> None:
         """Take the request that is to run alone."""
         self._dispatch = dispatch
         self._started = False
 
     def is_waiting(self, nonce: str) -> bool:
         """Whether this nonce is held and has not started."""
-        return self.taken and not self._started and self._dispatch.nonce == nonce
+        return self.is_occupied and not self._started and self._dispatch.nonce == nonce
 
-    def start(self, running: int) -> Dispatch | None:
+    def start_if_alone(self, running: int) -> Dispatch | None:
         """Return the held request once nothing but it is in the journal."""
         if self._dispatch is None or self._started or running > 1:
             return None
         self._started = True
         return self._dispatch
 
-    def ended(self, nonce: str) -> None:
+    def record_end(self, nonce: str) -> None:
         """Let others in again once the request that was alone is over."""
-        if self.taken and self._dispatch.nonce == nonce:
+        if self.is_occupied and self._dispatch.nonce == nonce:
             self._dispatch = None
--- a/src/ragwortkeel/sidecar/load.py
+++ b/src/ragwortkeel/sidecar/load.py
@@ -8,10 +8,10 @@
 from ragwortkeel.exceptions import ConnectFailed, ExchangeBroken
 from ragwortkeel.httpio import HttpClient
 
-POLL_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.5
 """Engines report with a lag of this order; asking more often tells nothing new."""
 
-ANSWER_SECONDS = 2.0
+RESPONSE_TIMEOUT_SECONDS = 2.0
 OK = 200
 
 
@@ -29,19 +29,21 @@
     limit: int = 0
 
 
-async def watch_load(client: HttpClient, inbox: curio.Queue) -> None:
+async def poll_load(client: HttpClient, inbox: curio.Queue) -> None:
     """Put a `LoadReport` on the inbox now and then, until cancelled."""
     while True:
         report = await read_load(client)
         if report is not None:
             await inbox.put(report)
-        await curio.sleep(POLL_SECONDS)
+        await curio.sleep(POLL_INTERVAL_SECONDS)
 
 
 async def read_load(client: HttpClient) -> LoadReport | None:
     """Return the upstream's report, None where it gives none."""
     try:
-        response = await client.request("GET", "/load", timeout=ANSWER_SECONDS)
+        response = await client.request(
+            "GET", "/load", timeout=RESPONSE_TIMEOUT_SECONDS
+        )
         if response.status != OK:
             return None
         load = msgspec.json.decode(response.body, type=_Load)
--- a/src/ragwortkeel/sidecar/duties.py
+++ b/src/ragwortkeel/sidecar/overdue_writes.py
@@ -24,8 +24,8 @@
 """A router writes an outcome at once; a retry may come soon after its death."""
 
 MAX_DOUBLINGS = 10
-RETRY_SECONDS = 2.0
-MAX_RETRY_SECONDS = 60.0
+INITIAL_BACKOFF_SECONDS = 2.0
+MAX_BACKOFF_SECONDS = 60.0
 """Up to these pauses grow while the platform takes no writes.
 
 Failure: an outage ends and ten thousand sidecars, each with receipts that waited,
@@ -34,17 +34,19 @@
 own writes make most of these needless.
 """
 
-STOPPING_RETRY_SECONDS = 1.0
+MAX_STOPPING_BACKOFF_SECONDS = 1.0
 
 
-def retry_pause(failures: int, *, stopping: bool, random: Random) -> float:
+def backoff_seconds(failures: int, *, stopping: bool, random: Random) -> float:
     """Return the seconds to wait after so many failed writes in a row."""
-    most = STOPPING_RETRY_SECONDS if stopping else MAX_RETRY_SECONDS
-    longest = min(RETRY_SECONDS * 2 ** min(failures, MAX_DOUBLINGS), most)
-    return longest * random.uniform(0.5, 1.0)
+    max_seconds = MAX_STOPPING_BACKOFF_SECONDS if stopping else MAX_BACKOFF_SECONDS
+    seconds = min(
+        INITIAL_BACKOFF_SECONDS * 2 ** min(failures, MAX_DOUBLINGS), max_seconds
+    )
+    return seconds * random.uniform(0.5, 1.0)
 
 
-class Duties:
+class OverdueWrites:
     """Gives out one write at a time, and pauses while the platform takes none.
 
     Parameters
@@ -60,32 +62,34 @@
         self._random = random
         self._busy = False
         self._failures = 0
-        self._rest_until = 0.0
+        self._backoff_until = 0.0
 
-    def next(self, now: float) -> RecorderJob | None:
+    def next_write(self, now: float) -> RecorderJob | None:
         """Return the write to make now, None where none is due."""
-        if self._busy or now < self._rest_until:
+        if self._busy or now < self._backoff_until:
             return None
         job = next_job(self._core, now)
         self._busy = job is not None
         return job
 
-    def done(self) -> None:
+    def record_success(self) -> None:
         """Note that the last write took effect."""
         self._busy = False
         self._failures = 0
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note that the platform did not take the last write."""
         self._busy = False
         self._failures += 1
         stopping = self._core.admission.stopping
-        pause = retry_pause(self._failures, stopping=stopping, random=self._random)
-        self._rest_until = now + pause
+        backoff = backoff_seconds(
+            self._failures, stopping=stopping, random=self._random
+        )
+        self._backoff_until = now + backoff
 
-    def hurry(self) -> None:
+    def end_backoff(self) -> None:
         """End a pause: the sidecar is stopping."""
-        self._rest_until = 0.0
+        self._backoff_until = 0.0
 
 
 def next_job(core: SidecarCore, now: float) -> RecorderJob | None:
@@ -93,11 +97,11 @@
 
     A sidecar that is stopping owes everything at once.
     """
-    hurry = core.admission.stopping
-    outcome_grace = 0.0 if hurry else OUTCOME_GRACE_SECONDS
+    is_stopping = core.admission.stopping
+    outcome_grace = 0.0 if is_stopping else OUTCOME_GRACE_SECONDS
     for run in core.journal.undecided_before(now - outcome_grace):
         return WriteOutcome(run=run, outcome=outcome_of(core, run.nonce))
-    receipt_grace = 0.0 if hurry else RECEIPT_GRACE_SECONDS
+    receipt_grace = 0.0 if is_stopping else RECEIPT_GRACE_SECONDS
     receipts = core.journal.receipts_before(now - receipt_grace, MAX_SEGMENT_RECEIPTS)
     return WriteReceipts(receipts=receipts) if receipts else None
 
@@ -107,8 +111,8 @@
 
     A run that broke off may have taken effect, so it waits for an operator.
     """
-    ended = core.outlet.ended(nonce)
-    answer = core.outlet.answers.get(nonce)
+    ended = core.answer_streams.end_of(nonce)
+    answer = core.answer_streams.answers.get(nonce)
     match ended:
         case Failed(reason=reason, tokens=tokens):
             return Outcome(verdict=Verdict.UNRESOLVED, reason=reason, tokens=tokens)
--- a/src/ragwortkeel/sidecar/recorder.py
+++ b/src/ragwortkeel/sidecar/recorder.py
@@ -69,12 +69,12 @@
         while True:
             job = await self.jobs.get()
             try:
-                done = await self._do(job)
+                done = await self._execute(job)
             except PlatformError:
                 done = WriteFailed(job=job)
             await self._inbox.put(done)
 
-    async def _do(self, job: RecorderJob) -> ReceiptsDurable | OutcomeDurable:
+    async def _execute(self, job: RecorderJob) -> ReceiptsDurable | OutcomeDurable:
         match job:
             case WriteReceipts(receipts=receipts):
                 await self._write_segments(receipts)
@@ -99,15 +99,15 @@
             if stored is None:
                 return
             try:
-                held = intents.decode(stored.value)
+                intent = intents.decode(stored.value)
             except intents.IntentUnreadable as exc:
                 # Nobody can read it, so that no retry can run; the sidecar
                 # must not fall over it for good.
                 log_error("intent_unreadable", name=name, error=str(exc))
                 return
-            if not intents.may_settle(held, run.nonce):
+            if not intents.may_settle(intent, run.nonce):
                 return
-            value = intents.encode(intents.with_outcome(held, outcome))
+            value = intents.encode(intents.with_outcome(intent, outcome))
             try:
                 await self._platform.update(INTENTS, name, value, stored.version)
             except VersionConflict:
--- a/src/ragwortkeel/sidecar/registration.py
+++ b/src/ragwortkeel/sidecar/registration.py
@@ -20,8 +20,8 @@
 )
 from ragwortkeel.platform import Platform
 
-RETRY_SECONDS = 1.0
-SEALS_SECONDS = 120.0
+RETRY_INTERVAL_SECONDS = 1.0
+SEALS_READ_INTERVAL_SECONDS = 120.0
 """Only a second line, as a sealer tells each registered sidecar itself: two reads
 by 10,000 sidecars in that time are 167 a second, a twelfth of what there is."""
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class StruckOff:
+class RegistrationLost:
     """Another process took this sidecar off the list; it has to join again."""
 
 
@@ -65,7 +65,7 @@
     node
         Returns what to register; called once the address is known.
     inbox
-        Takes `Registration`, `SealsRead` and `StruckOff`.
+        Takes `Registration`, `SealsRead` and `RegistrationLost`.
     """
 
     def __init__(
@@ -81,11 +81,11 @@
             try:
                 registration = await register(self._platform, self._node())
             except PlatformError:
-                await curio.sleep(RETRY_SECONDS)
+                await curio.sleep(RETRY_INTERVAL_SECONDS)
                 continue
             await self._inbox.put(registration)
-            await self._stay()
-            await self._inbox.put(StruckOff())
+            await self._watch_registration()
+            await self._inbox.put(RegistrationLost())
 
     async def deregister(self) -> bool:
         """Take the sidecar off the list; return whether that is sure."""
@@ -95,10 +95,10 @@
             return False
         return True
 
-    async def _stay(self) -> None:
+    async def _watch_registration(self) -> None:
         """Read the seals now and then; return once struck off."""
         while True:
-            await curio.sleep(SEALS_SECONDS)
+            await curio.sleep(SEALS_READ_INTERVAL_SECONDS)
             try:
                 routers = await read_seals(self._platform)
                 on_list = await is_registered(self._platform, self._node())
@@ -156,10 +156,10 @@
         if stored is None:
             fence = _Fence(number=1, incarnation=node.incarnation)
         else:
-            held = msgspec.json.decode(stored.value, type=_Fence)
-            if held.incarnation == node.incarnation:
-                return held.number
-            fence = _Fence(number=held.number + 1, incarnation=node.incarnation)
+            current = msgspec.json.decode(stored.value, type=_Fence)
+            if current.incarnation == node.incarnation:
+                return current.number
+            fence = _Fence(number=current.number + 1, incarnation=node.incarnation)
         value = msgspec.json.encode(fence)
         try:
             if stored is None:
--- a/src/ragwortkeel/sidecar/reporting.py
+++ b/src/ragwortkeel/sidecar/reporting.py
@@ -11,7 +11,7 @@
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.sidecar.core import SidecarCore
 from ragwortkeel.sidecar.effects import (
-    AnswerEnded,
+    AnswerCompleted,
     Effect,
     RunBroken,
     RunDeclined,
@@ -20,12 +20,16 @@
     StopRun,
 )
 from ragwortkeel.sidecar.recorder import WriteFailed
-from ragwortkeel.sidecar.registration import Registration, StruckOff
+from ragwortkeel.sidecar.registration import Registration, RegistrationLost
 
 REFUSED = "sidecar_refused"
 RUN_ENDED = "run_ended"
 
-_ORDINARY = {RefusalReason.OVERLOADED, RefusalReason.DRAINING, RefusalReason.STOPPING}
+_COMMON_REFUSALS = {
+    RefusalReason.OVERLOADED,
+    RefusalReason.DRAINING,
+    RefusalReason.STOPPING,
+}
 """Refusals that come by the thousand under load; the metric is enough."""
 
 
@@ -44,10 +48,10 @@
         self._sidecar = sidecar
         self._metrics = metrics
 
-    def took(self, item: object) -> None:
+    def report_item(self, item: object) -> None:
         """Report what came in from the upstream, the platform or the recorder."""
         match item:
-            case AnswerEnded():
+            case AnswerCompleted():
                 self._metrics.decided(decision=RUN_ENDED, reason="finished")
                 self._metrics.receipts(state="made")
             case RunBroken(nonce=nonce, reason=reason, tokens=tokens):
@@ -65,15 +69,15 @@
                 self._metrics.platform_failed(error="write_failed")
             case Registration(fencing_number=number, sealed=sealed):
                 self._info("registered", fencing_number=number, seals=len(sealed))
-            case StruckOff():
+            case RegistrationLost():
                 self._warn("struck_off")
 
-    def decided(self, effect: Effect) -> None:
+    def report_effect(self, effect: Effect) -> None:
         """Report an effect of the core."""
         match effect:
             case Send(message=Refused(nonce=nonce, reason=reason)):
                 self._metrics.decided(decision=REFUSED, reason=reason)
-                log = log_debug if reason in _ORDINARY else log_info
+                log = log_debug if reason in _COMMON_REFUSALS else log_info
                 log("run_refused", sidecar=self._sidecar, nonce=nonce, reason=reason)
             case Send(message=Sealed(router=router, ran=ran)):
                 tokens = sum(ran.values())
@@ -88,7 +92,7 @@
             case StopRun(nonce=nonce):
                 log_debug("run_stopped", sidecar=self._sidecar, nonce=nonce)
 
-    def level(self, core: SidecarCore) -> None:
+    def report_load(self, core: SidecarCore) -> None:
         """Report how much is in flight."""
         self._metrics.load(running=core.journal.running, queued=core.load.waiting)
 
--- a/src/ragwortkeel/sidecar/runner.py
+++ b/src/ragwortkeel/sidecar/runner.py
@@ -9,7 +9,12 @@
 from ragwortkeel.httpio import HttpClient
 from ragwortkeel.logs import log_error
 from ragwortkeel.messages import Dispatch, FailureReason
-from ragwortkeel.sidecar.upstream import CANCEL_SECONDS, Report, UpstreamRun, cancel_at
+from ragwortkeel.sidecar.upstream import (
+    CANCEL_TIMEOUT_SECONDS,
+    ReportEvent,
+    UpstreamRun,
+    cancel_request,
+)
 from ragwortkeel.traces import Tracing, traceparent_of
 
 
@@ -37,7 +42,9 @@
         Sent with every order once the sidecar is registered.
     """
 
-    def __init__(self, *, client: HttpClient, report: Report, tracing: Tracing) -> None:
+    def __init__(
+        self, *, client: HttpClient, report: ReportEvent, tracing: Tracing
+    ) -> None:
         self._client = client
         self._report = report
         self._tracing = tracing
@@ -70,7 +77,7 @@
             return
         await running.task.cancel(blocking=False)
         await curio.spawn(
-            cancel_at, self._client, request_id, self.fencing_number, daemon=True
+            cancel_request, self._client, request_id, self.fencing_number, daemon=True
         )
 
     async def stop_all(self) -> None:
@@ -79,13 +86,13 @@
             await running.task.cancel()
 
     async def _cancel(self, nonce: str, request_id: str) -> None:
-        await cancel_at(self._client, request_id, self.fencing_number)
-        await curio.sleep(CANCEL_SECONDS)
+        await cancel_request(self._client, request_id, self.fencing_number)
+        await curio.sleep(CANCEL_TIMEOUT_SECONDS)
         running = self._running_by_nonce.pop(nonce, None)
         if running is not None:
             # The engine goes on all the same: cut off, at the most it can cost.
             await running.task.cancel()
-            await running.run.broken(FailureReason.CANCELLED)
+            await running.run.report_broken(FailureReason.CANCELLED)
 
     async def _run(self, run: UpstreamRun, nonce: str, span: Span) -> None:
         try:
@@ -93,7 +100,7 @@
         except Exception as exc:
             # A fault of this program must not leave a caller waiting for good.
             log_error("run_crashed", nonce=nonce, error=repr(exc))
-            await run.broken(FailureReason.UPSTREAM_ERROR)
+            await run.report_broken(FailureReason.UPSTREAM_ERROR)
         finally:
             span.end()
             self._running_by_nonce.pop(nonce, None)
--- a/src/ragwortkeel/sidecar/sealing.py
+++ b/src/ragwortkeel/sidecar/sealing.py
@@ -30,20 +30,20 @@
         report = self._journal.seal(router)
         if report.running:
             self._sealers_by_router[router].add(peer)
-        return [Send(peer=peer, message=self._sealed(router, report))]
+        return [Send(peer=peer, message=self._sealed_message(router, report))]
 
-    def run_ended(self, router: str) -> list[Send]:
+    def record_run_end(self, router: str) -> list[Send]:
         """Report again once a sealed router's last run has ended."""
         if router not in self._sealers_by_router:
             return []
         report = self._journal.seal(router)
         if report.running:
             return []
-        message = self._sealed(router, report)
+        message = self._sealed_message(router, report)
         sealers = self._sealers_by_router.pop(router)
         return [Send(peer=peer, message=message) for peer in sorted(sealers)]
 
-    def _sealed(self, router: str, report: SealReport) -> Sealed:
+    def _sealed_message(self, router: str, report: SealReport) -> Sealed:
         return Sealed(
             router=router,
             sidecar=self._incarnation,
--- a/src/ragwortkeel/sidecar/sidecar.py
+++ b/src/ragwortkeel/sidecar/sidecar.py
@@ -26,20 +26,11 @@
 from ragwortkeel.platform import Platform
 from ragwortkeel.settings import Address, SidecarSettings
 from ragwortkeel.sidecar.admission import Admission
-from ragwortkeel.sidecar.control import (
-    Crashed,
-    Learned,
-    Leftover,
-    SidecarBroken,
-    Stop,
-    Tick,
-)
 from ragwortkeel.sidecar.core import SidecarCore
-from ragwortkeel.sidecar.duties import Duties
 from ragwortkeel.sidecar.effects import (
-    AnswerBegun,
-    AnswerEnded,
-    AnswerPiece,
+    AnswerChunk,
+    AnswerCompleted,
+    AnswerStarted,
     CancelRun,
     Effect,
     RunBroken,
@@ -48,19 +39,28 @@
     StartRun,
     StopRun,
 )
-from ragwortkeel.sidecar.load import LoadReport, watch_load
+from ragwortkeel.sidecar.inbox_items import (
+    Leftover,
+    ObjectsReceived,
+    SidecarFailed,
+    Stop,
+    TaskFailed,
+    Tick,
+)
+from ragwortkeel.sidecar.load import LoadReport, poll_load
+from ragwortkeel.sidecar.overdue_writes import OverdueWrites
 from ragwortkeel.sidecar.recorder import Recorder, WriteFailed
 from ragwortkeel.sidecar.registration import (
     Registrar,
     Registration,
+    RegistrationLost,
     SealsRead,
-    StruckOff,
 )
 from ragwortkeel.sidecar.reporting import Reporting
 from ragwortkeel.sidecar.runner import Runner
 from ragwortkeel.traces import Tracing
 
-TICK_SECONDS = 0.25
+TICK_INTERVAL_SECONDS = 0.25
 EPOCH_SECONDS = 30.0
 """Many heartbeats long, so that a router that is heard never falls behind."""
 
@@ -139,9 +139,9 @@
             platform=platform, node=self._node, inbox=self._inbox
         )
         self._reporting = Reporting(sidecar=incarnation, metrics=metrics or Metrics())
-        self._duties = Duties(core=self._core, random=random or Random())
+        self._overdue_writes = OverdueWrites(core=self._core, random=random or Random())
         self._next_epoch_at = 0.0
-        self._stop_by: float | None = None
+        self._stop_deadline: float | None = None
 
     @property
     def address(self) -> str:
@@ -162,27 +162,27 @@
 
         Raises
         ------
-        SidecarBroken
+        SidecarFailed
             A task failed by a fault of the program.
         """
         self._next_epoch_at = self._clock() + EPOCH_SECONDS
         jobs = [
             self._read_endpoint,
-            self._tick,
+            self._send_ticks,
             self._registrar.run,
             self._recorder.run,
         ]
         if self._settings.upstream_kind is UpstreamKind.MODEL:
-            jobs.append(self._watch_load)
-        tasks = [await curio.spawn(self._guard, job, daemon=True) for job in jobs]
+            jobs.append(self._poll_load)
+        tasks = [await curio.spawn(self._run_guarded, job, daemon=True) for job in jobs]
         try:
-            while not self._is_over():
+            while not self._is_finished():
                 item = await self._inbox.get()
-                self._reporting.took(item)
-                for effect in await self._take(item):
-                    self._reporting.decided(effect)
+                self._reporting.report_item(item)
+                for effect in await self._handle_item(item):
+                    self._reporting.report_effect(effect)
                     await self._apply(effect)
-            return await self._leave()
+            return await self._finish_stop()
         finally:
             for task in tasks:
                 await task.cancel()
@@ -194,39 +194,39 @@
         """Begin a planned stop; `run` returns when it is over."""
         await self._inbox.put(Stop())
 
-    async def learn(self, objects: tuple[VersionedObject, ...]) -> None:
+    async def receive_objects(self, objects: tuple[VersionedObject, ...]) -> None:
         """Take in configuration objects; older ones than known change nothing.
 
         The upstream's own object decides whether this sidecar is draining.
         """
-        await self._inbox.put(Learned(objects=objects))
+        await self._inbox.put(ObjectsReceived(objects=objects))
 
     async def send(self, peer: str, message: AnyMessage) -> None:
         """Send to a peer; one that is gone is no error."""
         try:
             await self._endpoint.send(peer, message)
         except LinkLost:
-            self._core.outlet.peer_lost(peer)
+            self._core.answer_streams.remove_peer(peer)
 
-    def _is_over(self) -> bool:
-        if self._stop_by is None:
+    def _is_finished(self) -> bool:
+        if self._stop_deadline is None:
             return False
-        if self._clock() >= self._stop_by:
+        if self._clock() >= self._stop_deadline:
             return True
         journal = self._core.journal
         return not (
             journal.running or journal.pending_receipts or journal.undecided_runs
         )
 
-    async def _take(self, item: object) -> list[Effect]:
+    async def _handle_item(self, item: object) -> list[Effect]:
         now = self._clock()
         match item:
             case Received():
                 return await self._on_received(item, now)
             case (
-                AnswerBegun()
-                | AnswerPiece()
-                | AnswerEnded()
+                AnswerStarted()
+                | AnswerChunk()
+                | AnswerCompleted()
                 | RunDeclined()
                 | RunBroken()
             ):
@@ -234,12 +234,12 @@
             case Tick():
                 await self._on_tick(now)
             case ReceiptsDurable() | OutcomeDurable():
-                self._duties.done()
+                self._overdue_writes.record_success()
                 return self._core.on_message("", self.incarnation, item, now)
             case WriteFailed():
-                self._duties.failed(now)
-            case Crashed(error=error):
-                raise SidecarBroken("a task failed") from error
+                self._overdue_writes.record_failure(now)
+            case TaskFailed(error=error):
+                raise SidecarFailed("a task failed") from error
             case _:
                 self._on_control(item, now)
         return []
@@ -251,19 +251,19 @@
                 self._runner.fencing_number = number
                 self._seal(sealed)
                 admission.admitted = True
-            case StruckOff():
+            case RegistrationLost():
                 admission.admitted = False
             case SealsRead(routers=routers):
                 self._seal(routers)
             case LoadReport():
                 self._core.load = item
-            case Learned(objects=objects):
+            case ObjectsReceived(objects=objects):
                 for thing in objects:
-                    admission.learn(thing)
+                    admission.merge_object(thing)
             case Stop():
                 admission.stopping = True
-                self._duties.hurry()
-                self._stop_by = now + self._settings.stop_deadline_seconds
+                self._overdue_writes.end_backoff()
+                self._stop_deadline = now + self._settings.stop_deadline_seconds
 
     def _seal(self, routers: frozenset[str]) -> None:
         for router in routers:
@@ -271,8 +271,8 @@
 
     async def _on_received(self, received: Received, now: float) -> list[Effect]:
         message = received.envelope.message
-        goes_on = isinstance(message, ConfigurationMessage | Heartbeat)
-        if goes_on and self._configuration_inbox is not None:
+        is_for_configuration = isinstance(message, ConfigurationMessage | Heartbeat)
+        if is_for_configuration and self._configuration_inbox is not None:
             await self._configuration_inbox.put(received)
         if isinstance(message, ConfigurationMessage):
             return []
@@ -283,8 +283,8 @@
         if now >= self._next_epoch_at:
             self._next_epoch_at = now + EPOCH_SECONDS
             self._core.on_epoch(now)
-        self._reporting.level(self._core)
-        job = self._duties.next(now)
+        self._reporting.report_load(self._core)
+        job = self._overdue_writes.next_write(now)
         if job is not None:
             await self._recorder.jobs.put(job)
 
@@ -299,27 +299,27 @@
             case StopRun(nonce=nonce, request_id=request_id):
                 await self._runner.stop(nonce, request_id)
 
-    async def _guard(self, job: Callable[[], Awaitable[None]]) -> None:
+    async def _run_guarded(self, job: Callable[[], Awaitable[None]]) -> None:
         # Failure: a task dies of a fault and the rest goes on without it, a
         # sidecar that looks alive and is deaf.  So its death ends the process.
         try:
             await job()
         except Exception as exc:
-            await self._inbox.put(Crashed(error=exc))
+            await self._inbox.put(TaskFailed(error=exc))
 
     async def _read_endpoint(self) -> None:
         while True:
             await self._inbox.put(await self._endpoint.receive())
 
-    async def _watch_load(self) -> None:
-        await watch_load(self._client, self._inbox)
+    async def _poll_load(self) -> None:
+        await poll_load(self._client, self._inbox)
 
-    async def _tick(self) -> None:
+    async def _send_ticks(self) -> None:
         while True:
-            await curio.sleep(TICK_SECONDS)
+            await curio.sleep(TICK_INTERVAL_SECONDS)
             await self._inbox.put(Tick())
 
-    async def _leave(self) -> Leftover:
+    async def _finish_stop(self) -> Leftover:
         journal = self._core.journal
         registered = self.admitted
         if registered and not (
--- a/src/ragwortkeel/sidecar/upstream.py
+++ b/src/ragwortkeel/sidecar/upstream.py
@@ -13,27 +13,27 @@
 from ragwortkeel.httpio import HttpClient, StreamedResponse
 from ragwortkeel.messages import Dispatch, FailureReason, RefusalReason
 from ragwortkeel.sidecar.effects import (
-    AnswerBegun,
-    AnswerEnded,
-    AnswerPiece,
+    AnswerChunk,
+    AnswerCompleted,
+    AnswerStarted,
     RunBroken,
     RunDeclined,
     UpstreamEvent,
 )
 from ragwortkeel.sidecar.usage import (
+    DocumentUsage,
     StreamUsage,
-    WholeUsage,
-    is_fenced_off,
-    prompt_bound_of,
+    is_stale_fencing_refusal,
+    prompt_token_bound,
 )
 
-SILENCE_SECONDS = 20.0
-"""Between two pieces of an answer; a stream that is silent for longer is dead."""
+MAX_SILENCE_SECONDS = 20.0
+"""Between two chunks of an answer; a stream that is silent for longer is dead."""
 
-UNREPEATABLE_SECONDS = 120.0
+MIN_UNREPEATABLE_SECONDS = 120.0
 """A must-not-repeat run may outlive its caller: cut off, its fate is unknown."""
 
-CANCEL_SECONDS = 2.0
+CANCEL_TIMEOUT_SECONDS = 2.0
 """An engine ends a cancelled stream within a step or two."""
 
 OK = 200
@@ -44,11 +44,11 @@
 DECLINING_STATUSES = {TOO_MANY_REQUESTS, UNAVAILABLE}
 """With these an engine turns a request away before it runs."""
 
-Report = Callable[[UpstreamEvent], Awaitable[None]]
+ReportEvent = Callable[[UpstreamEvent], Awaitable[None]]
 
 
 class UpstreamSilent(ExchangeBroken):
-    """The upstream sent nothing for `SILENCE_SECONDS` in the middle of an answer."""
+    """The upstream sent nothing for `MAX_SILENCE_SECONDS` within an answer."""
 
 
 class UpstreamRun:
@@ -73,44 +73,48 @@
         client: HttpClient,
         dispatch: Dispatch,
         fencing_number: int,
-        report: Report,
-        silence_seconds: float = SILENCE_SECONDS,
+        report: ReportEvent,
+        max_silence_seconds: float = MAX_SILENCE_SECONDS,
     ) -> None:
         self._client = client
         self._dispatch = dispatch
         self._fencing_number = fencing_number
         self._report = report
-        self._silence_seconds = silence_seconds
-        self._prompt_bound = prompt_bound_of(dispatch.body, dispatch.reservation)
+        self._max_silence_seconds = max_silence_seconds
+        self._prompt_token_bound = prompt_token_bound(
+            dispatch.body, dispatch.reservation
+        )
         self._stream = StreamUsage()
 
     async def run(self) -> None:
         """Run to the end and report it; cancellation ends it without a report."""
         try:
-            async with curio.timeout_after(self._seconds()):
+            async with curio.timeout_after(self._timeout_seconds()):
                 await self._exchange()
         except curio.TaskTimeout:
-            await self.broken(FailureReason.DEADLINE)
+            await self.report_broken(FailureReason.DEADLINE)
         except ConnectFailed:
-            await self._declined(RefusalReason.UPSTREAM_UNREACHABLE)
+            await self._report_declined(RefusalReason.UPSTREAM_UNREACHABLE)
         except UpstreamSilent:
-            await self.broken(FailureReason.SILENT)
+            await self.report_broken(FailureReason.SILENT)
         except ExchangeBroken:
-            await self.broken(FailureReason.CRASHED)
+            await self.report_broken(FailureReason.CRASHED)
 
-    async def broken(self, reason: FailureReason) -> None:
-        """Report that the run broke off, with the most it can have spent."""
-        streamed = self._stream.events > 0 or self._stream.total is not None
-        tokens = self._so_far() if streamed else self._dispatch.reservation
+    async def report_broken(self, reason: FailureReason) -> None:
+        """ReportEvent that the run broke off, with the most it can have spent."""
+        has_streamed = (
+            self._stream.content_events > 0 or self._stream.token_count is not None
+        )
+        tokens = self._token_bound() if has_streamed else self._dispatch.reservation
         await self._report(
             RunBroken(nonce=self._dispatch.nonce, reason=reason, tokens=tokens)
         )
 
-    def _seconds(self) -> float:
+    def _timeout_seconds(self) -> float:
         dispatch = self._dispatch
         if dispatch.idempotent:
             return dispatch.budget_seconds
-        return max(dispatch.budget_seconds, UNREPEATABLE_SECONDS)
+        return max(dispatch.budget_seconds, MIN_UNREPEATABLE_SECONDS)
 
     async def _exchange(self) -> None:
         dispatch = self._dispatch
@@ -126,111 +130,120 @@
         )
         async with exchange as response:
             if response.status >= SERVER_ERROR or response.status == TOO_MANY_REQUESTS:
-                await self._refused(response)
+                await self._handle_refusal(response)
             elif response.headers.get("content-type", "").startswith(
                 "text/event-stream"
             ):
-                await self._pass_stream(response)
-            elif _has_end(response):
-                await self._pass_whole(response)
+                await self._forward_stream(response)
+            elif _has_delimited_body(response):
+                await self._forward_document(response)
             else:
                 # Failure: the answer ends only with its connection, so one cut
                 # short looks whole.
-                await self.broken(FailureReason.TRUNCATED)
+                await self.report_broken(FailureReason.TRUNCATED)
 
-    async def _refused(self, response: StreamedResponse) -> None:
+    async def _handle_refusal(self, response: StreamedResponse) -> None:
         async for _ in response.pieces():
             pass
         if response.status in DECLINING_STATUSES and self._dispatch.idempotent:
             # Of a service whose calls may not be repeated, 503 proves nothing.
-            await self._declined(RefusalReason.OVERLOADED)
+            await self._report_declined(RefusalReason.OVERLOADED)
         else:
-            await self.broken(FailureReason.UPSTREAM_ERROR)
+            await self.report_broken(FailureReason.UPSTREAM_ERROR)
 
-    async def _pass_stream(self, response: StreamedResponse) -> None:
-        await self._begin(response)
-        async for piece in self._pieces(response):
-            self._stream.feed(piece)
-            await self._pass_on(piece)
+    async def _forward_stream(self, response: StreamedResponse) -> None:
+        await self._report_started(response)
+        async for chunk in self._chunks(response):
+            self._stream.feed(chunk)
+            await self._report_chunk(chunk)
         if self._stream.cancelled:
-            await self.broken(FailureReason.CANCELLED)
+            await self.report_broken(FailureReason.CANCELLED)
         elif not self._stream.done:
             # Failure: an engine that dies closes its stream in good order; the
             # end marker is missing, and half an answer must not pass for one.
-            await self.broken(FailureReason.TRUNCATED)
+            await self.report_broken(FailureReason.TRUNCATED)
         else:
-            await self._ended(response.status, self._stream.total)
+            await self._report_completed(response.status, self._stream.token_count)
 
-    async def _pass_whole(self, response: StreamedResponse) -> None:
-        body = b"".join([piece async for piece in self._pieces(response)])
-        if response.status == CONFLICT and is_fenced_off(body):
-            await self._declined(RefusalReason.WRONG_INCARNATION)
+    async def _forward_document(self, response: StreamedResponse) -> None:
+        body = b"".join([chunk async for chunk in self._chunks(response)])
+        if response.status == CONFLICT and is_stale_fencing_refusal(body):
+            await self._report_declined(RefusalReason.WRONG_INCARNATION)
             return
-        usage = WholeUsage(body)
+        usage = DocumentUsage(body)
         if usage.cancelled:
-            self._stream.total = usage.total
-            await self.broken(FailureReason.CANCELLED)
+            self._stream.token_count = usage.token_count
+            await self.report_broken(FailureReason.CANCELLED)
             return
-        await self._begin(response)
-        await self._pass_on(body)
-        await self._ended(response.status, usage.total)
+        await self._report_started(response)
+        await self._report_chunk(body)
+        await self._report_completed(response.status, usage.token_count)
 
-    async def _begin(self, response: StreamedResponse) -> None:
+    async def _report_started(self, response: StreamedResponse) -> None:
         content_type = response.headers.get("content-type", "application/json")
-        begun = AnswerBegun(
+        started = AnswerStarted(
             nonce=self._dispatch.nonce,
             status=response.status,
             content_type=content_type,
         )
-        await self._report(begun)
+        await self._report(started)
 
-    async def _pass_on(self, piece: bytes) -> None:
+    async def _report_chunk(self, chunk: bytes) -> None:
         nonce = self._dispatch.nonce
-        await self._report(AnswerPiece(nonce=nonce, data=piece, tokens=self._so_far()))
+        await self._report(
+            AnswerChunk(nonce=nonce, data=chunk, tokens=self._token_bound())
+        )
 
-    async def _ended(self, status: int, total: int | None) -> None:
+    async def _report_completed(self, status: int, token_count: int | None) -> None:
         if status != OK:
             # The upstream refused the request as wrong; nothing was generated.
-            total = 0
-        elif total is None:
+            token_count = 0
+        elif token_count is None:
             # Without usage the reservation is charged: it is all that can have
             # been spent, and for a plain call it is the price.
-            total = self._dispatch.reservation
-        await self._report(AnswerEnded(nonce=self._dispatch.nonce, tokens=total))
+            token_count = self._dispatch.reservation
+        await self._report(
+            AnswerCompleted(nonce=self._dispatch.nonce, tokens=token_count)
+        )
 
-    async def _declined(self, reason: RefusalReason) -> None:
+    async def _report_declined(self, reason: RefusalReason) -> None:
         await self._report(RunDeclined(nonce=self._dispatch.nonce, reason=reason))
 
-    async def _pieces(self, response: StreamedResponse):
+    async def _chunks(self, response: StreamedResponse):
         """Yield the body; `UpstreamSilent` where nothing comes for too long."""
-        pieces = response.pieces()
+        chunks = response.pieces()
         while True:
             try:
-                async with curio.timeout_after(self._silence_seconds):
-                    piece = await anext(pieces)
+                async with curio.timeout_after(self._max_silence_seconds):
+                    chunk = await anext(chunks)
             except StopAsyncIteration:
                 return
             except curio.TaskTimeout as exc:
                 raise UpstreamSilent("the answer went silent") from exc
-            yield piece
+            yield chunk
 
-    def _so_far(self) -> int:
-        if self._stream.total is not None:
-            return self._stream.total
-        return self._prompt_bound + self._stream.events
+    def _token_bound(self) -> int:
+        if self._stream.token_count is not None:
+            return self._stream.token_count
+        return self._prompt_token_bound + self._stream.content_events
 
 
-async def cancel_at(client: HttpClient, request_id: str, fencing_number: int) -> None:
+async def cancel_request(
+    client: HttpClient, request_id: str, fencing_number: int
+) -> None:
     """Ask the upstream to stop; it notices a closed connection as well."""
     headers = {"x-fencing-number": str(fencing_number)}
     try:
         await client.request(
-            "POST", f"/v1/cancel/{request_id}", headers=headers, timeout=CANCEL_SECONDS
+            "POST",
+            f"/v1/cancel/{request_id}",
+            headers=headers,
+            timeout=CANCEL_TIMEOUT_SECONDS,
         )
     except (ConnectFailed, ExchangeBroken):
         return
 
 
-def _has_end(response: StreamedResponse) -> bool:
+def _has_delimited_body(response: StreamedResponse) -> bool:
     encoding = response.headers.get("transfer-encoding", "").lower()
     return "content-length" in response.headers or encoding == "chunked"
--- a/src/ragwortkeel/sidecar/limiting.py
+++ b/src/ragwortkeel/sidecar/upstream_limit.py
@@ -2,13 +2,13 @@
 
 from ragwortkeel.policy.limits import AdaptiveLimit, Sample
 
-OVERSHOOT = 1.25
+OVERSHOOT_FACTOR = 1.25
 OVERSHOOT_RUNS = 2
 """Routers act on reports that lag, several at once: refusing at the limit itself
 would send requests back and forth while the upstream has room."""
 
 
-class Limiting:
+class UpstreamLimit:
     """Times each run to its first piece and moves the limit by it."""
 
     def __init__(self) -> None:
@@ -21,15 +21,17 @@
         return self._limit.limit
 
     @property
-    def most(self) -> int:
+    def max_runs(self) -> int:
         """Runs at once from which on dispatches are refused as overloaded."""
-        return int(self.limit * OVERSHOOT) + OVERSHOOT_RUNS
+        return int(self.limit * OVERSHOOT_FACTOR) + OVERSHOOT_RUNS
 
-    def started(self, nonce: str, promised_seconds: float, now: float) -> None:
+    def record_start(self, nonce: str, promised_seconds: float, now: float) -> None:
         """Note a run that goes to the upstream; no promise binds where 0."""
         self._open_by_nonce[nonce] = (now, promised_seconds)
 
-    def answered(self, nonce: str, *, running: int, queued: bool, now: float) -> None:
+    def record_first_chunk(
+        self, nonce: str, *, running: int, queued: bool, now: float
+    ) -> None:
         """Note the first piece of an answer; later ones change nothing."""
         timed = self._open_by_nonce.pop(nonce, None)
         if timed is None:
@@ -42,6 +44,6 @@
         )
         self._limit.observe(sample, running=running, now=now)
 
-    def ended(self, nonce: str) -> None:
+    def record_end(self, nonce: str) -> None:
         """Forget a run that ended without an answer."""
         self._open_by_nonce.pop(nonce, None)
--- a/src/ragwortkeel/sidecar/usage.py
+++ b/src/ragwortkeel/sidecar/usage.py
@@ -45,12 +45,12 @@
     max_tokens: int = 0
 
 
-class WholeUsage:
+class DocumentUsage:
     """Tokens and end of an answer that comes as one JSON document.
 
     Attributes
     ----------
-    total : int or None
+    token_count : int or None
         Tokens by the answer's own usage, None where it has none.
     cancelled : bool
         Whether it was cut short on request: never to be shown as whole.
@@ -61,11 +61,11 @@
             answer = msgspec.json.decode(body, type=_Answer)
         except msgspec.DecodeError:
             answer = _Answer()
-        self.total = None if answer.usage is None else answer.usage.total_tokens
+        self.token_count = None if answer.usage is None else answer.usage.total_tokens
         self.cancelled = answer.cancelled
 
 
-def is_fenced_off(body: bytes) -> bool:
+def is_stale_fencing_refusal(body: bytes) -> bool:
     """Whether an engine's refusal says that the fencing number is old."""
     try:
         refusal = msgspec.json.decode(body, type=_Refusal)
@@ -74,7 +74,7 @@
     return refusal.error.type == STALE_FENCING_NUMBER
 
 
-def prompt_bound_of(body: bytes, reservation: int) -> int:
+def prompt_token_bound(body: bytes, reservation: int) -> int:
     """Return what the reservation sets aside for the prompt.
 
     The rest is the output limit that the body gives the engine; a body without
@@ -92,9 +92,9 @@
 
     Attributes
     ----------
-    events : int
+    content_events : int
         Events with content so far; an engine sends one a token.
-    total : int or None
+    token_count : int or None
         Tokens by the stream's own usage, once it came.
     done : bool
         Whether the end marker came; without it the answer is truncated.
@@ -103,8 +103,8 @@
     """
 
     def __init__(self) -> None:
-        self.events = 0
-        self.total: int | None = None
+        self.content_events = 0
+        self.token_count: int | None = None
         self.done = False
         self.cancelled = False
         self._line = b""
@@ -113,9 +113,9 @@
         """Take the next bytes, however they are cut."""
         *lines, self._line = (self._line + data).split(b"\n")
         for line in lines:
-            self._take(line.strip())
+            self._parse_line(line.strip())
 
-    def _take(self, line: bytes) -> None:
+    def _parse_line(self, line: bytes) -> None:
         if not line.startswith(DATA_PREFIX):
             return
         payload = line[len(DATA_PREFIX) :].strip()
@@ -126,11 +126,11 @@
             event = msgspec.json.decode(payload, type=_Answer)
         except msgspec.DecodeError:
             # Counted, because too many is the safe side.
-            self.events += 1
+            self.content_events += 1
             return
         self.cancelled = self.cancelled or event.cancelled
         if event.usage is not None:
-            self.total = event.usage.total_tokens
+            self.token_count = event.usage.total_tokens
         # Events that only name a role or an end carry no token.
         if any(c.delta is not None and c.delta.content for c in event.choices):
-            self.events += 1
+            self.content_events += 1
--- a/src/ragwortkeel/sidecar/worker.py
+++ b/src/ragwortkeel/sidecar/worker.py
@@ -19,7 +19,7 @@
 from ragwortkeel.tasks import run_together
 from ragwortkeel.traces import Tracing
 
-PEER_SECONDS = 10.0
+PEER_EXPIRY_SECONDS = 10.0
 """A router that has not been heard for this long is no partner any more."""
 
 
@@ -44,7 +44,7 @@
             },
         )
         self._peer_messages: curio.Queue = curio.Queue()
-        self._heard_by_peer: dict[str, float] = {}
+        self._last_received_at_by_peer: dict[str, float] = {}
         self._sidecar = Sidecar(
             settings=settings,
             incarnation=f"{settings.name}-{uuid4().hex[:12]}",
@@ -61,7 +61,7 @@
             store=self._store,
             send=self._sidecar.send,
             random=Random(),
-            listener=self._learn,
+            listener=self._receive_objects,
             follows=False,
         )
         self._serving: curio.Task | None = None
@@ -103,13 +103,13 @@
         # A planned stop: its caller holds the result and ends the process.
         await curio.Event().wait()
 
-    async def _learn(self, fresh: list[VersionedObject]) -> None:
-        await self._sidecar.learn(tuple(fresh))
+    async def _receive_objects(self, objects: list[VersionedObject]) -> None:
+        await self._sidecar.receive_objects(tuple(objects))
 
     async def _read_peers(self) -> None:
         while True:
             received = await self._peer_messages.get()
-            await self._note_peer(received)
+            await self._record_peer(received)
             message = received.envelope.message
             event = FromPeer(
                 peer=received.peer,
@@ -118,13 +118,17 @@
             )
             await self._gossip.inbox.put(event)
 
-    async def _note_peer(self, received: Received) -> None:
+    async def _record_peer(self, received: Received) -> None:
         now = monotonic()
-        is_new = received.peer not in self._heard_by_peer
-        self._heard_by_peer[received.peer] = now
-        gone = [p for p, at in self._heard_by_peer.items() if now - at > PEER_SECONDS]
-        for peer in gone:
-            del self._heard_by_peer[peer]
-        if is_new or gone:
-            partners = tuple(self._heard_by_peer)
+        is_new = received.peer not in self._last_received_at_by_peer
+        self._last_received_at_by_peer[received.peer] = now
+        expired_peers = [
+            p
+            for p, at in self._last_received_at_by_peer.items()
+            if now - at > PEER_EXPIRY_SECONDS
+        ]
+        for peer in expired_peers:
+            del self._last_received_at_by_peer[peer]
+        if is_new or expired_peers:
+            partners = tuple(self._last_received_at_by_peer)
             await self._gossip.inbox.put(Partners(addresses=partners, zone_members=()))
--- a/tests/router/test_filings.py
+++ b/tests/router/test_filings.py
@@ -17,9 +17,9 @@
 from ragwortkeel.sidecar.admission import Admission
 from ragwortkeel.sidecar.core import SidecarCore
 from ragwortkeel.sidecar.effects import (
-    AnswerBegun,
-    AnswerEnded,
-    AnswerPiece,
+    AnswerChunk,
+    AnswerCompleted,
+    AnswerStarted,
     Send,
     StartRun,
 )
@@ -72,9 +72,9 @@
                 nonce = effect.dispatch.nonce
                 self.runs.append((router, nonce))
                 for event in (
-                    AnswerBegun(nonce=nonce, status=200, content_type="t"),
-                    AnswerPiece(nonce=nonce, data=b"ok", tokens=1),
-                    AnswerEnded(nonce=nonce, tokens=1),
+                    AnswerStarted(nonce=nonce, status=200, content_type="t"),
+                    AnswerChunk(nonce=nonce, data=b"ok", tokens=1),
+                    AnswerCompleted(nonce=nonce, tokens=1),
                 ):
                     replies += [e.message for e in core.on_upstream(event, 0.0)]
         return replies
--- a/tests/sidecar/runs_world.py
+++ b/tests/sidecar/runs_world.py
@@ -40,15 +40,15 @@
 )
 from ragwortkeel.sidecar.admission import Admission
 from ragwortkeel.sidecar.core import SidecarCore
-from ragwortkeel.sidecar.duties import next_job
 from ragwortkeel.sidecar.effects import (
-    AnswerBegun,
-    AnswerEnded,
-    AnswerPiece,
+    AnswerChunk,
+    AnswerCompleted,
+    AnswerStarted,
     RunBroken,
     Send,
     StartRun,
 )
+from ragwortkeel.sidecar.overdue_writes import next_job
 from ragwortkeel.sidecar.recorder import WriteOutcome, WriteReceipts
 
 MUCH_LATER = 1e6
@@ -374,18 +374,18 @@
         pieces = answer_to(run.nonce)
         if not run.begun:
             run.begun = True
-            events = [AnswerBegun(nonce=run.nonce, status=200, content_type="t")]
+            events = [AnswerStarted(nonce=run.nonce, status=200, content_type="t")]
         elif broken:
             run.over = True
             events = [
                 RunBroken(nonce=run.nonce, reason=FailureReason.CRASHED, tokens=10)
             ]
         elif run.sent < len(pieces):
-            events = [AnswerPiece(nonce=run.nonce, data=pieces[run.sent], tokens=5)]
+            events = [AnswerChunk(nonce=run.nonce, data=pieces[run.sent], tokens=5)]
             run.sent += 1
         else:
             run.over = True
-            events = [AnswerEnded(nonce=run.nonce, tokens=7)]
+            events = [AnswerCompleted(nonce=run.nonce, tokens=7)]
         for event in events:
             self.apply(run.slot, core.on_upstream(event, 0.0))
 
--- a/tests/sidecar/test_core.py
+++ b/tests/sidecar/test_core.py
@@ -35,11 +35,11 @@
 from ragwortkeel.runs.journal import ACCEPTED_EPOCHS
 from ragwortkeel.sidecar.admission import Admission
 from ragwortkeel.sidecar.core import SidecarCore
-from ragwortkeel.sidecar.crashes import PEER_SECONDS
+from ragwortkeel.sidecar.crashes import PEER_EXPIRY_SECONDS
 from ragwortkeel.sidecar.effects import (
-    AnswerBegun,
-    AnswerEnded,
-    AnswerPiece,
+    AnswerChunk,
+    AnswerCompleted,
+    AnswerStarted,
     CancelRun,
     RunBroken,
     RunDeclined,
@@ -77,11 +77,11 @@
         return self._note(self.core.on_upstream(event, 0.0))
 
     def answer(self, nonce="n1", *, end=True):
-        self.engine(AnswerBegun(nonce=nonce, status=200, content_type="t"))
-        self.engine(AnswerPiece(nonce=nonce, data=b"abc", tokens=3))
-        self.engine(AnswerPiece(nonce=nonce, data=b"de", tokens=5))
+        self.engine(AnswerStarted(nonce=nonce, status=200, content_type="t"))
+        self.engine(AnswerChunk(nonce=nonce, data=b"abc", tokens=3))
+        self.engine(AnswerChunk(nonce=nonce, data=b"de", tokens=5))
         if end:
-            self.engine(AnswerEnded(nonce=nonce, tokens=5))
+            self.engine(AnswerCompleted(nonce=nonce, tokens=5))
 
     def _note(self, effects):
         self.effects += effects
@@ -98,12 +98,14 @@
 
 
 def draining(bench):
-    bench.core.admission.learn(upstream_object(UpstreamState.DRAINING, version=1))
+    bench.core.admission.merge_object(
+        upstream_object(UpstreamState.DRAINING, version=1)
+    )
 
 
 def stale(bench):
     thing = VersionedObject(kind=PROFILES, name="chat", version=9, value=b"{}")
-    bench.core.admission.learn(thing)
+    bench.core.admission.merge_object(thing)
 
 
 def aged(bench):
@@ -170,11 +172,11 @@
         assert heartbeat.epoch == ACCEPTED_EPOCHS + 2
 
     def test_returned_upstream_takes_work_again_older_news_changes_nothing(self, bench):
-        learn = bench.core.admission.learn
-        assert learn(upstream_object(UpstreamState.DRAINING, version=2))
+        merge_object = bench.core.admission.merge_object
+        assert merge_object(upstream_object(UpstreamState.DRAINING, version=2))
         assert bench.core.heartbeat().leaving
-        assert learn(upstream_object(UpstreamState.SERVING, version=3))
-        assert not learn(upstream_object(UpstreamState.DRAINING, version=2))
+        assert merge_object(upstream_object(UpstreamState.SERVING, version=3))
+        assert not merge_object(upstream_object(UpstreamState.DRAINING, version=2))
         assert not bench.core.heartbeat().leaving
 
     @pytest.mark.parametrize(
@@ -185,17 +187,17 @@
         ],
     )
     def test_removed_or_unreadable_upstream_takes_nothing_new(self, bench, last):
-        bench.core.admission.learn(last)
+        bench.core.admission.merge_object(last)
         (refused,) = bench.hear(dispatch(upstream_version=3))
         assert refused.reason is RefusalReason.DRAINING
 
     def test_removal_is_not_undone_by_a_higher_version(self, bench):
-        learn = bench.core.admission.learn
+        merge_object = bench.core.admission.merge_object
         gone = VersionedObject(
             kind=UPSTREAMS, name="u1", version=3, value=b"", gone=True
         )
-        assert learn(gone)
-        assert not learn(upstream_object(UpstreamState.SERVING, version=9))
+        assert merge_object(gone)
+        assert not merge_object(upstream_object(UpstreamState.SERVING, version=9))
 
 
 class TestRepeats:
@@ -204,7 +206,7 @@
         bench.answer(end=False)
         messages = bench.hear(dispatch(), peer="q")
         assert [type(m) for m in messages] == [Started, Chunk]
-        bench.engine(AnswerEnded(nonce="n1", tokens=5))
+        bench.engine(AnswerCompleted(nonce="n1", tokens=5))
         assert len(bench.starts) == 1
         ends = [
             e.peer
@@ -231,7 +233,7 @@
         if known:
             bench.hear(dispatch())
             bench.answer()
-            bench.core.outlet.answers.remove("n1")
+            bench.core.answer_streams.answers.remove("n1")
         (failed,) = bench.hear(Resume(nonce="n1", offset=0))
         assert failed.reason == FailureReason.ANSWER_LOST
         assert failed.may_have_run
@@ -249,7 +251,7 @@
         assert failed.reason == FailureReason.RESERVATION_OUTRUN
         assert failed.tokens == 4
         assert isinstance(stop, StopRun)
-        assert bench.engine(AnswerEnded(nonce="n1", tokens=5)) == []
+        assert bench.engine(AnswerCompleted(nonce="n1", tokens=5)) == []
 
     @pytest.mark.parametrize(("idempotent", "cancelled"), [(True, 1), (False, 0)])
     def test_cancel_stops_a_run_but_never_a_filing(self, bench, idempotent, cancelled):
@@ -280,10 +282,10 @@
         bench.hear(dispatch(idempotent=False))
         bench.answer()
         aged(bench)
-        assert bench.core.outlet.answers.get("n1") is not None
+        assert bench.core.answer_streams.answers.get("n1") is not None
         bench.hear(OutcomeDurable(nonces=("n1",)))
         aged(bench)
-        assert bench.core.outlet.answers.get("n1") is None
+        assert bench.core.answer_streams.answers.get("n1") is None
 
 
 class TestSeals:
@@ -324,7 +326,7 @@
     def test_routers_that_are_gone_are_forgotten(self, bench):
         for serial in range(100):
             bench.hear(Heartbeat(), peer=f"a/{serial}")
-        bench.core.on_epoch(PEER_SECONDS + 1)
+        bench.core.on_epoch(PEER_EXPIRY_SECONDS + 1)
         bench.hear(dispatch())
         event = RunBroken(nonce="n1", reason=FailureReason.CRASHED, tokens=6)
         told = [m for m in bench.engine(event) if isinstance(m, CrashSeen)]
--- a/tests/sidecar/test_duties.py
+++ b/tests/sidecar/test_duties.py
@@ -9,19 +9,19 @@
 from ragwortkeel.runs.intent import Verdict
 from ragwortkeel.sidecar.admission import Admission
 from ragwortkeel.sidecar.core import SidecarCore
-from ragwortkeel.sidecar.duties import (
-    MAX_RETRY_SECONDS,
+from ragwortkeel.sidecar.effects import (
+    AnswerChunk,
+    AnswerCompleted,
+    AnswerStarted,
+    RunBroken,
+)
+from ragwortkeel.sidecar.overdue_writes import (
+    MAX_BACKOFF_SECONDS,
+    MAX_STOPPING_BACKOFF_SECONDS,
     OUTCOME_GRACE_SECONDS,
     RECEIPT_GRACE_SECONDS,
-    STOPPING_RETRY_SECONDS,
+    backoff_seconds,
     next_job,
-    retry_pause,
-)
-from ragwortkeel.sidecar.effects import (
-    AnswerBegun,
-    AnswerEnded,
-    AnswerPiece,
-    RunBroken,
 )
 from ragwortkeel.sidecar.recorder import WriteOutcome, WriteReceipts
 
@@ -31,13 +31,13 @@
     core = SidecarCore(incarnation="s1-a", admission=Admission(upstream="u1"))
     core.admission.admitted = True
     core.on_message("p", "a", dispatch(idempotent=idempotent), 0.0)
-    core.on_upstream(AnswerBegun(nonce="n1", status=200, content_type="t"), 0.0)
-    core.on_upstream(AnswerPiece(nonce="n1", data=b"ok", tokens=3), 0.0)
+    core.on_upstream(AnswerStarted(nonce="n1", status=200, content_type="t"), 0.0)
+    core.on_upstream(AnswerChunk(nonce="n1", data=b"ok", tokens=3), 0.0)
     core.on_upstream(end, 0.0)
     return core
 
 
-ENDED = AnswerEnded(nonce="n1", tokens=3)
+ENDED = AnswerCompleted(nonce="n1", tokens=3)
 BROKEN = RunBroken(nonce="n1", reason=FailureReason.CRASHED, tokens=3)
 
 
@@ -69,7 +69,7 @@
     def test_outcome_tells_what_is_known(self, end, lost, verdict):
         core = core_after(end)
         if lost:
-            core.outlet.answers.remove("n1")
+            core.answer_streams.answers.remove("n1")
         assert next_job(core, 1e9).outcome.verdict is verdict
 
 
@@ -81,14 +81,16 @@
         second to a platform that takes several hundred, and keep it down.
         """
         random = Random(7)
-        pauses = [retry_pause(9, stopping=False, random=random) for _ in range(1000)]
-        assert min(pauses) >= MAX_RETRY_SECONDS / 2
-        assert max(pauses) <= MAX_RETRY_SECONDS
+        pauses = [
+            backoff_seconds(9, stopping=False, random=random) for _ in range(1000)
+        ]
+        assert min(pauses) >= MAX_BACKOFF_SECONDS / 2
+        assert max(pauses) <= MAX_BACKOFF_SECONDS
         tenths = {int(pause * 10) for pause in pauses}
         assert len(tenths) > 200
 
     def test_first_retries_come_soon_and_a_stop_does_not_wait(self):
         random = Random(7)
-        assert retry_pause(1, stopping=False, random=random) <= 4.0
-        pause = retry_pause(10**6, stopping=True, random=random)
-        assert pause <= STOPPING_RETRY_SECONDS
+        assert backoff_seconds(1, stopping=False, random=random) <= 4.0
+        pause = backoff_seconds(10**6, stopping=True, random=random)
+        assert pause <= MAX_STOPPING_BACKOFF_SECONDS
--- a/tests/sidecar/test_limiting.py
+++ b/tests/sidecar/test_limiting.py
@@ -1,15 +1,15 @@
 """The sidecar's adaptive limit: fed by first pieces, told to routers."""
 
 from ragwortkeel.policy.limits import INITIAL_LIMIT_REQUESTS
-from ragwortkeel.sidecar.limiting import OVERSHOOT_RUNS, Limiting
+from ragwortkeel.sidecar.upstream_limit import OVERSHOOT_RUNS, UpstreamLimit
 
 
 def play(limiting, *, seconds, promised, runs):
     """Run one after the other, each with its first piece after `seconds`."""
     for number in range(runs):
         now = float(number)
-        limiting.started(str(number), promised, now)
-        limiting.answered(
+        limiting.record_start(str(number), promised, now)
+        limiting.record_first_chunk(
             str(number), running=limiting.limit, queued=False, now=now + seconds
         )
 
@@ -21,23 +21,23 @@
         The engine is slower than its peers; its sidecar told no limit of its
         own, so routers filled it up to the same number as the others.
         """
-        limiting = Limiting()
+        limiting = UpstreamLimit()
         play(limiting, seconds=2.0, promised=1.5, runs=40)
         assert limiting.limit < INITIAL_LIMIT_REQUESTS
 
     def test_kept_promises_raise_it(self):
-        limiting = Limiting()
+        limiting = UpstreamLimit()
         play(limiting, seconds=0.1, promised=1.5, runs=40)
         assert limiting.limit > INITIAL_LIMIT_REQUESTS
 
     def test_only_the_first_piece_counts(self):
-        limiting = Limiting()
-        limiting.started("a", 1.5, 0.0)
-        limiting.answered("a", running=1, queued=False, now=0.1)
+        limiting = UpstreamLimit()
+        limiting.record_start("a", 1.5, 0.0)
+        limiting.record_first_chunk("a", running=1, queued=False, now=0.1)
         for second in range(1, 60):
-            limiting.answered("a", running=1, queued=False, now=float(second))
+            limiting.record_first_chunk("a", running=1, queued=False, now=float(second))
         assert limiting.limit == INITIAL_LIMIT_REQUESTS
 
     def test_dispatches_in_flight_to_it_are_not_refused_at_the_limit_itself(self):
-        limiting = Limiting()
-        assert limiting.most > limiting.limit + OVERSHOOT_RUNS
+        limiting = UpstreamLimit()
+        assert limiting.max_runs > limiting.limit + OVERSHOOT_RUNS
--- a/tests/sidecar/test_sidecar.py
+++ b/tests/sidecar/test_sidecar.py
@@ -34,7 +34,7 @@
 from ragwortkeel.policy.limits import INITIAL_LIMIT_REQUESTS
 from ragwortkeel.runs import intent as intents
 from ragwortkeel.runs.intent import Intent, Verdict
-from ragwortkeel.sidecar import duties
+from ragwortkeel.sidecar import overdue_writes
 from ragwortkeel.standins.local_platform import LocalPlatform
 
 
@@ -59,8 +59,8 @@
 
 @pytest.fixture
 def no_grace(monkeypatch):
-    monkeypatch.setattr(duties, "RECEIPT_GRACE_SECONDS", 0.0)
-    monkeypatch.setattr(duties, "OUTCOME_GRACE_SECONDS", 0.0)
+    monkeypatch.setattr(overdue_writes, "RECEIPT_GRACE_SECONDS", 0.0)
+    monkeypatch.setattr(overdue_writes, "OUTCOME_GRACE_SECONDS", 0.0)
 
 
 class TestServing:
--- a/tests/sidecar/test_upstream.py
+++ b/tests/sidecar/test_upstream.py
@@ -6,7 +6,7 @@
 
 from ragwortkeel.httpio import HttpClient
 from ragwortkeel.messages import FailureReason, RefusalReason
-from ragwortkeel.sidecar.effects import AnswerEnded, RunBroken, RunDeclined
+from ragwortkeel.sidecar.effects import AnswerCompleted, RunBroken, RunDeclined
 from ragwortkeel.sidecar.upstream import UpstreamRun
 
 CANCELLED = b'data: {"choices": [{"finish_reason": "cancelled"}]}\n\n'
@@ -67,7 +67,7 @@
             dispatch=dispatch(**changes),
             fencing_number=1,
             report=report,
-            silence_seconds=silence,
+            max_silence_seconds=silence,
         )
         await upstream_run.run()
         await client.close()
@@ -85,8 +85,8 @@
 
 ONCE = {"idempotent": False, "reservation": 1, "body": b"{}"}
 BEHAVIOURS = {
-    "whole stream": (stream_whole, {}, AnswerEnded, None, 14),
-    "stream without usage": (stream(event("a"), DONE), {}, AnswerEnded, None, 40),
+    "whole stream": (stream_whole, {}, AnswerCompleted, None, 14),
+    "stream without usage": (stream(event("a"), DONE), {}, AnswerCompleted, None, 40),
     "stream that just stops": (
         stream(event("a"), event("b")),
         {},
@@ -109,10 +109,10 @@
         FailureReason.CANCELLED,
         14,
     ),
-    "whole answer": (respond(200, WHOLE), {}, AnswerEnded, None, 9),
-    "whole answer, no usage": (respond(200), {}, AnswerEnded, None, 40),
+    "whole answer": (respond(200, WHOLE), {}, AnswerCompleted, None, 9),
+    "whole answer, no usage": (respond(200), {}, AnswerCompleted, None, 40),
     "answer without an end": (no_length, {}, RunBroken, FailureReason.TRUNCATED, 40),
-    "bad request": (respond(400), {}, AnswerEnded, None, 0),
+    "bad request": (respond(400), {}, AnswerCompleted, None, 0),
     "overloaded": (respond(503), {}, RunDeclined, RefusalReason.OVERLOADED, None),
     "error": (respond(500), {}, RunBroken, FailureReason.UPSTREAM_ERROR, 40),
     "old fencing number": (
@@ -122,8 +122,8 @@
         RefusalReason.WRONG_INCARNATION,
         None,
     ),
-    "conflict of the service": (respond(409), {}, AnswerEnded, None, 0),
-    "plain call": (respond(200), ONCE, AnswerEnded, None, 1),
+    "conflict of the service": (respond(409), {}, AnswerCompleted, None, 0),
+    "plain call": (respond(200), ONCE, AnswerCompleted, None, 1),
     "plain call, 503": (
         respond(503),
         ONCE,
--- a/tests/sidecar/test_usage.py
+++ b/tests/sidecar/test_usage.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from sidecar_setup import DONE, USAGE, event
 
-from ragwortkeel.sidecar.usage import StreamUsage, prompt_bound_of
+from ragwortkeel.sidecar.usage import StreamUsage, prompt_token_bound
 
 ROLE = b'data: {"choices": [{"delta": {"role": "assistant"}}]}\r\n\r\n'
 COMMENT = b": keep-alive\n\n"
@@ -19,7 +19,7 @@
         edges = sorted({0, len(ANSWER), *cuts})
         for start, end in zip(edges, edges[1:], strict=False):
             usage.feed(ANSWER[start:end])
-        assert (usage.events, usage.total, usage.done) == (2, 14, True)
+        assert (usage.content_events, usage.token_count, usage.done) == (2, 14, True)
 
     @given(st.binary(max_size=80))
     def test_garbage_is_neither_an_end_nor_an_error(self, data):
@@ -40,4 +40,4 @@
         ],
     )
     def test_rest_of_the_reservation_is_the_prompts(self, body, bound):
-        assert prompt_bound_of(body, 40) == bound
+        assert prompt_token_bound(body, 40) == bound
