--- a/src/ragwortkeel/sidecar/reporting.py
+++ b/src/ragwortkeel/sidecar/reporting.py
@@ -10,16 +10,26 @@
 )
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.sidecar.core import SidecarCore
-from ragwortkeel.sidecar.effects import AnswerCompleted
-from ragwortkeel.sidecar.registration import RegistrationLost
-from ragwortkeel.sidecar.effects import Effect, RunBroken, RunDeclined, Send, StartRun, StopRun
+from ragwortkeel.sidecar.effects import (
+    AnswerCompleted,
+    Effect,
+    RunBroken,
+    RunDeclined,
+    Send,
+    StartRun,
+    StopRun,
+)
 from ragwortkeel.sidecar.recorder import WriteFailed
-from ragwortkeel.sidecar.registration import Registration
+from ragwortkeel.sidecar.registration import Registration, RegistrationLost
 
 REFUSED = "sidecar_refused"
 RUN_ENDED = "run_ended"
 
-_COMMON_REFUSALS = {RefusalReason.OVERLOADED, RefusalReason.DRAINING, RefusalReason.STOPPING}
+_COMMON_REFUSALS = {
+    RefusalReason.OVERLOADED,
+    RefusalReason.DRAINING,
+    RefusalReason.STOPPING,
+}
 """Refusals that come by the thousand under load; the metric is enough."""
 
 
