--- a/src/ragwortkeel/exceptions.py
+++ b/src/ragwortkeel/exceptions.py
@@ -150,7 +150,9 @@
     """
 
     def __init__(self, *, chart: str, state: str, event: str) -> None:
-        super().__init__(f"{chart}: no event {event!r} in state {state!r}")
+        super().__init__(
+            f"{chart}: no transition for event {event!r} in state {state!r}"
+        )
         self.chart = chart
         self.state = state
         self.event = event
@@ -244,7 +246,7 @@
     """The router incarnation is sealed; the router must start a new incarnation."""
 
     def __init__(self, *, router: str) -> None:
-        super().__init__(f"{router} is sealed")
+        super().__init__(f"router incarnation {router} is sealed")
         self.router = router
 
 
@@ -264,7 +266,7 @@
     """Delegated renewals are out of date and will never be written."""
 
     def __init__(self, *, holder: str) -> None:
-        super().__init__(f"renewals of {holder} are out of date")
+        super().__init__(f"delegated renewals of {holder} are out of date")
         self.holder = holder
 
 
@@ -284,7 +286,9 @@
     """
 
     def __init__(self, *, lowerable_tokens: int, spent: int) -> None:
-        super().__init__(f"at most {lowerable_tokens} tokens can be taken off now")
+        super().__init__(
+            f"the budget can be lowered by at most {lowerable_tokens} tokens now"
+        )
         self.lowerable_tokens = lowerable_tokens
         self.spent = spent
 
--- a/src/ragwortkeel/settings.py
+++ b/src/ragwortkeel/settings.py
@@ -58,7 +58,7 @@
             `text` is no ``ip:port``.
         """
         if re.match(ADDRESS_PATTERN, text) is None:
-            raise ValueError(f"{text!r} is no ip:port such as 10.0.1.7:7100")
+            raise ValueError(f"address {text!r} is no ip:port such as 10.0.1.7:7100")
         host, port = text.split(":")
         return cls(host=host, port=int(port))
 
