--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -10,14 +10,14 @@
 from ragwortkeel.configuration_exchange import Exchange
 from ragwortkeel.configuration_schedule import WATCHERS_PER_ZONE, rendezvous
 from ragwortkeel.configuration_store import ConfigurationStore
-from ragwortkeel.gossip import COMPARE_SECONDS, SPREAD_SECONDS
+from ragwortkeel.gossip import DIGEST_INTERVAL_SECONDS, PUSH_INTERVAL_SECONDS
 from ragwortkeel.messages import Envelope, VersionedObject, encode
 from ragwortkeel.router.neighbours import peers_to_link
 
 SIZES = ((3, 3), (50, 5), (250, 25), (1_000, 25))
 CHANGES = 40
 LOSS = 0.01
-PUSH_ROUNDS_PER_COMPARE = round(COMPARE_SECONDS / SPREAD_SECONDS)
+PUSH_ROUNDS_PER_COMPARE = round(DIGEST_INTERVAL_SECONDS / PUSH_INTERVAL_SECONDS)
 MAX_ROUNDS = 100
 VALUE = b'{"pad":"%s"}' % (b"x" * 280)
 
@@ -41,7 +41,7 @@
         for zone in {node.zone for node in self.members}:
             members = [node.address for node in self.members if node.zone == zone]
             for address in rendezvous(zone, members, WATCHERS_PER_ZONE):
-                self.exchange_by_address[address].learn([one])
+                self.exchange_by_address[address].merge_objects([one])
 
     def rounds_until_everywhere(self) -> int:
         """Play rounds until all stores are equal; return how many it took."""
@@ -55,7 +55,7 @@
         """Play one round of pushes, and of digests where `compare`."""
         flying = []
         for address, exchange in self.exchange_by_address.items():
-            sends = exchange.spread() + (exchange.compare() if compare else [])
+            sends = exchange.next_pushes() + (exchange.next_digest() if compare else [])
             flying += [(address, send) for send in sends]
         while flying:
             sender, send = flying.pop()
@@ -73,7 +73,7 @@
             random=Random(self.random.random()),
         )
         found = peers_to_link(self.members, address=node.address, zone=node.zone)
-        exchange.partners = sorted(found)
+        exchange.exchange_peers = sorted(found)
         return exchange
 
     def _exchanges(self):
@@ -100,8 +100,8 @@
             fleet.change(version)
             rounds.append(fleet.rounds_until_everywhere())
         per_change = fleet.sent_bytes / CHANGES / nodes
-        worst = max(rounds) * SPREAD_SECONDS
-        mean = sum(rounds) / CHANGES * SPREAD_SECONDS
+        worst = max(rounds) * PUSH_INTERVAL_SECONDS
+        mean = sum(rounds) / CHANGES * PUSH_INTERVAL_SECONDS
         print(
             f"nodes={nodes} zones={zones} changes={CHANGES} loss={LOSS} "
             f"mean_seconds={mean:.2f} worst_seconds={worst:.2f} "
--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -119,8 +119,8 @@
         "GONE",
         "a request ends with its caller's connection",
         "ingress/worker.py",
-        "cancels_abandoned=True",
-        "cancels_abandoned=False",
+        "cancels_disconnected=True",
+        "cancels_disconnected=False",
     ),
     _guard(
         "CONFIG",
--- a/src/ragwortkeel/configuration_exchange.py
+++ b/src/ragwortkeel/configuration_exchange.py
@@ -35,21 +35,21 @@
 """One message; the receiver asks for the next, so it is never flooded."""
 
 PUSH_ROUNDS = 3
-PUSH_PARTNERS = 3
+PUSH_PEERS = 3
 """With these a push reaches all but about one in 1,000 nodes; the digests of
 the same second reach the rest."""
 
-SPREAD_AT_ONCE = 100
+MAX_PUSHED_BATCH_OBJECTS = 100
 """Larger batches come from a list or a long cut: the digests carry those, or a
 node that starts empty would push the whole configuration to its partners."""
 
-BRANCHES_AT_ONCE = 8
+MAX_BRANCHES_COMPARED = 8
 """Branches walked at once by one exchange; keeps the answers to a few pushes."""
 
-NEWS_SECONDS = 3.0
+MIN_CONFIRMATION_GAIN_SECONDS = 3.0
 """A digest is answered by one if the answer confirms content this much later."""
 
-CALLER_ROUNDS = 5
+MAX_MISSED_DIGESTS = 5
 """Digests that a caller may miss before nothing is pushed to it any more."""
 
 UNKNOWN = -1
@@ -95,34 +95,36 @@
         clock: Callable[[], float] = monotonic,
     ) -> None:
         self.store = store
-        self.partners: Sequence[str] = ()
+        self.exchange_peers: Sequence[str] = ()
         self.complete_by_kind = dict.fromkeys(store.kinds, UNKNOWN)
         self._random = random
         self._clock = clock
         self._confirmed_at_by_kind = dict.fromkeys(store.kinds, -inf)
-        self._ahead_by_peer: dict[str, int] = {}
-        self._rounds_by_key: dict[tuple[str, str], int] = {}
-        self._asked: set[str] = set()
+        self._newer_revision_by_peer: dict[str, int] = {}
+        self._push_rounds_by_key: dict[tuple[str, str], int] = {}
+        self._awaiting_answer: set[str] = set()
         self._unfinished: set[str] = set()
         self._round = 0
-        self._round_by_caller: dict[str, int] = {}
+        self._last_round_by_sender: dict[str, int] = {}
         self._fresh: list[VersionedObject] = []
 
-    def learn(self, objects: Iterable[VersionedObject]) -> list[VersionedObject]:
+    def merge_objects(
+        self, objects: Iterable[VersionedObject]
+    ) -> list[VersionedObject]:
         """Take in objects from any source; return and spread what was new."""
         fresh = self.store.merge(objects)
         self._fresh += fresh
-        if len(fresh) <= SPREAD_AT_ONCE:
-            for one in fresh:
-                self._rounds_by_key[one.kind, one.name] = PUSH_ROUNDS
+        if len(fresh) <= MAX_PUSHED_BATCH_OBJECTS:
+            for entry in fresh:
+                self._push_rounds_by_key[entry.kind, entry.name] = PUSH_ROUNDS
         return fresh
 
-    def take_fresh(self) -> list[VersionedObject]:
+    def drain_fresh(self) -> list[VersionedObject]:
         """Return what was new since the last call, for whoever acts on it."""
         fresh, self._fresh = self._fresh, []
         return fresh
 
-    def completed(self, kind: str, revision: int, *, age: float = 0.0) -> None:
+    def record_complete(self, kind: str, revision: int, *, age: float = 0.0) -> None:
         """Note that every change of a kind up to `revision` is in the store.
 
         Parameters
@@ -144,55 +146,55 @@
         """
         return self._clock() - self._confirmed_at_by_kind[kind]
 
-    def spread(self) -> list[Send]:
+    def next_pushes(self) -> list[Send]:
         """Return the pushes of this round: what is fresh, to a few partners."""
         push = self._fresh_push()
         if push is None:
             return []
         # Who chose this node as a partner is pushed to as well: some nodes are
         # nobody's partner, and would learn only from their own digests.
-        peers = sorted({*self.partners, *self._round_by_caller})
-        chosen = self._random.sample(peers, min(PUSH_PARTNERS, len(peers)))
+        peers = sorted({*self.exchange_peers, *self._last_round_by_sender})
+        chosen = self._random.sample(peers, min(PUSH_PEERS, len(peers)))
         return [Send(peer=peer, message=push) for peer in chosen]
 
-    def compare(self) -> list[Send]:
+    def next_digest(self) -> list[Send]:
         """Return what asks one partner for all that may be missing here."""
-        self._asked.clear()
+        self._awaiting_answer.clear()
         self._round += 1
-        self._round_by_caller = {
-            caller: heard
-            for caller, heard in self._round_by_caller.items()
-            if self._round - heard <= CALLER_ROUNDS
+        self._last_round_by_sender = {
+            sender: last_round
+            for sender, last_round in self._last_round_by_sender.items()
+            if self._round - last_round <= MAX_MISSED_DIGESTS
         }
-        self._unfinished.intersection_update(self.partners)
-        if not self.partners:
+        self._unfinished.intersection_update(self.exchange_peers)
+        if not self.exchange_peers:
             return []
         messages = [self.digest()]
         messages += [self.pull(kind, names) for kind, names in self.store.only.items()]
-        peer = self._most_ahead() or self._random.choice(self.partners)
-        self._ahead_by_peer.clear()
+        peer = self._peer_furthest_ahead() or self._random.choice(self.exchange_peers)
+        self._newer_revision_by_peer.clear()
         return [Send(peer=peer, message=message) for message in messages]
 
-    def hint(self, peer: str, revision: int) -> None:
+    def record_revision(self, peer: str, revision: int) -> None:
         """Note a peer's revision; the next digest goes to who is furthest ahead.
 
         Not at once: most of what it has is on its way here as a push.
         """
         if revision > self.store.revision:
-            self._ahead_by_peer[peer] = revision
+            self._newer_revision_by_peer[peer] = revision
 
     def pull(self, kind: str, names: Iterable[str]) -> ConfigurationPull:
         """Return the message that asks for what is newer of some objects."""
         ranks = {name: self.store.rank(kind, name) for name in names}
         known = {name: rank or Rank(False, -1) for name, rank in ranks.items()}
-        return ConfigurationPull(kind=kind, ranks=_plain(known))
+        return ConfigurationPull(kind=kind, ranks=_as_tuples(known))
 
     def digest(self) -> ConfigurationDigest:
         """Return the message that starts an exchange."""
         return ConfigurationDigest(
-            roots={kind: self.store.root(kind) for kind in self.store.whole_kinds},
+            roots={kind: self.store.root(kind) for kind in self.store.full_kinds},
             complete=dict(self.complete_by_kind),
-            ages={kind: self.age(kind) for kind in self.store.whole_kinds},
+            ages={kind: self.age(kind) for kind in self.store.full_kinds},
         )
 
     def receive(self, peer: str, message: AnyMessage) -> list[Send]:
@@ -200,8 +202,8 @@
         answers: list[AnyMessage] = []
         match message:
             case ConfigurationDigest():
-                if message.roots.keys() >= set(self.store.whole_kinds):
-                    self._round_by_caller[peer] = self._round
+                if message.roots.keys() >= set(self.store.full_kinds):
+                    self._last_round_by_sender[peer] = self._round
                 answers = self._compare_roots(message)
             case ConfigurationBranches():
                 answers = self._compare_branches(peer, message)
@@ -213,48 +215,48 @@
                 newer = self._newer(message.kind, message.ranks)
                 answers = self._push(newer, more=False)
             case ConfigurationPush():
-                fresh = self.learn(message.objects)
+                fresh = self.merge_objects(message.objects)
                 if fresh and (message.more or peer in self._unfinished):
-                    answers = self._ask(peer)
+                    answers = self._digest_unless_pending(peer)
         return [Send(peer=peer, message=answer) for answer in answers]
 
-    def _most_ahead(self) -> str | None:
-        ahead = self._ahead_by_peer
+    def _peer_furthest_ahead(self) -> str | None:
+        ahead = self._newer_revision_by_peer
         behind = [peer for peer in ahead if ahead[peer] <= self.store.revision]
         for peer in behind:
             del ahead[peer]
         return max(ahead, key=ahead.get, default=None)
 
-    def _ask(self, peer: str) -> list[AnyMessage]:
+    def _digest_unless_pending(self, peer: str) -> list[AnyMessage]:
         """Return a digest, unless the peer still owes the answer to one.
 
         Each push asks for the next; without this bound several pushes at once
         would start as many walks, each of which brings several pushes.
         """
-        if peer in self._asked:
+        if peer in self._awaiting_answer:
             return []
-        self._asked.add(peer)
+        self._awaiting_answer.add(peer)
         return [self.digest()]
 
     def _fresh_push(self) -> ConfigurationPush | None:
         objects = []
         size = 0
-        for key in list(self._rounds_by_key):
-            one = self.store.get(*key)
-            size += len(one.value)
+        for key in list(self._push_rounds_by_key):
+            entry = self.store.get(*key)
+            size += len(entry.value)
             if objects and size > PUSH_BYTES:
                 break
-            objects.append(one)
-            self._rounds_by_key[key] -= 1
-            if not self._rounds_by_key[key]:
-                del self._rounds_by_key[key]
+            objects.append(entry)
+            self._push_rounds_by_key[key] -= 1
+            if not self._push_rounds_by_key[key]:
+                del self._push_rounds_by_key[key]
         return ConfigurationPush(objects=tuple(objects)) if objects else None
 
     def _compare_roots(self, message: ConfigurationDigest) -> list[AnyMessage]:
         answers = []
-        has_news = False
+        has_newer = False
         for kind, root in message.roots.items():
-            if not self._holds(kind):
+            if not self._stores_all(kind):
                 continue
             if root != self.store.root(kind):
                 hashes = self.store.branch_hashes(kind)
@@ -263,23 +265,23 @@
             # Equal content: what the peer knows to be whole is whole here.
             revision = message.complete.get(kind, UNKNOWN)
             age = message.ages.get(kind, inf)
-            self.completed(kind, revision, age=age)
-            has_news |= self.complete_by_kind[kind] > revision
-            has_news |= age - self.age(kind) > NEWS_SECONDS
+            self.record_complete(kind, revision, age=age)
+            has_newer |= self.complete_by_kind[kind] > revision
+            has_newer |= age - self.age(kind) > MIN_CONFIRMATION_GAIN_SECONDS
         # A node that starts in an outage is registered nowhere, so nobody sends
         # it digests: without an answer it would never know that it is complete.
-        return [*answers, self.digest()] if has_news else answers
+        return [*answers, self.digest()] if has_newer else answers
 
     def _compare_branches(
         self, peer: str, message: ConfigurationBranches
     ) -> list[AnyMessage]:
-        self._asked.discard(peer)
-        if not self._holds(message.kind) or len(message.hashes) != BRANCHES:
+        self._awaiting_answer.discard(peer)
+        if not self._stores_all(message.kind) or len(message.hashes) != BRANCHES:
             return []
         own = self.store.branch_hashes(message.kind)
         differing = _differing(own, message.hashes)
         self._random.shuffle(differing)
-        if len(differing) > BRANCHES_AT_ONCE:
+        if len(differing) > MAX_BRANCHES_COMPARED:
             self._unfinished.add(peer)
         else:
             self._unfinished.discard(peer)
@@ -289,11 +291,11 @@
                 branch=branch,
                 hashes=self.store.leaf_hashes(message.kind, branch),
             )
-            for branch in differing[:BRANCHES_AT_ONCE]
+            for branch in differing[:MAX_BRANCHES_COMPARED]
         ]
 
     def _compare_leaves(self, message: ConfigurationLeaves) -> list[AnyMessage]:
-        if not self._holds(message.kind) or not 0 <= message.branch < BRANCHES:
+        if not self._stores_all(message.kind) or not 0 <= message.branch < BRANCHES:
             return []
         if len(message.hashes) != LEAVES_PER_BRANCH:
             return []
@@ -302,7 +304,7 @@
         leaves = [start + leaf for leaf in _differing(own, message.hashes)]
         ranks: Ranks = {}
         for leaf in leaves:
-            ranks |= _plain(self.store.leaf_ranks(message.kind, leaf))
+            ranks |= _as_tuples(self.store.leaf_ranks(message.kind, leaf))
         return [
             ConfigurationRanks(kind=message.kind, leaves=tuple(leaves), ranks=ranks)
         ]
@@ -310,12 +312,12 @@
     def _compare_ranks(
         self, peer: str, message: ConfigurationRanks
     ) -> list[AnyMessage]:
-        if not self._holds(message.kind):
+        if not self._stores_all(message.kind):
             return []
         own: Ranks = {}
         for leaf in message.leaves:
             if 0 <= leaf < LEAVES:
-                own |= _plain(self.store.leaf_ranks(message.kind, leaf))
+                own |= _as_tuples(self.store.leaf_ranks(message.kind, leaf))
         theirs = message.ranks
         newer = [
             self.store.get(message.kind, name)
@@ -333,39 +335,39 @@
         return answers
 
     def _newer(self, kind: str, ranks: Ranks) -> list[VersionedObject]:
-        if not self._holds(kind):
+        if not self._stores_all(kind):
             return []
         held = ((self.store.get(kind, name), rank) for name, rank in ranks.items())
         return [
-            one
-            for one, rank in held
-            if one and _outranks((one.gone, one.version), rank)
+            entry
+            for entry, rank in held
+            if entry and _outranks((entry.gone, entry.version), rank)
         ]
 
     def _push(self, objects: list[VersionedObject], *, more: bool) -> list[AnyMessage]:
         """Return one push, cut to size; the receiver's next digest brings more."""
         chosen = []
         size = 0
-        for one in objects:
-            size += len(one.value) + len(one.name)
+        for entry in objects:
+            size += len(entry.value) + len(entry.name)
             if chosen and size > PUSH_BYTES:
                 break
-            chosen.append(one)
+            chosen.append(entry)
         if not chosen:
             return []
         more = more or len(chosen) < len(objects)
         return [ConfigurationPush(objects=tuple(chosen), more=more)]
 
-    def _holds(self, kind: str) -> bool:
-        return kind in self.store.whole_kinds
+    def _stores_all(self, kind: str) -> bool:
+        return kind in self.store.full_kinds
 
 
 def _differing(own: Sequence[int], theirs: Sequence[int]) -> list[int]:
     pairs = enumerate(zip(own, theirs, strict=True))
-    return [index for index, (one, other) in pairs if one != other]
+    return [index for index, (entry, other) in pairs if entry != other]
 
 
-def _plain(ranks: dict[str, Rank]) -> Ranks:
+def _as_tuples(ranks: dict[str, Rank]) -> Ranks:
     return {name: (rank.gone, rank.version) for name, rank in ranks.items()}
 
 
--- a/src/ragwortkeel/configuration_schedule.py
+++ b/src/ragwortkeel/configuration_schedule.py
@@ -21,19 +21,19 @@
 """How long one watch waits.  Its end confirms that nothing changed: with 25 zones,
 two watchers and four kinds these are 40 calls a second."""
 
-STALE_SECONDS = (10.0, 20.0)
+STALE_RANGE_SECONDS = (10.0, 20.0)
 """A node whose content nobody confirmed for this long watches itself.  Two watch
 ends and the seconds a digest takes to all fit in; each node draws its own bound,
 so that a few begin and their word keeps the others from it."""
 
-SIDECAR_PATIENCE = 4.0
+SIDECAR_STALE_FACTOR = 4.0
 """Sidecars have it from routers, some seconds later, and are ten times as many."""
 
-STAND_IN_SECONDS = 60.0
+FALLBACK_WATCH_SECONDS = 60.0
 """How long it then watches before it leaves it to the zone's watchers again."""
 
-PAUSE_SECONDS = 10.0
-MAX_PAUSE_SECONDS = 120.0
+FIRST_BACKOFF_SECONDS = 10.0
+MAX_BACKOFF_SECONDS = 120.0
 """After a failure a stand-in pauses, longer each time.  While the platform is
 down, 1,000 nodes that try this seldom make 33 calls a second, and when it is back
 the word of the first spreads before most try."""
@@ -44,14 +44,14 @@
 MIN_LIST_SECONDS = 4.0
 MAX_LIST_SECONDS = 6 * 3_600.0
 
-LEARN_SECONDS = 5.0
+PEER_WAIT_SECONDS = 5.0
 """How long one that does not watch waits for its peers before it lists."""
 
 RETRY_SECONDS = 0.25
 MAX_RETRY_SECONDS = 5.0
 """Ten nodes' calls at this pace do not hold down a platform that comes back."""
 
-REST_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 """The longest rest: by then peers, roles or the clock may ask for a call."""
 
 
@@ -88,13 +88,13 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Rest:
+class Wait:
     """Ask nothing for `seconds`."""
 
     seconds: float
 
 
-Step = ListAll | Watch | Rest
+Action = ListAll | Watch | Wait
 
 
 class FollowSchedule:
@@ -110,28 +110,30 @@
         By how much longer than a router this node bears stale content.
     """
 
-    def __init__(self, *, now: float, random: Random, patience: float = 1.0) -> None:
+    def __init__(
+        self, *, now: float, random: Random, stale_factor: float = 1.0
+    ) -> None:
         self._random = random
         self._list_at = now
         self._retry_at = now
-        self._stand_in_from = now
-        self._stand_in_until = now
-        self._pause = PAUSE_SECONDS
-        self._patience = patience
+        self._fallback_from = now
+        self._fallback_until = now
+        self._backoff_seconds = FIRST_BACKOFF_SECONDS
+        self._stale_factor = stale_factor
         self._stale_seconds = self._draw_stale_seconds()
         self._failures = 0
         self._incomplete_to = UNKNOWN
-        self._learn_until = now + LEARN_SECONDS
+        self._wait_for_peers_until = now + PEER_WAIT_SECONDS
 
-    def next(
+    def next_action(
         self,
         *,
         now: float,
         watching: bool,
         complete: int,
-        peers_heard: bool,
+        peers_reachable: bool,
         age: float,
-    ) -> Step:
+    ) -> Action:
         """Return what to do.
 
         Parameters
@@ -140,72 +142,77 @@
             Whether this node is one of its zone's watchers.
         complete : int
             Revision up to which the store is complete, or `UNKNOWN`.
-        peers_heard : bool
+        peers_reachable : bool
             Whether peers answer, from whom to learn instead.
         age : float
             Seconds since the platform confirmed the content, here or to a peer.
         """
         if now < self._retry_at:
-            return _rest(self._retry_at - now)
+            return _wait(self._retry_at - now)
         incomplete = complete <= self._incomplete_to
-        if not watching and incomplete and peers_heard and now < self._learn_until:
-            return _rest(self._learn_until - now)
+        if (
+            not watching
+            and incomplete
+            and peers_reachable
+            and now < self._wait_for_peers_until
+        ):
+            return _wait(self._wait_for_peers_until - now)
         if incomplete:
             return ListAll()
         if not watching:
-            self._consider_standing_in(now, age)
-            if now >= self._stand_in_until:
-                wait = max(self._stale_seconds - age, self._stand_in_from - now)
-                return _rest(wait)
+            self._start_fallback_if_stale(now, age)
+            if now >= self._fallback_until:
+                wait = max(self._stale_seconds - age, self._fallback_from - now)
+                return _wait(wait)
         if now >= self._list_at:
             return ListAll()
         seconds = min(WATCH_SECONDS, self._list_at - now)
         return Watch(revision=complete, seconds=seconds)
 
-    def listed(self, *, now: float, value_bytes: int) -> None:
+    def record_list(self, *, now: float, value_bytes: int) -> None:
         """Note a list that was read whole."""
-        self._succeeded()
+        self._record_success()
         self._incomplete_to = UNKNOWN - 1
-        self._list_at = now + list_seconds(value_bytes) * self._spread()
+        self._list_at = now + list_seconds(value_bytes) * self._jitter()
 
-    def watched(self, *, now: float, gap: bool, complete: int) -> None:
+    def record_watch(self, *, now: float, gap: bool, complete: int) -> None:
         """Note the end of a watch."""
-        self._succeeded()
+        self._record_success()
         if gap:
             # What the platform forgot to tell is in no later watch either:
             # only a list, or a peer that is complete beyond it, makes it good.
             self._incomplete_to = complete
-            self._learn_until = now + LEARN_SECONDS * self._spread()
+            self._wait_for_peers_until = now + PEER_WAIT_SECONDS * self._jitter()
 
-    def failed(self, *, now: float) -> None:
+    def record_failure(self, *, now: float) -> None:
         """Note a call that failed; the next waits longer, up to a bound."""
         seconds = min(RETRY_SECONDS * 2**self._failures, MAX_RETRY_SECONDS)
         self._failures = min(self._failures + 1, 10)
-        self._retry_at = now + seconds * self._spread()
+        self._retry_at = now + seconds * self._jitter()
         # Who stands in stops at the first failure and pauses longer each time:
         # in an outage everybody's content is stale, and all would go on trying.
-        if now < self._stand_in_until:
-            self._stand_in_until = now
-            self._stand_in_from = now + self._pause * self._spread()
-            self._pause = min(self._pause * 2, MAX_PAUSE_SECONDS)
+        if now < self._fallback_until:
+            self._fallback_until = now
+            self._fallback_from = now + self._backoff_seconds * self._jitter()
+            self._backoff_seconds = min(self._backoff_seconds * 2, MAX_BACKOFF_SECONDS)
 
-    def _consider_standing_in(self, now: float, age: float) -> None:
+    def _start_fallback_if_stale(self, now: float, age: float) -> None:
         # The zone's watchers are dead, or they or their peers are cut off;
         # without this a change would come here late or not at all.
-        if age >= self._stale_seconds and now >= self._stand_in_from:
-            self._stand_in_until = now + STAND_IN_SECONDS
+        if age >= self._stale_seconds and now >= self._fallback_from:
+            self._fallback_until = now + FALLBACK_WATCH_SECONDS
             self._stale_seconds = self._draw_stale_seconds()
 
     def _draw_stale_seconds(self) -> float:
-        return self._patience * self._random.uniform(*STALE_SECONDS)
+        return self._stale_factor * self._random.uniform(*STALE_RANGE_SECONDS)
 
-    def _succeeded(self) -> None:
+    def _record_success(self) -> None:
         self._failures = 0
-        self._pause = PAUSE_SECONDS
+        self._backoff_seconds = FIRST_BACKOFF_SECONDS
 
-    def _spread(self) -> float:
+    def _jitter(self) -> float:
         return self._random.uniform(0.5, 1.5)
 
 
-def _rest(seconds: float) -> Rest:
-    return Rest(seconds=min(seconds, REST_SECONDS))
+def _wait(seconds: float) -> Wait:
+    return Wait(seconds=min(seconds, MAX_WAIT_SECONDS))
--- a/src/ragwortkeel/configuration_store.py
+++ b/src/ragwortkeel/configuration_store.py
@@ -47,7 +47,7 @@
     retired: bool = False
 
 
-_retirement = msgspec.json.Decoder(_Retirement)
+_retirement_decoder = msgspec.json.Decoder(_Retirement)
 
 
 class Rank(msgspec.Struct, frozen=True, order=True, array_like=True):
@@ -61,19 +61,19 @@
     version: int
 
 
-def rank_of(one: VersionedObject) -> Rank:
+def rank_of(entry: VersionedObject) -> Rank:
     """Return the rank of an object as it travels."""
-    return Rank(one.gone or _retired(one.kind, one.value), one.version)
+    return Rank(entry.gone or _is_retired(entry.kind, entry.value), entry.version)
 
 
-def versioned(stored: Stored) -> VersionedObject:
+def versioned_object(stored: Stored) -> VersionedObject:
     """Return the travelling form of what the platform showed."""
     return VersionedObject(
         kind=stored.kind, name=stored.name, version=stored.version, value=stored.value
     )
 
 
-def deleted(kind: str, name: str, version: int) -> VersionedObject:
+def tombstone(kind: str, name: str, version: int) -> VersionedObject:
     """Return the travelling form of a deletion."""
     return VersionedObject(kind=kind, name=name, version=version, value=b"", gone=True)
 
@@ -149,7 +149,7 @@
     ) -> None:
         self.kinds = kinds
         self.only = only or {}
-        self.whole_kinds = tuple(kind for kind in kinds if kind not in self.only)
+        self.full_kinds = tuple(kind for kind in kinds if kind not in self.only)
         self.revision = 0
         self._tree_by_kind = {kind: _Tree() for kind in kinds}
 
@@ -159,7 +159,7 @@
         Older, equal and repeated states change nothing, so late, gapped and
         reordered input cannot revert an object.
         """
-        return [one for one in objects if self._take(one)]
+        return [entry for entry in objects if self._merge_object(entry)]
 
     def get(self, kind: str, name: str) -> VersionedObject | None:
         """Return the newest known state of an object, gone ones included."""
@@ -190,7 +190,7 @@
     def leaf_ranks(self, kind: str, leaf: int) -> dict[str, Rank]:
         """Return the rank by name of the objects of one leaf."""
         names = self._tree_by_kind[kind].leaf(leaf)
-        return {name: Rank(*_HEAD.unpack_from(one)) for name, one in names.items()}
+        return {name: Rank(*_HEAD.unpack_from(entry)) for name, entry in names.items()}
 
     def root(self, kind: str) -> int:
         """Return the hash over all objects of a kind; equal stores, equal hash."""
@@ -214,28 +214,28 @@
         """Return about how many bytes a list of a kind would bring."""
         return self._tree_by_kind[kind].value_bytes
 
-    def _take(self, one: VersionedObject) -> bool:
-        tree = self._tree_by_kind.get(one.kind)
-        if tree is None or not 0 <= one.version < MAX_VERSION:
+    def _merge_object(self, entry: VersionedObject) -> bool:
+        tree = self._tree_by_kind.get(entry.kind)
+        if tree is None or not 0 <= entry.version < MAX_VERSION:
             return False
-        if one.kind in self.only and one.name not in self.only[one.kind]:
+        if entry.kind in self.only and entry.name not in self.only[entry.kind]:
             return False
-        held = tree.get(one.name)
-        rank = rank_of(one)
+        held = tree.get(entry.name)
+        rank = rank_of(entry)
         # The guard against reverting: a late watch, an old copy from a peer or
         # a repeated push would bring back a state that was replaced.
         if held is not None and rank <= Rank(*_HEAD.unpack_from(held)):
             return False
-        tree.put(one.name, _HEAD.pack(rank.gone, rank.version) + one.value)
+        tree.put(entry.name, _HEAD.pack(rank.gone, rank.version) + entry.value)
         self.revision = max(self.revision, rank.version)
         return True
 
 
-def _retired(kind: str, value: bytes) -> bool:
+def _is_retired(kind: str, value: bytes) -> bool:
     if kind not in RETIRABLE:
         return False
     try:
-        return _retirement.decode(value).retired
+        return _retirement_decoder.decode(value).retired
     except msgspec.DecodeError:
         # A value nobody can read is kept, so that its version is known; who
         # looks it up finds it unreadable.
--- a/src/ragwortkeel/gossip.py
+++ b/src/ragwortkeel/gossip.py
@@ -15,40 +15,40 @@
 
 from ragwortkeel.configuration_exchange import Exchange, Send
 from ragwortkeel.configuration_schedule import (
-    LEARN_SECONDS,
-    SIDECAR_PATIENCE,
+    PEER_WAIT_SECONDS,
+    SIDECAR_STALE_FACTOR,
     WATCHERS_PER_ZONE,
+    Action,
     FollowSchedule,
     ListAll,
-    Rest,
-    Step,
+    Wait,
     Watch,
     rendezvous,
 )
 from ragwortkeel.configuration_store import (
     RETIRABLE,
     ConfigurationStore,
-    deleted,
-    versioned,
+    tombstone,
+    versioned_object,
 )
 from ragwortkeel.exceptions import LinkLost, PlatformError
 from ragwortkeel.messages import AnyMessage, VersionedObject
 from ragwortkeel.platform import Changes, Listing, Platform
 
-SPREAD_SECONDS = 0.2
+PUSH_INTERVAL_SECONDS = 0.2
 """Five or six rounds reach a zone of 40: well inside 3 s with a lost message."""
 
-COMPARE_SECONDS = 1.0
+DIGEST_INTERVAL_SECONDS = 1.0
 """One digest a second costs some 200 bytes and repairs what pushes missed."""
 
 PEER_SILENCE_SECONDS = 10.0
 """Ten lost digests: then the platform is asked as if there were no peers."""
 
-LOOK_SECONDS = 60.0
+OBJECT_READ_INTERVAL_SECONDS = 60.0
 """How often a sidecar reads its upstream's object beside asking the routers: 10,000
 of them make 167 reads a second."""
 
-REFRESH_SECONDS = 0.1
+MIN_REFRESH_INTERVAL_SECONDS = 0.1
 """Ten looks a second for unknown names, of all the callers of a node."""
 
 Transport = Callable[[str, AnyMessage], Awaitable[None]]
@@ -65,14 +65,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Handed:
-    """What a task hands to the owner; `taken` is set once the store has it."""
+class _Submitted:
+    """What a task hands to the owner; `applied` is set once the store has it."""
 
-    taken: curio.Event = field(default_factory=curio.Event)
+    applied: curio.Event = field(default_factory=curio.Event)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Listed(_Handed):
+class Listed(_Submitted):
     """A kind as the platform listed it."""
 
     kind: str
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Watched(_Handed):
+class Watched(_Submitted):
     """What a watch of a kind brought."""
 
     kind: str
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Partners:
+class ExchangePeers:
     """Who there is: partners to exchange with, and the zone's routers."""
 
     addresses: tuple[str, ...]
@@ -96,19 +96,19 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Learn(_Handed):
+class MergeObjects(_Submitted):
     """Objects from elsewhere, such as a refusal by a sidecar that had newer."""
 
     objects: tuple[VersionedObject, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Spread:
+class _PushDue:
     """Time for a round of pushes."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Compare:
+class _DigestDue:
     """Time for a digest."""
 
 
@@ -130,7 +130,7 @@
     Attributes
     ----------
     inbox : curio.Queue
-        Takes `FromPeer`, `Partners` and `Learn`.
+        Takes `FromPeer`, `ExchangePeers` and `MergeObjects`.
     """
 
     def __init__(
@@ -158,8 +158,8 @@
         self._clock = clock
         self._random = random
         self._zone_members: tuple[str, ...] = (name,)
-        self._heard_at = -PEER_SILENCE_SECONDS
-        self._refreshed_at = -REFRESH_SECONDS
+        self._last_received_at = -PEER_SILENCE_SECONDS
+        self._refreshed_at = -MIN_REFRESH_INTERVAL_SECONDS
 
     @property
     def watching(self) -> bool:
@@ -168,24 +168,24 @@
         return self._follows and self._name in chosen
 
     @property
-    def peers_heard(self) -> bool:
+    def peers_reachable(self) -> bool:
         """Whether any peer was heard lately."""
-        return self._clock() - self._heard_at < PEER_SILENCE_SECONDS
+        return self._clock() - self._last_received_at < PEER_SILENCE_SECONDS
 
     def complete(self) -> bool:
         """Return whether each kind held whole was complete once."""
         complete = self.exchange.complete_by_kind
-        return all(complete[kind] >= 0 for kind in self._store.whole_kinds)
+        return all(complete[kind] >= 0 for kind in self._store.full_kinds)
 
     async def refresh(self, kind: str, name: str) -> bool:
         """Look for something newer of one object; return whether it was asked for.
 
         For a request that names what is not known here yet.  The platform is
         asked, and the partners where it does not answer; not more often than
-        `REFRESH_SECONDS` allows, so that bad names cannot use up its rate.
+        `MIN_REFRESH_INTERVAL_SECONDS` allows, so that bad names cannot use up its rate.
         """
         now = self._clock()
-        if now - self._refreshed_at < REFRESH_SECONDS:
+        if now - self._refreshed_at < MIN_REFRESH_INTERVAL_SECONDS:
             return False
         self._refreshed_at = now
         await self._fetch(kind, name)
@@ -194,66 +194,66 @@
     async def run(self) -> None:
         """Run until cancelled."""
         async with curio.TaskGroup(wait=any) as group:
-            await group.spawn(self._own)
-            await group.spawn(self._tick, SPREAD_SECONDS, _Spread())
-            await group.spawn(self._tick, COMPARE_SECONDS, _Compare())
-            for kind in self._store.whole_kinds:
+            await group.spawn(self._process_inbox)
+            await group.spawn(self._tick, PUSH_INTERVAL_SECONDS, _PushDue())
+            await group.spawn(self._tick, DIGEST_INTERVAL_SECONDS, _DigestDue())
+            for kind in self._store.full_kinds:
                 await group.spawn(self._follow, kind)
             for kind, names in self._store.only.items():
                 for name in names:
-                    await group.spawn(self._follow_one, kind, name)
+                    await group.spawn(self._follow_object, kind, name)
 
-    async def _own(self) -> None:
+    async def _process_inbox(self) -> None:
         while True:
             event = await self.inbox.get()
             sends = self._handle(event)
-            if fresh := self.exchange.take_fresh():
-                await self._tell(fresh)
-            if isinstance(event, _Handed):
-                await event.taken.set()
+            if fresh := self.exchange.drain_fresh():
+                await self._notify_listener(fresh)
+            if isinstance(event, _Submitted):
+                await event.applied.set()
             for send in sends:
                 await self._send_or_drop(send)
 
     def _handle(self, event) -> list[Send]:
         match event:
             case FromPeer(peer=peer, revision=revision, message=message):
-                self._heard_at = self._clock()
-                self.exchange.hint(peer, revision)
+                self._last_received_at = self._clock()
+                self.exchange.record_revision(peer, revision)
                 return self.exchange.receive(peer, message)
             case Listed(kind=kind, listing=listing):
-                self.exchange.learn(self._from_list(kind, listing))
-                self.exchange.completed(kind, listing.revision)
+                self.exchange.merge_objects(self._from_list(kind, listing))
+                self.exchange.record_complete(kind, listing.revision)
             case Watched(kind=kind, changes=changes):
-                self.exchange.learn(_from_watch(kind, changes))
+                self.exchange.merge_objects(_from_watch(kind, changes))
                 if not changes.gap:
-                    self.exchange.completed(kind, changes.revision)
-            case Learn(objects=objects):
-                self.exchange.learn(objects)
-            case Partners():
-                self.exchange.partners = event.addresses
+                    self.exchange.record_complete(kind, changes.revision)
+            case MergeObjects(objects=objects):
+                self.exchange.merge_objects(objects)
+            case ExchangePeers():
+                self.exchange.exchange_peers = event.addresses
                 self._zone_members = tuple({self._name, *event.zone_members})
-            case _Spread():
-                return self.exchange.spread()
-            case _Compare():
-                return self.exchange.compare()
+            case _PushDue():
+                return self.exchange.next_pushes()
+            case _DigestDue():
+                return self.exchange.next_digest()
         return []
 
-    async def _tell(self, fresh: list[VersionedObject]) -> None:
+    async def _notify_listener(self, fresh: list[VersionedObject]) -> None:
         if self._listener is not None:
             await self._listener(fresh)
 
     def _from_list(self, kind: str, listing: Listing) -> list[VersionedObject]:
-        objects = [versioned(stored) for stored in listing.by_name.values()]
+        objects = [versioned_object(stored) for stored in listing.by_name.values()]
         if kind in RETIRABLE:
             # What operators made ends by retirement only: a list that lacks it
             # is a platform in trouble, and must not take it out of force.
             return objects
         return objects + [
-            deleted(kind, one.name, one.version)
-            for one in self._store.objects(kind)
-            if not one.gone
-            and one.name not in listing.by_name
-            and one.version <= listing.revision
+            tombstone(kind, entry.name, entry.version)
+            for entry in self._store.objects(kind)
+            if not entry.gone
+            and entry.name not in listing.by_name
+            and entry.version <= listing.revision
         ]
 
     async def _send_or_drop(self, send: Send) -> None:
@@ -271,45 +271,53 @@
         schedule = FollowSchedule(
             now=self._clock(),
             random=self._random,
-            patience=1.0 if self._follows else SIDECAR_PATIENCE,
+            stale_factor=1.0 if self._follows else SIDECAR_STALE_FACTOR,
         )
         while True:
-            step = schedule.next(
+            action = schedule.next_action(
                 now=self._clock(),
                 watching=self.watching,
                 complete=self.exchange.complete_by_kind[kind],
-                peers_heard=self.peers_heard,
+                peers_reachable=self.peers_reachable,
                 age=self.exchange.age(kind),
             )
             try:
-                await self._take(kind, step, schedule)
+                await self._execute(kind, action, schedule)
             except PlatformError:
-                schedule.failed(now=self._clock())
+                schedule.record_failure(now=self._clock())
 
-    async def _take(self, kind: str, step: Step, schedule: FollowSchedule) -> None:
-        match step:
-            case Rest(seconds=seconds):
+    async def _execute(
+        self, kind: str, action: Action, schedule: FollowSchedule
+    ) -> None:
+        match action:
+            case Wait(seconds=seconds):
                 await curio.sleep(seconds)
             case ListAll():
                 listing = await self._platform.list(kind)
-                await self._hand_over(Listed(kind=kind, listing=listing))
+                await self._submit(Listed(kind=kind, listing=listing))
                 size = self._store.value_bytes(kind)
-                schedule.listed(now=self._clock(), value_bytes=size)
+                schedule.record_list(now=self._clock(), value_bytes=size)
             case Watch(revision=revision, seconds=seconds):
                 changes = await self._platform.watch(kind, revision, seconds)
-                await self._hand_over(Watched(kind=kind, changes=changes))
+                await self._submit(Watched(kind=kind, changes=changes))
                 complete = self.exchange.complete_by_kind[kind]
-                schedule.watched(now=self._clock(), gap=changes.gap, complete=complete)
+                schedule.record_watch(
+                    now=self._clock(), gap=changes.gap, complete=complete
+                )
 
-    async def _hand_over(self, event: _Handed) -> None:
+    async def _submit(self, event: _Submitted) -> None:
         await self.inbox.put(event)
-        await event.taken.wait()
+        await event.applied.wait()
 
-    async def _follow_one(self, kind: str, name: str) -> None:
+    async def _follow_object(self, kind: str, name: str) -> None:
         """Look for one object where the peers do not bring it."""
         while True:
             await self._fetch(kind, name)
-            seconds = LOOK_SECONDS if self.peers_heard else LEARN_SECONDS
+            seconds = (
+                OBJECT_READ_INTERVAL_SECONDS
+                if self.peers_reachable
+                else PEER_WAIT_SECONDS
+            )
             await curio.sleep(seconds * self._random.uniform(0.5, 1.5))
 
     async def _fetch(self, kind: str, name: str) -> None:
@@ -317,18 +325,18 @@
             stored = await self._platform.get(kind, name)
         except PlatformError:
             pull = self.exchange.pull(kind, (name,))
-            for peer in self.exchange.partners:
+            for peer in self.exchange.exchange_peers:
                 await self._send_or_drop(Send(peer=peer, message=pull))
             return
         if stored is not None:
-            await self._hand_over(Learn(objects=(versioned(stored),)))
+            await self._submit(MergeObjects(objects=(versioned_object(stored),)))
 
 
 def _from_watch(kind: str, changes: Changes) -> list[VersionedObject]:
     objects = []
     for change in changes.changes:
         if change.stored is not None:
-            objects.append(versioned(change.stored))
+            objects.append(versioned_object(change.stored))
         elif kind not in RETIRABLE:
-            objects.append(deleted(kind, change.name, change.version))
+            objects.append(tombstone(kind, change.name, change.version))
     return objects
--- a/src/ragwortkeel/http_client.py
+++ b/src/ragwortkeel/http_client.py
@@ -9,7 +9,7 @@
 import h11
 
 from ragwortkeel.exceptions import ConnectFailed, ExchangeBroken
-from ragwortkeel.http_events import joined_headers, next_event
+from ragwortkeel.http_events import join_headers, next_event
 
 CONNECT_SECONDS = 2.0
 MAX_IDLE_CONNECTIONS = 32
@@ -57,7 +57,7 @@
     _sock: object = field(repr=False)
     _conn: h11.Connection = field(repr=False)
 
-    def pieces(self) -> BodyPieces:
+    def chunks(self) -> BodyPieces:
         """Return an iterator over the body as it comes."""
         return BodyPieces(sock=self._sock, conn=self._conn)
 
@@ -104,10 +104,10 @@
             async with curio.timeout_after(timeout):
                 stream = self.stream(method, target, body=body, headers=headers)
                 async with stream as rv:
-                    pieces = [piece async for piece in rv.pieces()]
+                    chunks = [chunk async for chunk in rv.chunks()]
         except curio.TaskTimeout as exc:
             raise ExchangeBroken(f"no answer within {timeout} s") from exc
-        return Response(status=rv.status, headers=rv.headers, body=b"".join(pieces))
+        return Response(status=rv.status, headers=rv.headers, body=b"".join(chunks))
 
     @asynccontextmanager
     async def stream(
@@ -121,13 +121,13 @@
         """Send a request; yield its `StreamedResponse` once the head is there."""
         sock = await self._take_idle() or await self._connect()
         conn = h11.Connection(h11.CLIENT)
-        kept = False
+        reusable = False
         try:
             await self._send(sock, conn, method, target, body, headers or {})
             yield await self._read_head(sock, conn)
-            kept = conn.our_state is h11.DONE and conn.their_state is h11.DONE
+            reusable = conn.our_state is h11.DONE and conn.their_state is h11.DONE
         finally:
-            if kept and len(self._idle) < MAX_IDLE_CONNECTIONS:
+            if reusable and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 self._idle.append(sock)
             else:
                 await sock.close()
@@ -188,7 +188,7 @@
             event = await next_event(sock, conn)
         if not isinstance(event, h11.Response):
             raise ExchangeBroken("the server closed without an answer")
-        headers = joined_headers(event.headers)
+        headers = join_headers(event.headers)
         return StreamedResponse(
             status=event.status_code, headers=headers, _sock=sock, _conn=conn
         )
--- a/src/ragwortkeel/http_events.py
+++ b/src/ragwortkeel/http_events.py
@@ -41,7 +41,7 @@
     return BadRequest(status=status, reason="bad_http", detail=str(exc))
 
 
-def joined_headers(headers) -> dict[str, str]:
+def join_headers(headers) -> dict[str, str]:
     """Return headers by name; a repeated one is joined, never chosen from."""
     by_name: dict[str, str] = {}
     for raw_name, raw_value in headers:
--- a/src/ragwortkeel/http_responder.py
+++ b/src/ragwortkeel/http_responder.py
@@ -55,17 +55,17 @@
         self._sock = sock
         self._conn = conn
         self.bodiless = False
-        self.gone = curio.Event()
+        self.disconnected = curio.Event()
         self.started = False
         self.closing = False
 
-    def peer_left(self) -> bool:
+    def peer_disconnected(self) -> bool:
         """Whether the peer has closed its side, read or not yet read here.
 
         The task that watches the peer runs only when the loop comes to it: a process
         that is late with its sockets would work on for a peer that is gone.
         """
-        if self.gone.is_set():
+        if self.disconnected.is_set():
             return True
         try:
             peeked = self._sock._socket.recv(1, _socket.MSG_PEEK | _socket.MSG_DONTWAIT)
@@ -140,5 +140,5 @@
             try:
                 await self._sock.sendall(data)
             except OSError as exc:
-                await self.gone.set()
+                await self.disconnected.set()
                 raise ExchangeBroken(str(exc)) from exc
--- a/src/ragwortkeel/http_server.py
+++ b/src/ragwortkeel/http_server.py
@@ -10,7 +10,7 @@
 import h11
 
 from ragwortkeel.exceptions import BadRequest, ExchangeBroken
-from ragwortkeel.http_events import READ_CHUNK_BYTES, joined_headers, next_event
+from ragwortkeel.http_events import READ_CHUNK_BYTES, join_headers, next_event
 from ragwortkeel.http_responder import Request, Responder
 from ragwortkeel.logs import log_error, log_warning
 
@@ -28,9 +28,9 @@
 LINGER_SECONDS = 2.0
 """How long a refused peer may go on sending before its connection is closed."""
 
-ACCEPT_PAUSE_SECONDS = 0.1
+ACCEPT_RETRY_SECONDS = 0.1
 STOP_POLL_SECONDS = 0.02
-NEWCOMER_SECONDS = 1.0
+FIRST_REQUEST_SECONDS = 1.0
 """How long a stop waits for requests on connections just accepted."""
 
 PROBLEM_TYPE = "application/problem+json"
@@ -54,7 +54,7 @@
         How long the body of a request may take, in seconds.
     keep_alive_seconds
         How long a connection may wait for the head of the next request.
-    cancels_abandoned
+    cancels_disconnected
         Whether the handler is cancelled once its caller has closed.
 
     Attributes
@@ -82,7 +82,7 @@
         max_body_bytes: int = MAX_BODY_BYTES,
         read_seconds: float = REQUEST_READ_SECONDS,
         keep_alive_seconds: float = KEEP_ALIVE_SECONDS,
-        cancels_abandoned: bool = False,
+        cancels_disconnected: bool = False,
     ) -> None:
         self.host = host
         self.port = port
@@ -91,8 +91,8 @@
         self.max_body_bytes = max_body_bytes
         self._read_seconds = read_seconds
         self.keep_alive_seconds = keep_alive_seconds
-        self._cancels_abandoned = cancels_abandoned
-        self._newcomers = 0
+        self._cancels_disconnected = cancels_disconnected
+        self._connections_before_request = 0
         self._idle_by_socket: dict[object, h11.Connection] = {}
         self._listener = None
         self._acceptor = None
@@ -131,12 +131,12 @@
         """Refuse new connections; open exchanges go on.
 
         On return the requests of all connections accepted before have begun, or
-        their peers have let `NEWCOMER_SECONDS` pass.
+        their peers have let `FIRST_REQUEST_SECONDS` pass.
         """
         self._stopping = True
         await self._close_listener()
         waited = 0.0
-        while self._newcomers and waited < NEWCOMER_SECONDS:
+        while self._connections_before_request and waited < FIRST_REQUEST_SECONDS:
             await curio.sleep(STOP_POLL_SECONDS)
             waited += STOP_POLL_SECONDS
 
@@ -157,7 +157,7 @@
         if self._acceptor is not None:
             await self._acceptor.cancel()
         if self._listener is not None:
-            await self._take_pending()
+            await self._accept_pending()
             await self._listener.close()
             self._listener = None
 
@@ -169,23 +169,23 @@
                 # Out of descriptors, or a peer gone before it was accepted: one
                 # such error must not end the accepting for good.
                 log_warning("accept_failed", error=str(exc))
-                await curio.sleep(ACCEPT_PAUSE_SECONDS)
+                await curio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
-            await self._welcome(sock)
+            await self._start_connection(sock)
 
-    async def _take_pending(self) -> None:
+    async def _accept_pending(self) -> None:
         """Accept what the system has already accepted for this process."""
         # Closing the listener resets the connections in its backlog, requests
         # sent on them included: their callers would not know whether they ran.
         with suppress(OSError):
             while True:
                 sock, _ = self._listener._socket.accept()
-                await self._welcome(curio.io.Socket(sock))
+                await self._start_connection(curio.io.Socket(sock))
 
-    async def _welcome(self, sock) -> None:
+    async def _start_connection(self, sock) -> None:
         with suppress(OSError):
             sock.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_NODELAY, 1)
-        self._newcomers += 1
+        self._connections_before_request += 1
         await self._connections.spawn(self._connection, sock, daemon=True)
 
     async def _connection(self, sock) -> None:
@@ -207,7 +207,7 @@
         try:
             return await self._read_head(sock, conn)
         finally:
-            self._newcomers -= 1
+            self._connections_before_request -= 1
 
     async def _exchange(self, sock, conn, head: h11.Request) -> bool:
         """Serve one request; return whether another may follow."""
@@ -219,14 +219,16 @@
         finally:
             self.open_exchanges -= 1
         reusable = conn.our_state is h11.DONE and conn.their_state is h11.DONE
-        return reusable and not responder.gone.is_set()
+        return reusable and not responder.disconnected.is_set()
 
     async def _answer(self, sock, conn, request: Request, responder: Responder) -> None:
         responder.bodiless = request.method == "HEAD"
         responder.closing = self._stopping
-        abandoned = await curio.current_task() if self._cancels_abandoned else None
+        handler_task = (
+            await curio.current_task() if self._cancels_disconnected else None
+        )
         watcher = await curio.spawn(
-            _watch_peer, sock, conn, responder, abandoned, daemon=True
+            _detect_disconnect, sock, conn, responder, handler_task, daemon=True
         )
         try:
             await self._handler(request, responder)
@@ -260,8 +262,8 @@
 
     async def _read_request(self, sock, conn, head: h11.Request) -> Request:
         arrived_at = monotonic()
-        parts = _split_target(head)
-        headers = joined_headers(head.headers)
+        url = _split_target(head)
+        headers = join_headers(head.headers)
         self._check_length(int(headers.get("content-length", "0")))
         try:
             async with curio.timeout_after(self._read_seconds):
@@ -272,8 +274,8 @@
             ) from None
         return Request(
             method=head.method.decode("latin-1"),
-            path=parts.path,
-            query=dict(parse_qsl(parts.query)),
+            path=url.path,
+            query=dict(parse_qsl(url.query)),
             headers=headers,
             body=body,
             target=head.target.decode("latin-1"),
@@ -285,7 +287,7 @@
         )
 
     async def _read_body(self, sock, conn) -> bytes:
-        pieces = []
+        chunks = []
         size = 0
         while True:
             event = await next_event(sock, conn)
@@ -293,9 +295,9 @@
                 case h11.Data(data=data):
                     size += len(data)
                     self._check_length(size)
-                    pieces.append(bytes(data))
+                    chunks.append(bytes(data))
                 case h11.EndOfMessage():
-                    return b"".join(pieces)
+                    return b"".join(chunks)
                 case _:
                     raise BadRequest(
                         status=400, reason="body_cut_off", detail="the body ended early"
@@ -348,11 +350,11 @@
     await responder.respond(500, body, {"content-type": PROBLEM_TYPE})
 
 
-async def _watch_peer(
+async def _detect_disconnect(
     sock,
     conn: h11.Connection,
     responder: Responder,
-    abandoned: curio.Task | None,
+    handler_task: curio.Task | None,
 ) -> None:
     """Notice a peer that leaves while its request runs, and cancel its handler."""
     try:
@@ -363,6 +365,6 @@
                 return
     except OSError:
         pass
-    await responder.gone.set()
-    if abandoned is not None:
-        await abandoned.cancel(blocking=False)
+    await responder.disconnected.set()
+    if handler_task is not None:
+        await handler_task.cancel(blocking=False)
--- a/src/ragwortkeel/ingress/attempt.py
+++ b/src/ragwortkeel/ingress/attempt.py
@@ -154,7 +154,7 @@
             return NotRun(reason=NotRunReason.UNREACHABLE, detail=str(exc))
         reusable = False
         try:
-            if self._caller_response.responder.peer_left():
+            if self._caller_response.responder.peer_disconnected():
                 reusable = True
                 raise CallerLeft(self._call.request_id)
             outcome = await self._exchange(connection)
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -278,7 +278,7 @@
                 self._runs += 1
 
     def _raise_if_caller_left(self, stage: str) -> None:
-        if self._responder.peer_left():
+        if self._responder.peer_disconnected():
             self._log_caller_left(stage)
             raise CallerLeft(self._accepted.call.request_id)
 
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -184,7 +184,7 @@
             host=http_address.host,
             port=http_address.port,
             handler=self._front.handle,
-            cancels_abandoned=True,
+            cancels_disconnected=True,
         )
         self._configurations = ConfigurationFollower(
             platform=self._platform,
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -151,7 +151,7 @@
             return False
         while monotonic() < asked_at + PROBE_SECONDS:
             await curio.sleep(PROBE_CHECK_SECONDS)
-            if link.heard_at > asked_at:
+            if link.last_received_at > asked_at:
                 return True
         return False
 
--- a/src/ragwortkeel/links.py
+++ b/src/ragwortkeel/links.py
@@ -251,7 +251,7 @@
         self._silence_seconds = silence_seconds
         self._traffic = traffic or Traffic()
         self.idle_seconds = 0.0
-        self._heard_at = 0.0
+        self._last_received_at = 0.0
         self._lifecycle = Lifecycle(chart=ChartName.LINK)
         self._channel: _Channel | None = None
 
@@ -261,15 +261,15 @@
         return self._lifecycle.state == UP
 
     @property
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """Monotonic second at which the peer was heard last."""
-        return self._heard_at
+        return self._last_received_at
 
     async def run(self) -> None:
         """Keep the link up until cancelled."""
         try:
             while True:
-                await self._one_connection()
+                await self._run_connection()
                 self._lifecycle.fire("reconnect")
         finally:
             if self._lifecycle.can("close"):
@@ -297,21 +297,21 @@
             return False
         return True
 
-    async def _one_connection(self) -> None:
+    async def _run_connection(self) -> None:
         identity = f"{self.incarnation}/{next(_serials)}"
         socket = _new_socket(zmq.DEALER, identity)
         socket.connect(f"tcp://{self.address}")
         self._channel = _Channel(socket)
-        self._heard_at = monotonic()
-        beats = await curio.spawn(self._beat, daemon=True)
+        self._last_received_at = monotonic()
+        heartbeats = await curio.spawn(self._send_heartbeats, daemon=True)
         reader = await curio.spawn(self._read, self._channel, daemon=True)
         try:
-            await beats.join()
+            await heartbeats.join()
         except curio.TaskError:
             pass
         finally:
             await reader.cancel()
-            await beats.cancel()
+            await heartbeats.cancel()
             channel, self._channel = self._channel, None
             await channel.close()
         was_up = self.up
@@ -319,14 +319,14 @@
         if was_up:
             await self._inbox.put(LinkDown(peer=self.name))
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         """Heartbeat until the peer has been silent for too long."""
         idle = 0.0
-        while monotonic() - self._heard_at < self._silence_seconds + idle:
+        while monotonic() - self._last_received_at < self._silence_seconds + idle:
             sent_at = monotonic()
             await self.send(Heartbeat())
             await curio.sleep(self._heartbeat_seconds)
-            if self._heard_at >= sent_at:
+            if self._last_received_at >= sent_at:
                 idle = self.idle_seconds
                 await curio.sleep(idle)
 
@@ -337,7 +337,7 @@
             if envelope is None:
                 continue
             self._traffic.record_received(envelope.message, len(frames[-1]))
-            self._heard_at = monotonic()
+            self._last_received_at = monotonic()
             if not self.up:
                 self._lifecycle.fire("heard")
                 await self._inbox.put(LinkUp(peer=self.name))
--- a/src/ragwortkeel/platform_calls.py
+++ b/src/ragwortkeel/platform_calls.py
@@ -25,7 +25,7 @@
 CALL_SECONDS = 2.0
 """The platform answers in milliseconds; by then it is down or cut off."""
 
-_NOT_TAKEN = frozenset({429, 503})
+_REFUSED_STATUSES = frozenset({429, 503})
 """Refused at the door, so nothing changed."""
 
 
@@ -50,8 +50,8 @@
         timeout: float = CALL_SECONDS,
         on_failure: Callable[[str], None] = lambda error: None,
     ) -> None:
-        where = Address.parse(address)
-        self._client = HttpClient(host=where.host, port=where.port)
+        parsed_address = Address.parse(address)
+        self._client = HttpClient(host=parsed_address.host, port=parsed_address.port)
         self._timeout = AnswerTimeout(max_seconds=timeout)
         self._on_failure = on_failure
 
@@ -66,9 +66,9 @@
         try:
             response = await self._request("GET", target, wait=wait)
         except (ConnectFailed, ExchangeBroken) as exc:
-            raise self.unavailable(str(exc)) from exc
+            raise self.unavailable_error(str(exc)) from exc
         if response.status not in allowed:
-            raise self.unavailable(f"status {response.status}")
+            raise self.unavailable_error(f"status {response.status}")
         return response
 
     async def write(
@@ -80,13 +80,13 @@
         try:
             response = await self._request(method, target, body=body, headers=headers)
         except ConnectFailed as exc:
-            raise self.unavailable(str(exc)) from exc
+            raise self.unavailable_error(str(exc)) from exc
         except ExchangeBroken as exc:
             # The write may have been done before its answer was lost; the
             # caller re-reads, for only the platform's object can tell.
-            raise self.unknown(str(exc)) from exc
-        if response.status in _NOT_TAKEN:
-            raise self.unavailable(f"status {response.status}")
+            raise self.unknown_error(str(exc)) from exc
+        if response.status in _REFUSED_STATUSES:
+            raise self.unavailable_error(f"status {response.status}")
         if response.status in (400, 413):
             raise ValueRefused(f"{target}: status {response.status}")
         return response
@@ -94,7 +94,7 @@
     async def _request(
         self, method: str, target: str, *, wait: float = 0.0, **fields
     ) -> Response:
-        begun = monotonic()
+        started_at = monotonic()
         try:
             response = await self._client.request(
                 method, target, timeout=self._timeout.seconds + wait, **fields
@@ -103,25 +103,25 @@
             self._timeout.record_timeout()
             raise
         if not wait:
-            self._timeout.record_answer(monotonic() - begun)
+            self._timeout.record_answer(monotonic() - started_at)
         return response
 
     async def close(self) -> None:
         """Close the kept connections."""
         await self._client.close()
 
-    def unavailable(self, why: str) -> PlatformUnavailable:
+    def unavailable_error(self, reason: str) -> PlatformUnavailable:
         """Return the error for a call that certainly changed nothing."""
         self._on_failure("unavailable")
-        return PlatformUnavailable(why)
+        return PlatformUnavailable(reason)
 
-    def unknown(self, why: str) -> OutcomeUnknown:
+    def unknown_error(self, reason: str) -> OutcomeUnknown:
         """Return the error for a write that may have taken effect."""
         self._on_failure("outcome_unknown")
-        return OutcomeUnknown(why)
+        return OutcomeUnknown(reason)
 
 
-def conditional(response: Response, kind: str, name: str) -> Response:
+def check_conditional(response: Response, kind: str, name: str) -> Response:
     """Return the answer to a conditional write, unless another came first."""
     if response.status == 404:
         raise ObjectNotFound(f"{kind}/{name} is not there")
--- a/src/ragwortkeel/platform_client.py
+++ b/src/ragwortkeel/platform_client.py
@@ -15,7 +15,7 @@
 from ragwortkeel.exceptions import AlreadyExists, PlatformUnavailable
 from ragwortkeel.httpio import Response
 from ragwortkeel.platform import Changes, Instance, Listing, Stored
-from ragwortkeel.platform_calls import CALL_SECONDS, PlatformCalls, conditional
+from ragwortkeel.platform_calls import CALL_SECONDS, PlatformCalls, check_conditional
 from ragwortkeel.platform_wire import (
     IF_MATCH_HEADER,
     PAGE_LIMIT,
@@ -89,19 +89,19 @@
     async def update(self, kind: str, name: str, value: bytes, version: int) -> int:
         """Replace the object at `version`; else `VersionConflict`."""
         response = await self._write("PUT", kind, name, value, version)
-        return self._version(conditional(response, kind, name))
+        return self._version(check_conditional(response, kind, name))
 
     async def delete(self, kind: str, name: str, version: int) -> None:
         """Delete the object at `version`; else `VersionConflict`."""
         response = await self._write("DELETE", kind, name, b"", version)
-        self._version(conditional(response, kind, name))
+        self._version(check_conditional(response, kind, name))
 
     async def watch(self, kind: str, revision: int, timeout: float) -> Changes:
         """Wait at most `timeout` seconds for changes after `revision`."""
         query = urlencode({"revision": revision, "timeout": timeout})
         target = f"/v1/watch/{quote(kind, safe='')}?{query}"
         response = await self._calls.read(target, wait=timeout)
-        body = _decoded(response, ChangesBody)
+        body = _decode_body(response, ChangesBody)
         return Changes(
             changes=tuple(one.change(kind) for one in body.changes),
             revision=body.revision,
@@ -110,7 +110,7 @@
 
     async def live(self) -> dict[str, Instance]:
         """Return the lagging list of live and leaving instances, by name."""
-        body = _decoded(await self._calls.read("/v1/live"), LiveBody)
+        body = _decode_body(await self._calls.read("/v1/live"), LiveBody)
         return {one.name: one for one in body.instances}
 
     async def close(self) -> None:
@@ -120,7 +120,7 @@
     async def _page(self, kind: str, prefix: str, after: str) -> ListPage:
         query = urlencode({"prefix": prefix, "after": after, "limit": PAGE_LIMIT})
         target = f"/v1/objects/{quote(kind, safe='')}?{query}"
-        return _decoded(await self._calls.read(target), ListPage)
+        return _decode_body(await self._calls.read(target), ListPage)
 
     async def _write(
         self, method: str, kind: str, name: str, value: bytes, version: int | None
@@ -130,18 +130,18 @@
 
     def _version(self, response: Response) -> int:
         if response.status not in (200, 201):
-            raise self._calls.unknown(f"status {response.status}")
+            raise self._calls.unknown_error(f"status {response.status}")
         try:
             return msgspec.json.decode(response.body, type=Written).version
         except msgspec.DecodeError as exc:
-            raise self._calls.unknown(f"answer without a version: {exc}") from exc
+            raise self._calls.unknown_error(f"answer without a version: {exc}") from exc
 
 
 def _target(kind: str, name: str) -> str:
     return f"/v1/objects/{quote(kind, safe='')}/{quote(name, safe='')}"
 
 
-def _decoded(response: Response, cls: type[Body]) -> Body:
+def _decode_body(response: Response, cls: type[Body]) -> Body:
     if response.status != 200:
         raise PlatformUnavailable(f"status {response.status}")
     try:
--- a/src/ragwortkeel/platform_counts.py
+++ b/src/ragwortkeel/platform_counts.py
@@ -46,35 +46,37 @@
         """Return the object; see `Platform.get`."""
         operation = "get_stale" if stale else "get"
         call = self._platform.get(kind, name, stale=stale)
-        return await self._counted(operation, kind, call)
+        return await self._await_counted(operation, kind, call)
 
     async def list(self, kind: str, prefix: str = "") -> Listing:
         """Return all objects of a kind; see `Platform.list`."""
-        return await self._counted("list", kind, self._platform.list(kind, prefix))
+        return await self._await_counted(
+            "list", kind, self._platform.list(kind, prefix)
+        )
 
     async def create(self, kind: str, name: str, value: bytes) -> int:
         """Create the object; see `Platform.create`."""
         call = self._platform.create(kind, name, value)
-        return await self._counted("create", kind, call)
+        return await self._await_counted("create", kind, call)
 
     async def update(self, kind: str, name: str, value: bytes, version: int) -> int:
         """Replace the object at a version; see `Platform.update`."""
         call = self._platform.update(kind, name, value, version)
-        return await self._counted("update", kind, call)
+        return await self._await_counted("update", kind, call)
 
     async def delete(self, kind: str, name: str, version: int) -> None:
         """Delete the object at a version; see `Platform.delete`."""
         call = self._platform.delete(kind, name, version)
-        await self._counted("delete", kind, call)
+        await self._await_counted("delete", kind, call)
 
     async def watch(self, kind: str, revision: int, timeout: float) -> Changes:
         """Wait for changes; see `Platform.watch`."""
         call = self._platform.watch(kind, revision, timeout)
-        return await self._counted("watch", kind, call)
+        return await self._await_counted("watch", kind, call)
 
     async def live(self) -> dict[str, Instance]:
         """Return the live instances; see `Platform.live`."""
-        return await self._counted("live", "instances", self._platform.live())
+        return await self._await_counted("live", "instances", self._platform.live())
 
     async def run(self) -> None:
         """Log the counts until cancelled."""
@@ -89,7 +91,7 @@
         log_info("platform_calls", calls=calls, seconds=REPORT_SECONDS)
         self._count_by_call.clear()
 
-    async def _counted(self, operation: str, kind: str, call: Awaitable):
+    async def _await_counted(self, operation: str, kind: str, call: Awaitable):
         outcome = "cancelled"
         try:
             rv = await call
--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -175,7 +175,7 @@
                 curio.TaskGroup(wait=any) as group,
             ):
                 serving = await group.spawn(exchange.run)
-                await group.spawn(responder.gone.wait)
+                await group.spawn(responder.disconnected.wait)
         except curio.TaskTimeout:
             return _interrupted_refusal(exchange, Reason.DEADLINE)
         if group.completed is not serving:
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -8,7 +8,7 @@
 
 from ragwortkeel.configuration import UPSTREAMS, Node, Role, UpstreamState
 from ragwortkeel.configuration_store import ConfigurationStore
-from ragwortkeel.gossip import FromPeer, Gossip, Learn
+from ragwortkeel.gossip import FromPeer, Gossip, MergeObjects
 from ragwortkeel.httpio import HttpServer
 from ragwortkeel.links import LinkDown, LinkUp, Received
 from ragwortkeel.logs import log_warning
@@ -298,7 +298,7 @@
                 await self._receive_load(upstream, envelope.sender, load)
                 await self._forward_to_gossip(peer, envelope.revision, None)
             case Refused(newer=newer):
-                await self.gossip.inbox.put(Learn(objects=newer))
+                await self.gossip.inbox.put(MergeObjects(objects=newer))
             case message:
                 await self._forward_to_gossip(peer, envelope.revision, message)
 
--- a/src/ragwortkeel/router/worker.py
+++ b/src/ragwortkeel/router/worker.py
@@ -7,7 +7,7 @@
 
 from ragwortkeel.configuration import Node, Role
 from ragwortkeel.configuration_store import InForce
-from ragwortkeel.gossip import Partners
+from ragwortkeel.gossip import ExchangePeers
 from ragwortkeel.membership import Liveness
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.platform_client import HttpPlatform
@@ -123,7 +123,7 @@
                 membership.record_probe(node.incarnation, now)
         members = zone_router_addresses(present, settings.zone)
         await self._router.set_zone_routers(members)
-        change = Partners(addresses=tuple(addresses), zone_members=members)
+        change = ExchangePeers(addresses=tuple(addresses), zone_members=members)
         await self._router.gossip.inbox.put(change)
 
     def _failed_incarnations(self, now: float) -> set[str]:
--- a/src/ragwortkeel/sidecar/upstream.py
+++ b/src/ragwortkeel/sidecar/upstream.py
@@ -139,7 +139,7 @@
                 await self.broken(FailureReason.TRUNCATED)
 
     async def _refused(self, response: StreamedResponse) -> None:
-        async for _ in response.pieces():
+        async for _ in response.chunks():
             pass
         if response.status in DECLINING_STATUSES and self._dispatch.idempotent:
             # Of a service whose calls may not be repeated, 503 proves nothing.
@@ -203,7 +203,7 @@
 
     async def _pieces(self, response: StreamedResponse):
         """Yield the body; `UpstreamSilent` where nothing comes for too long."""
-        pieces = response.pieces()
+        pieces = response.chunks()
         while True:
             try:
                 async with curio.timeout_after(self._silence_seconds):
--- a/src/ragwortkeel/sidecar/worker.py
+++ b/src/ragwortkeel/sidecar/worker.py
@@ -8,7 +8,7 @@
 
 from ragwortkeel.configuration import PROFILES, UPSTREAMS
 from ragwortkeel.configuration_store import ConfigurationStore, InForce
-from ragwortkeel.gossip import FromPeer, Gossip, Partners
+from ragwortkeel.gossip import ExchangePeers, FromPeer, Gossip
 from ragwortkeel.links import Received
 from ragwortkeel.messages import Heartbeat, VersionedObject
 from ragwortkeel.metrics import Metrics
@@ -127,4 +127,6 @@
             del self._heard_by_peer[peer]
         if is_new or gone:
             partners = tuple(self._heard_by_peer)
-            await self._gossip.inbox.put(Partners(addresses=partners, zone_members=()))
+            await self._gossip.inbox.put(
+                ExchangePeers(addresses=partners, zone_members=())
+            )
--- a/src/ragwortkeel/standins/engine.py
+++ b/src/ragwortkeel/standins/engine.py
@@ -121,7 +121,7 @@
         request_id = request.headers.get("x-request-id") or uuid4().hex
         self._executions[request_id] += 1
         if self.switches.silent:
-            await responder.gone.wait()
+            await responder.disconnected.wait()
             return
         start, end = self._range_of(chat)
         generation = Generation(
@@ -261,7 +261,7 @@
 
 
 async def _cancel_when_gone(responder: Responder, generation: Generation) -> None:
-    await responder.gone.wait()
+    await responder.disconnected.wait()
     generation.cancelled = True
 
 
--- a/tests/ingress/in_process.py
+++ b/tests/ingress/in_process.py
@@ -11,7 +11,7 @@
 from tests.ingress.builders import configuration, route, upstream
 
 from ragwortkeel.budget.shards import SHARDS_KIND, decode_shard
-from ragwortkeel.http_events import joined_headers, next_event
+from ragwortkeel.http_events import join_headers, next_event
 from ragwortkeel.httpio import HttpClient
 from ragwortkeel.ingress.configuration import (
     CONFIGURATION_KIND,
@@ -143,7 +143,7 @@
         seen = ReceivedRequest(
             method=head.method.decode(),
             target=head.target.decode(),
-            headers=joined_headers(head.headers),
+            headers=join_headers(head.headers),
             body=body,
         )
         self.seen.append(seen)
--- a/tests/ingress/test_writers.py
+++ b/tests/ingress/test_writers.py
@@ -71,7 +71,7 @@
 
     def __init__(self, *, echoes_after=None):
         super().__init__()
-        self.heard_at = monotonic()
+        self.last_received_at = monotonic()
         self._echoes_after = echoes_after
 
     async def try_send(self, message):
@@ -81,7 +81,7 @@
 
     async def _echo(self):
         await curio.sleep(self._echoes_after)
-        self.heard_at = monotonic()
+        self.last_received_at = monotonic()
 
 
 class TestProbes:
--- a/tests/router/test_path.py
+++ b/tests/router/test_path.py
@@ -150,7 +150,7 @@
             key = {"idempotency-key": "k"}
             stream = fleet.client.stream("POST", CHAT_PATH, body=body, headers=key)
             async with stream as answer:
-                async for _ in answer.pieces():
+                async for _ in answer.chunks():
                     break
             return await fleet.ask(CHAT_PATH, request, idempotency_key="k")
 
@@ -184,7 +184,7 @@
             request = QUESTION | {"stream": True, "max_tokens": 1000}
             body = msgspec.json.encode(request)
             async with fleet.client.stream("POST", CHAT_PATH, body=body) as answer:
-                async for _ in answer.pieces():
+                async for _ in answer.chunks():
                     break
             await until(lambda: not fleet.router.settlement.open_runs)
             await until(lambda: not fleet.row(CHAT).reserved)
--- a/tests/sidecar/test_upstream.py
+++ b/tests/sidecar/test_upstream.py
@@ -47,7 +47,7 @@
 async def hang(upstream, request, responder):
     await responder.start(200, SSE)
     await responder.send(event("a"))
-    await responder.gone.wait()
+    await responder.disconnected.wait()
 
 
 def serve(behave, *, silence=5.0, port=None, **changes):
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -127,7 +127,7 @@
             target = "/v1/chat/completions"
             async with (
                 client.stream("POST", target, body=body) as answer,
-                curio.meta.finalize(answer.pieces()) as pieces,
+                curio.meta.finalize(answer.chunks()) as pieces,
             ):
                 await anext(pieces)
             async with curio.timeout_after(10):
--- a/tests/test_configuration_convergence.py
+++ b/tests/test_configuration_convergence.py
@@ -23,7 +23,7 @@
 from ragwortkeel.configuration_store import (
     ConfigurationStore,
     rank_of,
-    versioned,
+    versioned_object,
 )
 from ragwortkeel.exceptions import (
     AlreadyExists,
@@ -56,7 +56,7 @@
         self.store = ConfigurationStore(kinds=(PROFILES,))
         self.exchange = Exchange(store=self.store, random=random, clock=clock)
         others = [str(one) for one in range(NODE_COUNT) if one != number]
-        self.exchange.partners = others
+        self.exchange.exchange_peers = others
         self.schedule = FollowSchedule(now=now, random=random)
         self.ranks = {}
 
@@ -129,7 +129,7 @@
 
     def note_accepted(self, name):
         switches, self.platform.switches = self.platform.switches, Switches()
-        one = versioned(self.call(self.platform.get(PROFILES, name)))
+        one = versioned_object(self.call(self.platform.get(PROFILES, name)))
         self.platform.switches = switches
         self.accepted.setdefault(name, {})[one.version] = one.value
 
@@ -168,49 +168,51 @@
             self.deliver(self.flying.pop(0))
         random.shuffle(self.late)
         for node, objects in self.late[::2]:
-            node.exchange.learn(objects)
+            node.exchange.merge_objects(objects)
 
     def ask(self, node, late=False):
-        step = node.schedule.next(
+        step = node.schedule.next_action(
             now=self.now,
             watching=node.number in WATCHERS,
             complete=node.exchange.complete_by_kind[PROFILES],
-            peers_heard=True,
+            peers_reachable=True,
             age=node.exchange.age(PROFILES),
         )
         try:
             match step:
                 case ListAll():
                     listing = self.call(self.platform.list(PROFILES))
-                    objects = [versioned(one) for one in listing.by_name.values()]
+                    objects = [
+                        versioned_object(one) for one in listing.by_name.values()
+                    ]
                     self.bring(node, objects, listing.revision, late)
                     size = node.store.value_bytes(PROFILES)
-                    node.schedule.listed(now=self.now, value_bytes=size)
+                    node.schedule.record_list(now=self.now, value_bytes=size)
                 case Watch(revision=revision):
                     watch = self.platform.watch(PROFILES, revision, 0.0)
                     changes = self.call(watch)
-                    objects = [versioned(one.stored) for one in changes.changes]
+                    objects = [versioned_object(one.stored) for one in changes.changes]
                     complete = node.exchange.complete_by_kind[PROFILES]
                     if not changes.gap:
                         self.bring(node, objects, changes.revision, late)
-                    node.schedule.watched(
+                    node.schedule.record_watch(
                         now=self.now, gap=changes.gap, complete=complete
                     )
         except PlatformError:
-            node.schedule.failed(now=self.now)
+            node.schedule.record_failure(now=self.now)
 
     def bring(self, node, objects, revision, late):
         if late:
             self.late.append((node, objects))
             return
-        node.exchange.learn(objects)
-        node.exchange.completed(PROFILES, revision)
+        node.exchange.merge_objects(objects)
+        node.exchange.record_complete(PROFILES, revision)
 
     @rule(data=st.data())
     def late_answer_arrives(self, data):
         if self.late:
             node, objects = data.draw(st.sampled_from(self.late))
-            node.exchange.learn(objects)
+            node.exchange.merge_objects(objects)
 
     # Peers.
 
@@ -219,7 +221,9 @@
         self.gossip(self.nodes[number])
 
     def gossip(self, node):
-        self.post(node.number, node.exchange.spread() + node.exchange.compare())
+        self.post(
+            node.number, node.exchange.next_pushes() + node.exchange.next_digest()
+        )
 
     def post(self, sender, sends):
         self.flying += [(sender, int(send.peer), send.message) for send in sends]
@@ -280,7 +284,8 @@
         self.run_rounds(ask=True)
         listing = self.call(self.platform.list(PROFILES))
         expected = {
-            name: rank_of(versioned(stored)) for name, stored in listing.by_name.items()
+            name: rank_of(versioned_object(stored))
+            for name, stored in listing.by_name.items()
         }
         for node in self.nodes:
             assert self.held(node) == expected
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -6,7 +6,11 @@
 import pytest
 
 from ragwortkeel.configuration import PROFILES
-from ragwortkeel.configuration_exchange import PUSH_BYTES, SPREAD_AT_ONCE, Exchange
+from ragwortkeel.configuration_exchange import (
+    MAX_PUSHED_BATCH_OBJECTS,
+    PUSH_BYTES,
+    Exchange,
+)
 from ragwortkeel.configuration_store import ConfigurationStore
 from ragwortkeel.messages import (
     ConfigurationBranches,
@@ -33,7 +37,7 @@
 
 def exchange(clock, *partners):
     rv = Exchange(store=ConfigurationStore(), random=Random(1), clock=clock)
-    rv.partners = partners
+    rv.exchange_peers = partners
     return rv
 
 
@@ -42,10 +46,10 @@
     def test_word_of_the_platform_is_passed_on(self, equal, age):
         clock = Clock()
         one, other, last = (exchange(clock) for _ in range(3))
-        one.learn([made("chat", 7)])
-        one.completed(PROFILES, 7)
-        other.learn([made("chat", 7 if equal else 6)])
-        last.learn([made("chat", 7)])
+        one.merge_objects([made("chat", 7)])
+        one.record_complete(PROFILES, 7)
+        other.merge_objects([made("chat", 7 if equal else 6)])
+        last.merge_objects([made("chat", 7)])
         clock.now = 2.0
         other.receive("one", one.digest())
         clock.now = 5.0
@@ -56,9 +60,9 @@
     def test_older_word_does_not_count(self):
         clock = Clock()
         one, other = exchange(clock), exchange(clock)
-        one.completed(PROFILES, 0)
+        one.record_complete(PROFILES, 0)
         clock.now = 3.0
-        other.completed(PROFILES, 0)
+        other.record_complete(PROFILES, 0)
         other.receive("one", one.digest())
         assert other.age(PROFILES) == 0.0
 
@@ -72,13 +76,13 @@
         """
         clock = Clock()
         old, new = exchange(clock), exchange(clock, "old")
-        old.learn([made("chat", 7)])
+        old.merge_objects([made("chat", 7)])
         for kind in old.store.kinds:
-            old.completed(kind, 7)
+            old.record_complete(kind, 7)
         clock.now = 60.0
         digests = 0
         for _ in range(3):
-            flying = [("old", send.message) for send in new.compare()]
+            flying = [("old", send.message) for send in new.next_digest()]
             while flying and digests <= 5:
                 to, message = flying.pop(0)
                 digests += isinstance(message, ConfigurationDigest)
@@ -94,31 +98,33 @@
 class TestWhomToAsk:
     def test_furthest_ahead_is_asked_once(self):
         one = exchange(Clock(), "p1", "p2", "p3")
-        one.hint("far", 9)
-        one.hint("near", 5)
-        assert [send.peer for send in one.compare()] == ["far"]
-        assert [send.peer for send in one.compare()][0].startswith("p")
+        one.record_revision("far", 9)
+        one.record_revision("near", 5)
+        assert [send.peer for send in one.next_digest()] == ["far"]
+        assert [send.peer for send in one.next_digest()][0].startswith("p")
 
     def test_nobody_is_asked_for_what_came_meanwhile(self):
         one = exchange(Clock(), "p1")
-        one.hint("far", 9)
-        one.learn([made("chat", 9)])
-        assert [send.peer for send in one.compare()] == ["p1"]
+        one.record_revision("far", 9)
+        one.merge_objects([made("chat", 9)])
+        assert [send.peer for send in one.next_digest()] == ["p1"]
 
 
 class TestSpread:
     def test_small_batches_are_pushed_and_large_are_left_to_digests(self):
         one = exchange(Clock(), "p1")
-        one.learn(made(f"p{i}", i) for i in range(SPREAD_AT_ONCE + 1))
-        assert one.spread() == []
-        one.learn([made("chat", 999)])
-        assert [send.message.objects for send in one.spread()] == [(made("chat", 999),)]
+        one.merge_objects(made(f"p{i}", i) for i in range(MAX_PUSHED_BATCH_OBJECTS + 1))
+        assert one.next_pushes() == []
+        one.merge_objects([made("chat", 999)])
+        assert [send.message.objects for send in one.next_pushes()] == [
+            (made("chat", 999),)
+        ]
 
     def test_callers_are_pushed_to(self):
         one, caller = exchange(Clock()), exchange(Clock())
         one.receive("caller", caller.digest())
-        one.learn([made("chat", 1)])
-        assert [send.peer for send in one.spread()] == ["caller"]
+        one.merge_objects([made("chat", 1)])
+        assert [send.peer for send in one.next_pushes()] == ["caller"]
 
 
 class TestStrangeMessages:
@@ -150,10 +156,10 @@
             for i in range(500)
         )
         empty = Exchange(store=ConfigurationStore(), random=Random(2))
-        empty.partners = ("full",)
+        empty.exchange_peers = ("full",)
         largest = 0
         for _ in range(2_000):
-            flying = [("full", one.message) for one in empty.compare()]
+            flying = [("full", one.message) for one in empty.next_digest()]
             while flying:
                 to, message = flying.pop()
                 if isinstance(message, ConfigurationPush):
--- a/tests/test_configuration_schedule.py
+++ b/tests/test_configuration_schedule.py
@@ -6,32 +6,32 @@
 
 from ragwortkeel.configuration_exchange import UNKNOWN
 from ragwortkeel.configuration_schedule import (
-    LEARN_SECONDS,
+    FALLBACK_WATCH_SECONDS,
     MAX_LIST_SECONDS,
     MAX_RETRY_SECONDS,
     MIN_LIST_SECONDS,
-    SIDECAR_PATIENCE,
-    STAND_IN_SECONDS,
+    PEER_WAIT_SECONDS,
+    SIDECAR_STALE_FACTOR,
     WATCHERS_PER_ZONE,
     FollowSchedule,
     ListAll,
-    Rest,
+    Wait,
     Watch,
     list_seconds,
     rendezvous,
 )
 
 
-def schedule(patience=1.0):
-    return FollowSchedule(now=0.0, random=Random(1), patience=patience)
+def schedule(stale_factor=1.0):
+    return FollowSchedule(now=0.0, random=Random(1), stale_factor=stale_factor)
 
 
-def step(one, now, *, watching=True, complete=UNKNOWN, peers_heard=False, age=0.0):
-    return one.next(
+def step(one, now, *, watching=True, complete=UNKNOWN, peers_reachable=False, age=0.0):
+    return one.next_action(
         now=now,
         watching=watching,
         complete=complete,
-        peers_heard=peers_heard,
+        peers_reachable=peers_reachable,
         age=age,
     )
 
@@ -55,7 +55,7 @@
     def test_a_watcher_lists_then_watches_then_lists(self):
         one = schedule()
         assert step(one, 0.0) == ListAll()
-        one.listed(now=0.0, value_bytes=0)
+        one.record_list(now=0.0, value_bytes=0)
         watch = step(one, 0.1, complete=0)
         assert isinstance(watch, Watch) and watch.revision == 0
         assert 0 < watch.seconds <= MIN_LIST_SECONDS * 1.5
@@ -63,13 +63,13 @@
 
     def test_others_learn_from_peers_first(self):
         one = schedule()
-        first = step(one, 0.0, watching=False, peers_heard=True)
-        assert isinstance(first, Rest)
+        first = step(one, 0.0, watching=False, peers_reachable=True)
+        assert isinstance(first, Wait)
         assert step(one, 0.0, watching=False) == ListAll()
-        late = step(one, LEARN_SECONDS, watching=False, peers_heard=True)
+        late = step(one, PEER_WAIT_SECONDS, watching=False, peers_reachable=True)
         assert late == ListAll()
-        rest = step(one, 1.0, watching=False, peers_heard=True, complete=7)
-        assert isinstance(rest, Rest)
+        rest = step(one, 1.0, watching=False, peers_reachable=True, complete=7)
+        assert isinstance(rest, Wait)
 
     def test_stands_in_for_watchers_that_are_gone(self):
         """Both watchers of a zone die, or are cut off from the platform.
@@ -78,19 +78,19 @@
         operator makes then would reach none of them.
         """
         one = schedule()
-        one.listed(now=0.0, value_bytes=10**9)
-        other = {"watching": False, "complete": 7, "peers_heard": True}
-        assert isinstance(step(one, 1.0, age=5.0, **other), Rest)
+        one.record_list(now=0.0, value_bytes=10**9)
+        other = {"watching": False, "complete": 7, "peers_reachable": True}
+        assert isinstance(step(one, 1.0, age=5.0, **other), Wait)
         assert isinstance(step(one, 21.0, age=20.1, **other), Watch)
         assert isinstance(step(one, 22.0, age=0.0, **other), Watch)
-        later = 22.0 + STAND_IN_SECONDS
-        assert isinstance(step(one, later, age=0.0, **other), Rest)
+        later = 22.0 + FALLBACK_WATCH_SECONDS
+        assert isinstance(step(one, later, age=0.0, **other), Wait)
 
     def test_sidecars_bear_stale_content_for_longer(self):
-        one = schedule(SIDECAR_PATIENCE)
-        one.listed(now=0.0, value_bytes=10**9)
-        other = {"watching": False, "complete": 7, "peers_heard": True}
-        assert isinstance(step(one, 25.0, age=25.0, **other), Rest)
+        one = schedule(SIDECAR_STALE_FACTOR)
+        one.record_list(now=0.0, value_bytes=10**9)
+        other = {"watching": False, "complete": 7, "peers_reachable": True}
+        assert isinstance(step(one, 25.0, age=25.0, **other), Wait)
         assert isinstance(step(one, 81.0, age=81.0, **other), Watch)
 
     def test_an_outage_is_not_answered_by_everybody_for_long(self):
@@ -100,21 +100,23 @@
         with their calls the moment it is back.
         """
         one = schedule()
-        one.listed(now=0.0, value_bytes=10**9)
+        one.record_list(now=0.0, value_bytes=10**9)
         calls = 0
         now = 20.0
         while now < 620.0:
-            got = step(one, now, watching=False, complete=7, peers_heard=True, age=now)
-            if isinstance(got, Rest):
+            got = step(
+                one, now, watching=False, complete=7, peers_reachable=True, age=now
+            )
+            if isinstance(got, Wait):
                 now += got.seconds + 1e-6
             else:
                 calls += 1
-                one.failed(now=now)
+                one.record_failure(now=now)
         assert 3 <= calls <= 20
 
     @pytest.mark.parametrize(
         ("watching", "complete", "expected"),
-        [(True, 5, ListAll), (False, 5, Rest), (True, 9, Watch)],
+        [(True, 5, ListAll), (False, 5, Wait), (True, 9, Watch)],
     )
     def test_after_a_gap(self, watching, complete, expected):
         """A node falls behind the platform's bounded history of changes.
@@ -123,9 +125,9 @@
         there would never see what was forgotten.
         """
         one = schedule()
-        one.listed(now=0.0, value_bytes=10**9)
-        one.watched(now=1.0, gap=True, complete=5)
-        got = step(one, 1.1, watching=watching, complete=complete, peers_heard=True)
+        one.record_list(now=0.0, value_bytes=10**9)
+        one.record_watch(now=1.0, gap=True, complete=5)
+        got = step(one, 1.1, watching=watching, complete=complete, peers_reachable=True)
         assert isinstance(got, expected)
 
     def test_failures_wait_longer_up_to_a_bound(self):
@@ -133,9 +135,9 @@
         rests = []
         now = 0.0
         for _ in range(12):
-            one.failed(now=now)
+            one.record_failure(now=now)
             start = now
-            while isinstance(rest := step(one, now), Rest):
+            while isinstance(rest := step(one, now), Wait):
                 now += rest.seconds + 1e-6
             rests.append(now - start)
         assert rests[0] < 1.0
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -11,8 +11,8 @@
     MAX_VERSION,
     ConfigurationStore,
     Rank,
-    deleted,
     leaf_of,
+    tombstone,
 )
 from ragwortkeel.messages import VersionedObject
 
@@ -44,8 +44,8 @@
             (made("a", 2, retired=True), made("a", 3), False),
             (made("a", 2, retired=True), made("a", 3, retired=True), True),
             (made("a", 3), made("a", 2, retired=True), True),
-            (deleted(NODES, "a", 2), made("a", 1, kind=NODES), False),
-            (made("a", 2, kind=NODES), deleted(NODES, "a", 2), True),
+            (tombstone(NODES, "a", 2), made("a", 1, kind=NODES), False),
+            (made("a", 2, kind=NODES), tombstone(NODES, "a", 2), True),
             (made("a", 2), made("b", 1), True),
         ],
     )
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -11,7 +11,7 @@
 from ragwortkeel.configuration_exchange import UNKNOWN
 from ragwortkeel.configuration_store import KINDS, ConfigurationStore
 from ragwortkeel.exceptions import LinkLost
-from ragwortkeel.gossip import FromPeer, Gossip, Partners, Watched
+from ragwortkeel.gossip import ExchangePeers, FromPeer, Gossip, Watched
 from ragwortkeel.platform import Changes
 from ragwortkeel.standins.local_platform import LocalPlatform
 
@@ -54,7 +54,7 @@
     async def tell_partners(self):
         for name, gossip in self.gossip_by_name.items():
             others = tuple(one for one in self.gossip_by_name if one != name)
-            partners = Partners(addresses=others, zone_members=others)
+            partners = ExchangePeers(addresses=others, zone_members=others)
             await gossip.inbox.put(partners)
 
     async def stop(self):
@@ -218,7 +218,7 @@
             gap = Changes(changes=(), revision=9, gap=True)
             event = Watched(kind=PROFILES, changes=gap)
             await gossip.inbox.put(event)
-            await event.taken.wait()
+            await event.applied.wait()
             assert gossip.exchange.complete_by_kind[PROFILES] == UNKNOWN
 
         run(scenario)
@@ -232,7 +232,7 @@
         the others would ask the platform, and a change would stay unseen.
         """
         monkeypatch.setattr(
-            "ragwortkeel.configuration_schedule.STALE_SECONDS", (0.5, 1.0)
+            "ragwortkeel.configuration_schedule.STALE_RANGE_SECONDS", (0.5, 1.0)
         )
 
         async def scenario(fleet):
--- a/tests/test_httpio.py
+++ b/tests/test_httpio.py
@@ -26,7 +26,7 @@
             await responder.send(b"half")
             await responder.abort()
         case "/wait":
-            await responder.gone.wait()
+            await responder.disconnected.wait()
         case "/slow":
             await responder.start(200, {})
             for _ in range(10):
@@ -451,7 +451,7 @@
     def test_reader_that_stops_early_leaves_no_half_read_connection(self):
         async def scenario(_, client):
             async with client.stream("GET", "/slow") as answer:
-                async for _ in answer.pieces():
+                async for _ in answer.chunks():
                     break
             assert (await client.request("GET", "/", timeout=5)).body == b"empty"
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from ragwortkeel.configuration import NODES, Node
-from ragwortkeel.configuration_store import deleted
+from ragwortkeel.configuration_store import tombstone
 from ragwortkeel.membership import SILENCE_SECONDS, Liveness, Membership
 from ragwortkeel.messages import VersionedObject
 from ragwortkeel.platform import Instance
@@ -167,7 +167,7 @@
         unreadable = VersionedObject(kind=NODES, name="odd", version=2, value=b"?")
         members.apply([registered, unreadable])
         assert members.nodes(0.0, Liveness.STARTING) == [node()]
-        members.apply([deleted(NODES, "r1", 3)])
+        members.apply([tombstone(NODES, "r1", 3)])
         assert members.liveness("r1", 0.0) is None
 
     @pytest.mark.parametrize("fault", ["down", "lost_answers"])
