--- a/src/ragwortkeel/sidecar/upstream.py
+++ b/src/ragwortkeel/sidecar/upstream.py
@@ -143,7 +143,7 @@
                 await self.report_broken(FailureReason.TRUNCATED)
 
     async def _handle_refusal(self, response: StreamedResponse) -> None:
-        async for _ in response.pieces():
+        async for _ in response.chunks():
             pass
         if response.status in DECLINING_STATUSES and self._dispatch.idempotent:
             # Of a service whose calls may not be repeated, 503 proves nothing.
@@ -211,7 +211,7 @@
 
     async def _chunks(self, response: StreamedResponse):
         """Yield the body; `UpstreamSilent` where nothing comes for too long."""
-        chunks = response.pieces()
+        chunks = response.chunks()
         while True:
             try:
                 async with curio.timeout_after(self._max_silence_seconds):
--- a/src/ragwortkeel/sidecar/worker.py
+++ b/src/ragwortkeel/sidecar/worker.py
@@ -8,7 +8,8 @@
 
 from ragwortkeel.configuration import PROFILES, UPSTREAMS
 from ragwortkeel.configuration_store import ConfigurationStore, InForce
-from ragwortkeel.gossip import FromPeer, Gossip, Partners
+from ragwortkeel.gossip import ExchangePeers
+from ragwortkeel.gossip import FromPeer, Gossip
 from ragwortkeel.links import Received
 from ragwortkeel.messages import Heartbeat, VersionedObject
 from ragwortkeel.metrics import Metrics
@@ -131,4 +132,4 @@
             del self._last_received_at_by_peer[peer]
         if is_new or expired_peers:
             partners = tuple(self._last_received_at_by_peer)
-            await self._gossip.inbox.put(Partners(addresses=partners, zone_members=()))
+            await self._gossip.inbox.put(ExchangePeers(addresses=partners, zone_members=()))
