--- a/src/ragwortkeel/sidecar/worker.py
+++ b/src/ragwortkeel/sidecar/worker.py
@@ -8,8 +8,7 @@
 
 from ragwortkeel.configuration import PROFILES, UPSTREAMS
 from ragwortkeel.configuration_store import ConfigurationStore, InForce
-from ragwortkeel.gossip import ExchangePeers
-from ragwortkeel.gossip import FromPeer, Gossip
+from ragwortkeel.gossip import ExchangePeers, FromPeer, Gossip
 from ragwortkeel.links import Received
 from ragwortkeel.messages import Heartbeat, VersionedObject
 from ragwortkeel.metrics import Metrics
@@ -132,4 +131,6 @@
             del self._last_received_at_by_peer[peer]
         if is_new or expired_peers:
             partners = tuple(self._last_received_at_by_peer)
-            await self._gossip.inbox.put(ExchangePeers(addresses=partners, zone_members=()))
+            await self._gossip.inbox.put(
+                ExchangePeers(addresses=partners, zone_members=())
+            )
