--- a/src/ragwortkeel/configuration.py
+++ b/src/ragwortkeel/configuration.py
@@ -1,7 +1,7 @@
-"""What operators configure, as it is kept in the platform.
+"""The configuration objects that the platform stores.
 
-Every object carries the platform's version of it once read; versions only go
-up, and a node never replaces an object by an older one.
+An object that was read from the platform carries its version.  Versions only
+increase, and a process never replaces an object with an older version of it.
 """
 
 from enum import StrEnum
@@ -24,7 +24,7 @@
 
 
 class ServiceClass(StrEnum):
-    """The service a caller may expect."""
+    """The service that a profile promises to its callers."""
 
     INTERACTIVE = "interactive"
     BATCH = "batch"
@@ -32,10 +32,12 @@
 
 
 class Spread(StrEnum):
-    """How a budget is spread over routers; never changes the promise.
+    """How a budget is spread over routers.
 
-    `WIDE` keeps larger slices for longer outages (false refusals cost more);
-    `NARROW` keeps little outstanding (overspend costs more).
+    `WIDE` gives the routers larger slices, which last for longer outages: for
+    budgets where a false refusal costs more than overspend.  `NARROW` gives them
+    smaller slices: for budgets where overspend costs more.  Neither changes what
+    the profile promises.
     """
 
     WIDE = "wide"
@@ -43,23 +45,23 @@
 
 
 class UpstreamState(StrEnum):
-    """What an operator wants of an upstream."""
+    """The state that an operator sets for an upstream."""
 
     SERVING = "serving"
     DRAINING = "draining"
 
 
 class UpstreamKind(StrEnum):
-    """What an upstream is."""
+    """The kind of an upstream: a model engine or a plain service."""
 
     MODEL = "model"
     SERVICE = "service"
 
 
 class Profile(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A named profile: whose it is, which service it promises, where it may run.
+    """A named profile: its customer, the promised service and the back ends.
 
-    `call_tokens` is what one call of a plain service costs.
+    `call_tokens` is the cost in tokens of one call of a plain service.
     """
 
     name: Name
@@ -76,9 +78,10 @@
 
 
 class Upstream(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One instance of a back end, and the address of the sidecar beside it.
+    """One instance of a back end, with the address of its sidecar.
 
-    `resumes` says that its engine can go on after tokens already produced.
+    `resumes` is set if the engine can continue an answer after the tokens that it
+    has already produced.
     """
 
     name: Name
@@ -92,14 +95,14 @@
 
 
 class Role(StrEnum):
-    """What a node of the fleet is."""
+    """The role of a process in the fleet."""
 
     ROUTER = "router"
     SIDECAR = "sidecar"
 
 
 class Node(msgspec.Struct, frozen=True, kw_only=True):
-    """A running router or sidecar, as it registers itself."""
+    """The registration of a running router or sidecar."""
 
     incarnation: str
     role: Role
--- a/src/ragwortkeel/configuration_exchange.py
+++ b/src/ragwortkeel/configuration_exchange.py
@@ -1,10 +1,10 @@
-"""How stores converge: decisions about messages between peers, without I/O.
+"""Anti-entropy between configuration stores: decisions about messages, without I/O.
 
-A change that is new to a node is pushed on to a few partners for a few rounds
-(it reaches all in about a second), and each round one partner is sent a digest.
-Stores that differ walk down their hash trees, two steps, and move only what
-differs; so an exchange repairs whatever lost pushes, cut links or a start with
-an empty store left out, and costs one small message where nothing is missing.
+A process pushes each change that is new to it to a few peers for a few rounds; a
+change reaches all processes in about a second.  In addition, it regularly sends a
+digest to one peer.  Stores that differ compare the two levels of their hash trees
+and transfer only the objects that differ.  This repairs lost pushes, partitions and
+starts with an empty store, and costs one small message where stores are equal.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -32,59 +32,79 @@
 )
 
 PUSH_BYTES = 64 * 1024
-"""One message; the receiver asks for the next, so it is never flooded."""
+"""Maximum size of the values in one push.
+
+The receiver requests the next push, so its queue stays short.
+"""
 
 PUSH_ROUNDS = 3
 PUSH_PEERS = 3
-"""With these a push reaches all but about one in 1,000 nodes; the digests of
-the same second reach the rest."""
+"""Rounds in which a change is pushed, and peers that each round reaches.
+
+Pushes miss about one process in 1,000; the digests of the same second reach it.
+"""
 
 MAX_PUSHED_BATCH_OBJECTS = 100
-"""Larger batches come from a list or a long cut: the digests carry those, or a
-node that starts empty would push the whole configuration to its partners."""
+"""Largest batch of new objects that is pushed.
+
+Larger batches come from a list or after a long partition and are left to the
+digests.  Otherwise a process that starts empty would push the full configuration to
+its peers.
+"""
 
 MAX_BRANCHES_COMPARED = 8
-"""Branches walked at once by one exchange; keeps the answers to a few pushes."""
+"""Branches of the hash tree that one exchange compares.
+
+The bound limits the answers to a few pushes.
+"""
 
 MIN_CONFIRMATION_GAIN_SECONDS = 3.0
-"""A digest is answered by one if the answer confirms content this much later."""
+"""Minimum gain in confirmation age for which a digest is answered with a digest."""
 
 MAX_MISSED_DIGESTS = 5
-"""Digests that a caller may miss before nothing is pushed to it any more."""
+"""Rounds without a digest from a peer after which nothing is pushed to it.
+
+This applies to peers that are not in `Exchange.exchange_peers`.
+"""
 
 UNKNOWN = -1
-"""Below any revision: not even an empty list was read."""
+"""Placeholder below any revision, for a kind that was never listed."""
 
 Ranks = dict[str, tuple[bool, int]]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Send:
-    """A message for a peer: a partner's address, or who sent what is answered."""
+    """A message for a peer.
+
+    `peer` is an address from `Exchange.exchange_peers` or the sender of the message
+    that this one answers.
+    """
 
     peer: str
     message: AnyMessage
 
 
 class Exchange:
-    """One node's part in the convergence of all stores.
+    """The exchange of one process's store with the stores of its peers.
 
     Parameters
     ----------
     store : ConfigurationStore
-        What is exchanged; nobody else writes to it.
+        The store to exchange.  Only the exchange writes to it.
     random : random.Random
-        Chooses partners and branches.
+        Chooses peers and branches.
     clock : callable
         Returns monotonic seconds.
 
     Attributes
     ----------
-    partners : sequence of str
-        Addresses of the peers to exchange with; set anew as members change.
+    exchange_peers : sequence of str
+        Addresses of the peers to exchange with.  The owner replaces it when
+        processes start or stop.
     complete_by_kind : dict
-        The platform's revision up to which the store has seen every change,
-        as far as lists and watches tell; `UNKNOWN` at first.
+        Revision of the platform up to which the store contains every change that
+        lists and watches report; initially `UNKNOWN`.
     """
 
     def __init__(
@@ -111,7 +131,7 @@
     def merge_objects(
         self, objects: Iterable[VersionedObject]
     ) -> list[VersionedObject]:
-        """Take in objects from any source; return and spread what was new."""
+        """Merge objects, schedule pushes of the new ones and return these."""
         fresh = self.store.merge(objects)
         self._fresh += fresh
         if len(fresh) <= MAX_PUSHED_BATCH_OBJECTS:
@@ -120,17 +140,17 @@
         return fresh
 
     def drain_fresh(self) -> list[VersionedObject]:
-        """Return what was new since the last call, for whoever acts on it."""
+        """Return the objects that were new since the last call."""
         fresh, self._fresh = self._fresh, []
         return fresh
 
     def record_complete(self, kind: str, revision: int, *, age: float = 0.0) -> None:
-        """Note that every change of a kind up to `revision` is in the store.
+        """Record that the store contains each change of a kind up to `revision`.
 
         Parameters
         ----------
         age : float
-            How many seconds ago the platform said so.
+            Seconds since the platform confirmed this.
         """
         held = self.complete_by_kind[kind]
         self.complete_by_kind[kind] = max(held, revision)
@@ -139,26 +159,26 @@
             self._confirmed_at_by_kind[kind] = confirmed_at
 
     def age(self, kind: str) -> float:
-        """Return how many seconds ago the platform confirmed the store's content.
+        """Return the seconds since the platform confirmed the store's content.
 
-        Peers pass it on, so it stays low as long as anyone that is connected,
-        however indirectly, hears the platform.
+        Peers forward confirmations, so it stays low while any process that is
+        connected, directly or through others, receives answers of the platform.
         """
         return self._clock() - self._confirmed_at_by_kind[kind]
 
     def next_pushes(self) -> list[Send]:
-        """Return the pushes of this round: what is fresh, to a few partners."""
+        """Return the pushes of this round: new objects for a few peers."""
         push = self._fresh_push()
         if push is None:
             return []
-        # Who chose this node as a partner is pushed to as well: some nodes are
-        # nobody's partner, and would learn only from their own digests.
+        # Peers that send digests here also receive pushes: some processes are
+        # among nobody's exchange peers and would depend on their own digests.
         peers = sorted({*self.exchange_peers, *self._last_round_by_sender})
         chosen = self._random.sample(peers, min(PUSH_PEERS, len(peers)))
         return [Send(peer=peer, message=push) for peer in chosen]
 
     def next_digest(self) -> list[Send]:
-        """Return what asks one partner for all that may be missing here."""
+        """Return the messages that request missing objects from one peer."""
         self._awaiting_answer.clear()
         self._round += 1
         self._last_round_by_sender = {
@@ -176,15 +196,16 @@
         return [Send(peer=peer, message=message) for message in messages]
 
     def record_revision(self, peer: str, revision: int) -> None:
-        """Note a peer's revision; the next digest goes to who is furthest ahead.
+        """Record a peer's revision if it is newer than the store's.
 
-        Not at once: most of what it has is on its way here as a push.
+        The next digest goes to the peer that is furthest ahead.  It is not sent
+        immediately, because most of the missing objects arrive as pushes.
         """
         if revision > self.store.revision:
             self._newer_revision_by_peer[peer] = revision
 
     def pull(self, kind: str, names: Iterable[str]) -> ConfigurationPull:
-        """Return the message that asks for what is newer of some objects."""
+        """Return a request for newer versions of the named objects."""
         ranks = {name: self.store.rank(kind, name) for name in names}
         known = {name: rank or Rank(False, -1) for name, rank in ranks.items()}
         return ConfigurationPull(kind=kind, ranks=_as_tuples(known))
@@ -198,7 +219,7 @@
         )
 
     def receive(self, peer: str, message: AnyMessage) -> list[Send]:
-        """Return the answers to a message; none where it asks for nothing."""
+        """Process a message and return the answers, if any."""
         answers: list[AnyMessage] = []
         match message:
             case ConfigurationDigest():
@@ -228,10 +249,10 @@
         return max(ahead, key=ahead.get, default=None)
 
     def _digest_unless_pending(self, peer: str) -> list[AnyMessage]:
-        """Return a digest, unless the peer still owes the answer to one.
+        """Return a digest, unless an answer of the peer to one is pending.
 
-        Each push asks for the next; without this bound several pushes at once
-        would start as many walks, each of which brings several pushes.
+        Each push leads to a request for the next.  Without this bound, several
+        pushes would start as many comparisons, each of which brings several pushes.
         """
         if peer in self._awaiting_answer:
             return []
@@ -262,14 +283,14 @@
                 hashes = self.store.branch_hashes(kind)
                 answers.append(ConfigurationBranches(kind=kind, hashes=hashes))
                 continue
-            # Equal content: what the peer knows to be whole is whole here.
+            # The contents are equal, so the peer's confirmation applies here too.
             revision = message.complete.get(kind, UNKNOWN)
             age = message.ages.get(kind, inf)
             self.record_complete(kind, revision, age=age)
             has_newer |= self.complete_by_kind[kind] > revision
             has_newer |= age - self.age(kind) > MIN_CONFIRMATION_GAIN_SECONDS
-        # A node that starts in an outage is registered nowhere, so nobody sends
-        # it digests: without an answer it would never know that it is complete.
+        # A process that starts during an outage of the platform cannot register,
+        # so no peer sends it digests.  Only this answer confirms its content.
         return [*answers, self.digest()] if has_newer else answers
 
     def _compare_branches(
@@ -345,7 +366,7 @@
         ]
 
     def _push(self, objects: list[VersionedObject], *, more: bool) -> list[AnyMessage]:
-        """Return one push, cut to size; the receiver's next digest brings more."""
+        """Return one push of limited size; `more` makes the receiver request more."""
         chosen = []
         size = 0
         for entry in objects:
@@ -364,7 +385,7 @@
 
 def _differing(own: Sequence[int], theirs: Sequence[int]) -> list[int]:
     pairs = enumerate(zip(own, theirs, strict=True))
-    return [index for index, (entry, other) in pairs if entry != other]
+    return [index for index, (hash_, other) in pairs if hash_ != other]
 
 
 def _as_tuples(ranks: dict[str, Rank]) -> Ranks:
--- a/src/ragwortkeel/configuration_schedule.py
+++ b/src/ragwortkeel/configuration_schedule.py
@@ -1,10 +1,11 @@
-"""When a node asks the platform, and which nodes do: decisions without I/O.
-
-The platform counts each call, a waiting watch as one, and its rates grow more
-slowly than the fleet.  So a few nodes in each zone watch; the others learn from
-them.  Digests carry how long ago the platform was heard, by anyone: where that
-grows old the watchers are dead or cut off, and others stand in for them.
-Watches are hints: what they skip is found by the lists of the watchers.
+"""When a process calls the platform for configuration: decisions without I/O.
+
+The platform limits the rate of calls, where a waiting watch counts as one call, and
+its limits grow more slowly than the fleet.  So only a few processes in each zone
+watch; the others receive changes from them.  Digests carry the seconds since the
+platform last confirmed the content to any process.  If that age grows too large, the
+watchers have failed or are partitioned, and other processes watch in their place.
+Watches are hints: the watchers' lists find the changes that watches skip.
 """
 
 from collections.abc import Iterable
@@ -15,51 +16,67 @@
 from ragwortkeel.configuration_exchange import UNKNOWN
 
 WATCHERS_PER_ZONE = 2
-"""One may die or be cut off at any moment; a third would only cost calls."""
+"""Two, so that one may fail or be partitioned; a third would only cost calls."""
 
 WATCH_SECONDS = 5.0
-"""How long one watch waits.  Its end confirms that nothing changed: with 25 zones,
-two watchers and four kinds these are 40 calls a second."""
+"""Duration of one watch.
+
+Its end confirms that nothing changed.  With 25 zones, two watchers each and four
+kinds, this makes 40 calls a second.
+"""
 
 STALE_RANGE_SECONDS = (10.0, 20.0)
-"""A node whose content nobody confirmed for this long watches itself.  Two watch
-ends and the seconds a digest takes to all fit in; each node draws its own bound,
-so that a few begin and their word keeps the others from it."""
+"""Range of the age of the content at which a process starts a fallback watch.
+
+Two watches and the seconds that a digest takes to reach all processes fit in.  Each
+process draws its own bound from the range, so that a few start first and their
+confirmations keep the others from it.
+"""
 
 SIDECAR_STALE_FACTOR = 4.0
-"""Sidecars have it from routers, some seconds later, and are ten times as many."""
+"""Factor on the stale bound of sidecars.
+
+Sidecars receive confirmations some seconds later than routers, and there are ten
+times as many of them.
+"""
 
 FALLBACK_WATCH_SECONDS = 60.0
-"""How long it then watches before it leaves it to the zone's watchers again."""
+"""Duration of fallback watching, before it is left to the zone's watchers again."""
 
 FIRST_BACKOFF_SECONDS = 10.0
 MAX_BACKOFF_SECONDS = 120.0
-"""After a failure a stand-in pauses, longer each time.  While the platform is
-down, 1,000 nodes that try this seldom make 33 calls a second, and when it is back
-the word of the first spreads before most try."""
+"""Range of the backoff after a fallback watch fails; it doubles each time.
+
+While the platform is down, 1,000 processes with this backoff make 33 calls a second.
+When it is available again, the first confirmation reaches most processes before
+their next attempt.
+"""
 
 LIST_BYTES_PER_SECOND = 2_000
-"""A sixth of what a node may spend on control."""
+"""Rate of lists of one kind: a sixth of a process's bandwidth for control."""
 
 MIN_LIST_SECONDS = 4.0
 MAX_LIST_SECONDS = 6 * 3_600.0
 
 PEER_WAIT_SECONDS = 5.0
-"""How long one that does not watch waits for its peers before it lists."""
+"""How long a process that is no watcher waits for its peers before it lists."""
 
 RETRY_SECONDS = 0.25
 MAX_RETRY_SECONDS = 5.0
-"""Ten nodes' calls at this pace do not hold down a platform that comes back."""
+"""Range of the backoff after a failed call.
+
+Calls of ten processes at this rate do not keep a recovering platform overloaded.
+"""
 
 MAX_WAIT_SECONDS = 1.0
-"""The longest rest: by then peers, roles or the clock may ask for a call."""
+"""Longest wait; after it, changed peers or roles may require a call."""
 
 
 def rendezvous(key: str, members: Iterable[str], count: int) -> list[str]:
-    """Return the `count` members that come first for `key`.
+    """Return the `count` members with the highest rendezvous hash for `key`.
 
-    All that know the same members agree, and one that leaves moves only what
-    was its own.
+    All processes that know the same members get the same result.  If a member
+    leaves, only the keys that it was chosen for change.
     """
 
     def weight(member: str) -> bytes:
@@ -69,19 +86,19 @@
 
 
 def list_seconds(value_bytes: int) -> float:
-    """Return the seconds between two lists of a kind of this size."""
+    """Return the seconds between two lists of a kind with values of this size."""
     seconds = value_bytes / LIST_BYTES_PER_SECOND
     return min(max(seconds, MIN_LIST_SECONDS), MAX_LIST_SECONDS)
 
 
 @dataclass(frozen=True, kw_only=True)
 class ListAll:
-    """List the kind now."""
+    """Decision to list the kind now."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Watch:
-    """Watch from `revision` for at most `seconds`; 0 only looks."""
+    """Decision to watch from `revision` for at most `seconds`; 0 does not wait."""
 
     revision: int
     seconds: float
@@ -89,7 +106,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Wait:
-    """Ask nothing for `seconds`."""
+    """Decision to make no call for `seconds`."""
 
     seconds: float
 
@@ -98,16 +115,16 @@
 
 
 class FollowSchedule:
-    """The next call to the platform for one kind.
+    """Schedule of the calls to the platform for one kind.
 
     Parameters
     ----------
     now : float
         Monotonic seconds.
     random : random.Random
-        Spreads the calls of many nodes.
+        Spreads the calls of many processes over time.
     patience : float
-        By how much longer than a router this node bears stale content.
+        Factor on the age at which a router starts a fallback watch.
     """
 
     def __init__(
@@ -134,18 +151,19 @@
         peers_reachable: bool,
         age: float,
     ) -> Action:
-        """Return what to do.
+        """Return the next action.
 
         Parameters
         ----------
         watching : bool
-            Whether this node is one of its zone's watchers.
+            Whether this process is one of its zone's watchers.
         complete : int
             Revision up to which the store is complete, or `UNKNOWN`.
         peers_reachable : bool
-            Whether peers answer, from whom to learn instead.
+            Whether peers are reachable and can send the content instead.
         age : float
-            Seconds since the platform confirmed the content, here or to a peer.
+            Seconds since the platform confirmed the content, to this process or a
+            peer.
         """
         if now < self._retry_at:
             return _wait(self._retry_at - now)
@@ -170,35 +188,35 @@
         return Watch(revision=complete, seconds=seconds)
 
     def record_list(self, *, now: float, value_bytes: int) -> None:
-        """Note a list that was read whole."""
+        """Record a complete list."""
         self._record_success()
         self._incomplete_to = UNKNOWN - 1
         self._list_at = now + list_seconds(value_bytes) * self._jitter()
 
     def record_watch(self, *, now: float, gap: bool, complete: int) -> None:
-        """Note the end of a watch."""
+        """Record the end of a watch."""
         self._record_success()
         if gap:
-            # What the platform forgot to tell is in no later watch either:
-            # only a list, or a peer that is complete beyond it, makes it good.
+            # Changes that the platform left out are in no later watch either:
+            # only a list, or a peer that is complete beyond them, provides them.
             self._incomplete_to = complete
             self._wait_for_peers_until = now + PEER_WAIT_SECONDS * self._jitter()
 
     def record_failure(self, *, now: float) -> None:
-        """Note a call that failed; the next waits longer, up to a bound."""
+        """Record a failed call, which increases the backoff up to a bound."""
         seconds = min(RETRY_SECONDS * 2**self._failures, MAX_RETRY_SECONDS)
         self._failures = min(self._failures + 1, 10)
         self._retry_at = now + seconds * self._jitter()
-        # Who stands in stops at the first failure and pauses longer each time:
-        # in an outage everybody's content is stale, and all would go on trying.
+        # A fallback watch ends at the first failure, with a growing backoff:
+        # during an outage all processes are stale, and all would keep calling.
         if now < self._fallback_until:
             self._fallback_until = now
             self._fallback_from = now + self._backoff_seconds * self._jitter()
             self._backoff_seconds = min(self._backoff_seconds * 2, MAX_BACKOFF_SECONDS)
 
     def _start_fallback_if_stale(self, now: float, age: float) -> None:
-        # The zone's watchers are dead, or they or their peers are cut off;
-        # without this a change would come here late or not at all.
+        # The zone's watchers have failed, or they or their peers are partitioned;
+        # without a fallback, changes would arrive here late or never.
         if age >= self._stale_seconds and now >= self._fallback_from:
             self._fallback_until = now + FALLBACK_WATCH_SECONDS
             self._stale_seconds = self._draw_stale_seconds()
--- a/src/ragwortkeel/configuration_store.py
+++ b/src/ragwortkeel/configuration_store.py
@@ -1,13 +1,13 @@
-"""What a node knows of the configuration: the newest of each object, for good.
+"""The configuration store of a process: the newest known state of each object.
 
-Objects are ordered by `rank`: gone before live, then by version.  A store only
-ever replaces an object by one of higher rank, whatever order, delay or
-repetition brings it, so it never reverts and any two stores that have seen the
-same objects hold the same.  Beside the objects stands a tree of hashes, by
-which two stores find what differs without sending what is equal.
+States of an object are ordered by `Rank`: a deleted or retired one is above a live
+one, then the higher version is above the lower.  A store replaces an object only by
+a state of higher rank, in whatever order and however often states arrive.  So it
+never reverts, and two stores that received the same states have equal content.  A
+hash tree lets two stores find the differences without sending what is equal.
 
-Values stay as the platform's bytes; 250,000 profiles must fit beside the rest
-of a node, and most are never looked at.
+Values are stored as the platform's bytes and decoded only on use: 250,000 profiles
+have to fit into the memory of a process, and most are never used there.
 """
 
 from collections.abc import Iterable, Iterator
@@ -27,18 +27,21 @@
 from ragwortkeel.platform import Stored
 
 KINDS = (PROFILES, UPSTREAMS, NODES, SEALS)
-"""The kinds that every router holds whole."""
+"""The kinds of which every router stores all objects."""
 
 RETIRABLE = frozenset({PROFILES, UPSTREAMS})
-"""Kinds that operators retire; others are deleted when their use ends."""
+"""Kinds whose objects operators retire; objects of other kinds are deleted."""
 
 BRANCHES = 64
 LEAVES_PER_BRANCH = 64
 LEAVES = BRANCHES * LEAVES_PER_BRANCH
-"""At 250,000 objects a leaf holds about 60, some 1.5 KB of names to compare."""
+"""Leaves of a hash tree.
+
+With 250,000 objects, a leaf has about 60, so comparing it takes about 1.5 KB.
+"""
 
 MAX_VERSION = 2**63
-"""Versions are kept in eight bytes; a larger one is no platform's."""
+"""Upper bound of versions; stored versions have eight bytes."""
 
 _HEAD = Struct(">?Q")
 
@@ -51,10 +54,11 @@
 
 
 class Rank(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """What decides between two states of one object; the higher one holds.
+    """The order of the states of one object; the highest is in force.
 
-    A gone object outranks a live one of any version: a retirement cannot be
-    undone by a change that crossed it, nor by an old copy from a cut-off peer.
+    `gone` marks a deleted or retired object.  It outranks a live state of any
+    version, so that neither a concurrent change nor an old copy from a partitioned
+    peer can undo a retirement.
     """
 
     gone: bool
@@ -62,36 +66,39 @@
 
 
 def rank_of(entry: VersionedObject) -> Rank:
-    """Return the rank of an object as it travels."""
+    """Return the rank of an object."""
     return Rank(entry.gone or _is_retired(entry.kind, entry.value), entry.version)
 
 
 def versioned_object(stored: Stored) -> VersionedObject:
-    """Return the travelling form of what the platform showed."""
+    """Return the message form of an object of the platform."""
     return VersionedObject(
         kind=stored.kind, name=stored.name, version=stored.version, value=stored.value
     )
 
 
 def tombstone(kind: str, name: str, version: int) -> VersionedObject:
-    """Return the travelling form of a deletion."""
+    """Return the message form of a deletion."""
     return VersionedObject(kind=kind, name=name, version=version, value=b"", gone=True)
 
 
 class InForce(msgspec.Struct, frozen=True, kw_only=True):
-    """What a node has in force; `version` is None for what it does not hold."""
+    """The state of an object in force at a process.
+
+    `version` is None if the process does not store the object.
+    """
 
     revision: int
     version: int | None = None
 
 
 def leaf_of(name: str) -> int:
-    """Return the leaf of the hash tree that a name belongs to; the same anywhere."""
+    """Return the leaf of a name in the hash tree; equal in all processes."""
     return crc32(name.encode()) % LEAVES
 
 
 class _Tree:
-    """The objects of one kind by leaf, and the hashes over them."""
+    """The objects of one kind by leaf, with the hashes over them."""
 
     def __init__(self) -> None:
         self.packed_by_name_by_leaf: dict[int, dict[str, bytes]] = {}
@@ -125,20 +132,20 @@
 
 
 class ConfigurationStore:
-    """The newest known state of each object of the kinds it holds.
+    """The newest known state of each object of some kinds.
 
     Parameters
     ----------
     kinds : tuple of str
-        Kinds to hold; objects of others are ignored.
+        Kinds to store; objects of other kinds are ignored.
     only : dict, optional
-        For a kind held in part, the names to hold: a sidecar needs no other
-        upstream than its own.
+        For a kind that is stored partially, the names to store: a sidecar needs
+        only its own upstream.
 
     Attributes
     ----------
     revision : int
-        The highest version in force here; travels with every message.
+        The highest version in force here, sent with each message.
     """
 
     def __init__(
@@ -154,15 +161,15 @@
         self._tree_by_kind = {kind: _Tree() for kind in kinds}
 
     def merge(self, objects: Iterable[VersionedObject]) -> list[VersionedObject]:
-        """Take in what is newer than what is held; return just that.
+        """Merge the objects of higher rank than the stored ones and return them.
 
-        Older, equal and repeated states change nothing, so late, gapped and
+        Older, equal and repeated states change nothing, so late, incomplete or
         reordered input cannot revert an object.
         """
         return [entry for entry in objects if self._merge_object(entry)]
 
     def get(self, kind: str, name: str) -> VersionedObject | None:
-        """Return the newest known state of an object, gone ones included."""
+        """Return the newest known state of an object, also of a deleted one."""
         packed = self._tree_by_kind[kind].get(name)
         return None if packed is None else _unpack(kind, name, packed)
 
@@ -178,7 +185,7 @@
         return None if packed is None else Rank(*_HEAD.unpack_from(packed))
 
     def objects(self, kind: str) -> Iterator[VersionedObject]:
-        """Yield all objects of a kind, gone ones included, in no order."""
+        """Yield all objects of a kind, also deleted ones, in undefined order."""
         for leaf in list(self._tree_by_kind[kind].packed_by_name_by_leaf):
             yield from self.leaf(kind, leaf)
 
@@ -193,7 +200,7 @@
         return {name: Rank(*_HEAD.unpack_from(entry)) for name, entry in names.items()}
 
     def root(self, kind: str) -> int:
-        """Return the hash over all objects of a kind; equal stores, equal hash."""
+        """Return the hash over all objects of a kind; equal in equal stores."""
         return self._tree_by_kind[kind].root
 
     def branch_hashes(self, kind: str) -> tuple[int, ...]:
@@ -207,11 +214,11 @@
         return tuple(hashes[start : start + LEAVES_PER_BRANCH])
 
     def size(self, kind: str) -> int:
-        """Return how many objects of a kind are known."""
+        """Return the number of objects of a kind, including deleted ones."""
         return self._tree_by_kind[kind].size
 
     def value_bytes(self, kind: str) -> int:
-        """Return about how many bytes a list of a kind would bring."""
+        """Return the approximate size of a list of a kind in bytes."""
         return self._tree_by_kind[kind].value_bytes
 
     def _merge_object(self, entry: VersionedObject) -> bool:
@@ -222,8 +229,8 @@
             return False
         held = tree.get(entry.name)
         rank = rank_of(entry)
-        # The guard against reverting: a late watch, an old copy from a peer or
-        # a repeated push would bring back a state that was replaced.
+        # Guards against reverting: a late watch, an old copy from a peer or a
+        # repeated push may contain a state that was replaced.
         if held is not None and rank <= Rank(*_HEAD.unpack_from(held)):
             return False
         tree.put(entry.name, _HEAD.pack(rank.gone, rank.version) + entry.value)
@@ -237,8 +244,8 @@
     try:
         return _retirement_decoder.decode(value).retired
     except msgspec.DecodeError:
-        # A value nobody can read is kept, so that its version is known; who
-        # looks it up finds it unreadable.
+        # An undecodable value is stored, so that its version is known; decoding
+        # fails where it is used.
         return False
 
 
@@ -251,6 +258,6 @@
 
 
 def _hash(name: str, packed: bytes) -> int:
-    # Rank and name settle the value, so it need not be hashed as well.
+    # Rank and name determine the value, so it need not be hashed.
     digest = blake2b(packed[: _HEAD.size] + name.encode(), digest_size=8)
     return int.from_bytes(digest.digest(), "big")
--- a/src/ragwortkeel/gossip.py
+++ b/src/ragwortkeel/gossip.py
@@ -1,9 +1,9 @@
-"""The tasks that keep a node's configuration converging.
+"""The tasks that make the configuration of a process converge.
 
-One task owns the store and its exchange; it alone writes to them.  A task for
-each kind asks the platform as its schedule says and hands over what it read; a
-ticker gives the rounds.  All of them talk to the owner through its inbox, and
-so does whoever holds the links.
+One task owns the store and its exchange and is their only writer.  A task for each
+kind calls the platform according to its schedule and submits the results; two timers
+start the rounds of pushes and of digests.  All of them, and the owner of the links,
+send events to the first task through its inbox.
 """
 
 from collections.abc import Awaitable, Callable
@@ -36,20 +36,30 @@
 from ragwortkeel.platform import Changes, Listing, Platform
 
 PUSH_INTERVAL_SECONDS = 0.2
-"""Five or six rounds reach a zone of 40: well inside 3 s with a lost message."""
+"""Interval between rounds of pushes.
+
+Five or six rounds reach a zone of 40 processes: well within 3 s, also if a message is
+lost.
+"""
 
 DIGEST_INTERVAL_SECONDS = 1.0
-"""One digest a second costs some 200 bytes and repairs what pushes missed."""
+"""Interval between digests of about 200 bytes, which repair missed pushes."""
 
 PEER_SILENCE_SECONDS = 10.0
-"""Ten lost digests: then the platform is asked as if there were no peers."""
+"""Silence of all peers after which they count as unreachable.
+
+The time of ten digests; then the platform is called as if there were no peers.
+"""
 
 OBJECT_READ_INTERVAL_SECONDS = 60.0
-"""How often a sidecar reads its upstream's object beside asking the routers: 10,000
-of them make 167 reads a second."""
+"""Mean interval between a sidecar's reads of its upstream's object.
+
+The reads are in addition to the exchange with routers; 10,000 sidecars make 167
+reads a second.
+"""
 
 MIN_REFRESH_INTERVAL_SECONDS = 0.1
-"""Ten looks a second for unknown names, of all the callers of a node."""
+"""Minimum interval between refreshes for unknown names, over all callers."""
 
 Transport = Callable[[str, AnyMessage], Awaitable[None]]
 Listener = Callable[[list[VersionedObject]], Awaitable[None]]
@@ -57,7 +67,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FromPeer:
-    """A message from a peer; `peer` is what the transport answers to."""
+    """A message from a peer; the transport sends answers to `peer`."""
 
     peer: str
     revision: int
@@ -66,14 +76,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class _Submitted:
-    """What a task hands to the owner; `applied` is set once the store has it."""
+    """An event for the owner; `applied` is set when the store contains it."""
 
     applied: curio.Event = field(default_factory=curio.Event)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Listed(_Submitted):
-    """A kind as the platform listed it."""
+    """A list of a kind from the platform."""
 
     kind: str
     listing: Listing
@@ -81,7 +91,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Watched(_Submitted):
-    """What a watch of a kind brought."""
+    """The result of a watch of a kind."""
 
     kind: str
     changes: Changes
@@ -89,7 +99,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ExchangePeers:
-    """Who there is: partners to exchange with, and the zone's routers."""
+    """The peers to exchange with and the routers of the zone."""
 
     addresses: tuple[str, ...]
     zone_members: tuple[str, ...]
@@ -97,40 +107,40 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MergeObjects(_Submitted):
-    """Objects from elsewhere, such as a refusal by a sidecar that had newer."""
+    """Objects from other sources, such as the refusal of a sidecar."""
 
     objects: tuple[VersionedObject, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class _PushDue:
-    """Time for a round of pushes."""
+    """Event that starts a round of pushes."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class _DigestDue:
-    """Time for a digest."""
+    """Event that starts a digest."""
 
 
 class Gossip:
-    """Keeps a store converging with the platform and the peers.
+    """Synchronization of a store with the platform and the peers.
 
     Parameters
     ----------
     name, zone : str
-        This node as the zone's members are named; a few of them watch.
+        Name of this process among the zone's members, and the zone.
     follows : bool
-        Whether this node may be a watcher; a sidecar never is.
+        Whether this process may be a watcher; False for sidecars.
     send : callable
-        ``await send(peer, message)``; may raise `LinkLost`, which is ignored:
-        a later round says it again.
+        ``await send(peer, message)``; may raise `LinkLost`, which is ignored,
+        because a later round sends the content again.
     listener : callable, optional
-        Awaited with each batch of objects that were new.
+        Awaited with each batch of new objects.
 
     Attributes
     ----------
     inbox : curio.Queue
-        Takes `FromPeer`, `ExchangePeers` and `MergeObjects`.
+        Receives `FromPeer`, `ExchangePeers` and `MergeObjects` events.
     """
 
     def __init__(
@@ -163,26 +173,27 @@
 
     @property
     def watching(self) -> bool:
-        """Whether this node is one of its zone's watchers."""
+        """Whether this process is one of its zone's watchers."""
         chosen = rendezvous(self._zone, self._zone_members, WATCHERS_PER_ZONE)
         return self._follows and self._name in chosen
 
     @property
     def peers_reachable(self) -> bool:
-        """Whether any peer was heard lately."""
+        """Whether a message from a peer arrived within `PEER_SILENCE_SECONDS`."""
         return self._clock() - self._last_received_at < PEER_SILENCE_SECONDS
 
     def complete(self) -> bool:
-        """Return whether each kind held whole was complete once."""
+        """Return whether each kind that is stored in full was complete once."""
         complete = self.exchange.complete_by_kind
         return all(complete[kind] >= 0 for kind in self._store.full_kinds)
 
     async def refresh(self, kind: str, name: str) -> bool:
-        """Look for something newer of one object; return whether it was asked for.
+        """Request the newest state of an object; return whether it was requested.
 
-        For a request that names what is not known here yet.  The platform is
-        asked, and the partners where it does not answer; not more often than
-        `MIN_REFRESH_INTERVAL_SECONDS` allows, so that bad names cannot use up its rate.
+        Used for a request that names an object unknown here.  The object is read
+        from the platform, or requested from peers if that fails.  A call within
+        `MIN_REFRESH_INTERVAL_SECONDS` of the last refresh does nothing, so that
+        wrong names cannot use up the platform's rate.
         """
         now = self._clock()
         if now - self._refreshed_at < MIN_REFRESH_INTERVAL_SECONDS:
@@ -245,8 +256,8 @@
     def _from_list(self, kind: str, listing: Listing) -> list[VersionedObject]:
         objects = [versioned_object(stored) for stored in listing.by_name.values()]
         if kind in RETIRABLE:
-            # What operators made ends by retirement only: a list that lacks it
-            # is a platform in trouble, and must not take it out of force.
+            # Objects of operators are only ever retired.  A list without one
+            # is a fault of the platform and must not remove the object.
             return objects
         return objects + [
             tombstone(kind, entry.name, entry.version)
@@ -310,7 +321,7 @@
         await event.applied.wait()
 
     async def _follow_object(self, kind: str, name: str) -> None:
-        """Look for one object where the peers do not bring it."""
+        """Fetch one object regularly, in case the peers do not send it."""
         while True:
             await self._fetch(kind, name)
             seconds = (
--- a/src/ragwortkeel/http_client.py
+++ b/src/ragwortkeel/http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client: tells a request surely not sent from one that may have been."""
+"""The HTTP client, whose errors show whether a request may have been sent."""
 
 import socket as _socket
 from collections import deque
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Response:
-    """One whole response as a client sees it."""
+    """A complete response, as received by a client."""
 
     status: int
     headers: dict[str, str]
@@ -25,7 +25,10 @@
 
 
 class BodyPieces:
-    """Iterates a body; no generator, so a reader may stop early at no cost."""
+    """Iterator over the chunks of a body.
+
+    It is no generator, so a reader may stop early without closing it.
+    """
 
     def __init__(self, *, sock, conn: h11.Connection) -> None:
         self._sock = sock
@@ -41,15 +44,15 @@
             case h11.EndOfMessage():
                 raise StopAsyncIteration
             case _:
-                raise ExchangeBroken("the answer broke off")
+                raise ExchangeBroken("response body ended early")
 
 
 @dataclass(kw_only=True)
 class StreamedResponse:
-    """A response whose body is read piece by piece.
+    """A response whose body is read in chunks.
 
-    Iterating ends only at the peer's end marker; a body that breaks off raises
-    `ExchangeBroken`, so a truncated answer is never taken for a whole one.
+    Iteration ends only at the peer's end marker.  A body that ends early raises
+    `ExchangeBroken`, so a truncated response never looks complete.
     """
 
     status: int
@@ -58,20 +61,20 @@
     _conn: h11.Connection = field(repr=False)
 
     def chunks(self) -> BodyPieces:
-        """Return an iterator over the body as it comes."""
+        """Return an iterator over the chunks of the body as they arrive."""
         return BodyPieces(sock=self._sock, conn=self._conn)
 
 
 class HttpClient:
-    """A client of one server, with a small pool of kept connections.
+    """A client of one server, with a small pool of idle connections.
 
-    Errors are `ConnectFailed`, where the request certainly was not sent, and
-    `ExchangeBroken`, where it may have been.
+    Raises `ConnectFailed` if the request was certainly not sent, and
+    `ExchangeBroken` if it may have been sent.
 
     Parameters
     ----------
     host
-        An IP number: a name would have to be resolved, which blocks.
+        An IP address.  Host names are not supported: resolving them blocks.
 
     .. versionadded:: 0.1
     """
@@ -93,12 +96,12 @@
         headers: dict[str, str] | None = None,
         timeout: float,
     ) -> Response:
-        """Send a request and return its whole response.
+        """Send a request and return its complete response.
 
         Raises
         ------
         ConnectFailed, ExchangeBroken
-            A timeout counts as `ExchangeBroken`.
+            A timeout raises `ExchangeBroken`.
         """
         try:
             async with curio.timeout_after(timeout):
@@ -106,7 +109,7 @@
                 async with stream as rv:
                     chunks = [chunk async for chunk in rv.chunks()]
         except curio.TaskTimeout as exc:
-            raise ExchangeBroken(f"no answer within {timeout} s") from exc
+            raise ExchangeBroken(f"no response within {timeout} s") from exc
         return Response(status=rv.status, headers=rv.headers, body=b"".join(chunks))
 
     @asynccontextmanager
@@ -118,7 +121,7 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ):
-        """Send a request; yield its `StreamedResponse` once the head is there."""
+        """Send a request; yield its `StreamedResponse` when the head is received."""
         sock = await self._take_idle() or await self._connect()
         conn = h11.Connection(h11.CLIENT)
         reusable = False
@@ -133,12 +136,12 @@
                 await sock.close()
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         while self._idle:
             await self._idle.pop().close()
 
     async def _connect(self):
-        # curio.open_connection would resolve the host in a thread, each time.
+        # curio.open_connection would resolve the host in a thread for each call.
         family = _socket.AF_INET6 if ":" in self.host else _socket.AF_INET
         sock = curio.socket.socket(family, _socket.SOCK_STREAM)
         connected = False
@@ -157,8 +160,8 @@
     async def _take_idle(self):
         while self._idle:
             sock = self._idle.pop()
-            # A kept connection the server has closed meanwhile reads as ended;
-            # sending on it would turn a sure failure into an unknown one.
+            # An idle connection that the server has closed reads as ended.  A
+            # failure to send on it would not show whether the request was sent.
             try:
                 sock._socket.recv(1, _socket.MSG_PEEK | _socket.MSG_DONTWAIT)
             except BlockingIOError:
@@ -187,7 +190,7 @@
         while isinstance(event, h11.InformationalResponse):
             event = await next_event(sock, conn)
         if not isinstance(event, h11.Response):
-            raise ExchangeBroken("the server closed without an answer")
+            raise ExchangeBroken("server closed the connection without a response")
         headers = join_headers(event.headers)
         return StreamedResponse(
             status=event.status_code, headers=headers, _sock=sock, _conn=conn
--- a/src/ragwortkeel/http_events.py
+++ b/src/ragwortkeel/http_events.py
@@ -1,4 +1,4 @@
-"""Reading h11 events from a curio socket, on either side."""
+"""Reading of h11 events from a curio socket, for client and server."""
 
 import h11
 
@@ -8,14 +8,14 @@
 
 
 async def next_event(sock, conn: h11.Connection):
-    """Return the next h11 event, reading as needed.
+    """Return the next h11 event, reading from the socket as needed.
 
     Raises
     ------
     BadRequest
-        On the server's side, where the peer does not speak HTTP.
+        On the server, if the peer violates the HTTP protocol.
     ExchangeBroken
-        On the client's side likewise, and where the connection fails.
+        On the client for the same reason, and if reading from the connection fails.
     """
     while True:
         try:
@@ -42,7 +42,7 @@
 
 
 def join_headers(headers) -> dict[str, str]:
-    """Return headers by name; a repeated one is joined, never chosen from."""
+    """Return headers by name; values of a repeated header are joined by commas."""
     by_name: dict[str, str] = {}
     for raw_name, raw_value in headers:
         name, value = raw_name.decode("latin-1"), raw_value.decode("latin-1")
--- a/src/ragwortkeel/http_responder.py
+++ b/src/ragwortkeel/http_responder.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange as a handler sees it: the request, and a way to answer."""
+"""The request and the responder that an HTTP handler receives."""
 
 import socket as _socket
 from contextlib import suppress
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Request:
-    """One whole request as a handler sees it.
+    """A complete request.
 
     Attributes
     ----------
     headers : dict of str to str
-        By name in lower case; a repeated one is joined.
+        Values by lower-case name; values of a repeated header are joined.
     target : str
-        Path and query as they came.
+        Path and query as received.
     fields : tuple of pairs of str
-        The headers as they came, in order.
+        The headers as received, in order.
     arrived_at : float
-        Monotonic second at which its head was there.
+        Monotonic seconds at which its head was received.
     """
 
     method: str
@@ -37,18 +37,18 @@
 
 
 class Responder:
-    """What a handler answers through; it owns the connection meanwhile.
+    """Sends the response of a handler, and owns the connection until then.
 
     Attributes
     ----------
-    gone : curio.Event
-        Set once the peer has closed its side: nobody waits for the answer.
+    disconnected : curio.Event
+        Set when the peer has closed its side and no longer waits for the response.
     started : bool
-        Whether the head of the answer was sent.
+        Whether sending the head of the response began.
     bodiless : bool
-        Whether the request was a HEAD, whose answer has no body.
+        Whether the request is a HEAD request, whose response has no body.
     closing : bool
-        Whether the answer tells the peer that no other request may follow.
+        Whether the response asks the peer to close the connection.
     """
 
     def __init__(self, *, sock, conn: h11.Connection) -> None:
@@ -60,10 +60,10 @@
         self.closing = False
 
     def peer_disconnected(self) -> bool:
-        """Whether the peer has closed its side, read or not yet read here.
+        """Return whether the peer has closed its side, checking the socket.
 
-        The task that watches the peer runs only when the loop comes to it: a process
-        that is late with its sockets would work on for a peer that is gone.
+        A busy process may be late in running the task that detects a disconnect;
+        without this check it would continue to work for a disconnected peer.
         """
         if self.disconnected.is_set():
             return True
@@ -81,7 +81,7 @@
         body: bytes,
         headers: dict[str, str] | list[tuple[str, str]] | None = None,
     ) -> None:
-        """Send a whole response; a list of headers may name one several times."""
+        """Send a complete response; a list of headers may repeat a name."""
         fields: dict[str, str] | list[tuple[str, str]]
         if isinstance(headers, list):
             fields = [("content-length", str(len(body))), *headers]
@@ -93,34 +93,34 @@
         await self._write(*events, h11.EndOfMessage())
 
     async def start(self, status: int, headers: dict[str, str]) -> None:
-        """Send status and headers; without a length the body is chunked."""
+        """Send status and headers; without content-length the body is chunked."""
         await self._write(self._head(status, headers))
 
     async def start_with(
         self, status: int, headers: list[tuple[str, str]], data: bytes
     ) -> None:
-        """Send status, headers and the first piece of the body in one write."""
+        """Send status, headers and the first chunk of the body in one write."""
         events = [self._head(status, headers)]
         if data and not self.bodiless:
             events.append(h11.Data(data=data))
         await self._write(*events)
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the body; nothing in answer to a HEAD request."""
+        """Send a chunk of the body, or nothing for a HEAD request."""
         if data and not self.bodiless:
             await self._write(h11.Data(data=data))
 
     async def finish(self) -> None:
-        """Mark the end of the body, which tells the peer it has it whole."""
+        """Send the end marker, by which the peer sees that the body is complete."""
         await self._write(h11.EndOfMessage())
 
     async def abort(self) -> None:
-        """Close without the end marker, so that the peer sees a broken body."""
+        """Close without the end marker, so that the peer sees a truncated body."""
         self._conn.send_failed()
-        # Closing here would free the descriptor while the task that watches the
-        # peer waits on it: the next connection gets the same number, and curio
-        # wakes the wrong task or none.  Shut down, the watcher ends by itself and
-        # the connection's own task closes.
+        # Closing the socket would free its descriptor while the task that detects
+        # disconnects waits on it: the next connection gets the same number, and
+        # curio wakes the wrong task or none.  After a shutdown that task ends by
+        # itself, and the connection's own task closes the socket.
         with suppress(OSError):
             await self._sock.shutdown(_socket.SHUT_RDWR)
 
--- a/src/ragwortkeel/http_server.py
+++ b/src/ragwortkeel/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: whole requests in, answers out, peers held to bounds."""
+"""The HTTP server: buffers requests, limits peers and calls a handler."""
 
 import socket as _socket
 from collections.abc import Awaitable, Callable
@@ -15,23 +15,23 @@
 from ragwortkeel.logs import log_error, log_warning
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""A season's dossier fits with room to spare; more is refused with 413."""
+"""Larger bodies are refused with 413; the largest usual documents are smaller."""
 
 REQUEST_READ_SECONDS = 20.0
-"""A request that is not whole by then is refused with 408."""
+"""A request whose body is incomplete after this time is refused with 408."""
 
 KEEP_ALIVE_SECONDS = 60.0
 LISTEN_BACKLOG = 1024
 MAX_PIPELINED_BYTES = 64 * 1024
-"""Bytes of later requests read while one runs; the rest waits in the socket."""
+"""Bytes of pipelined requests read while one runs; more stay in the socket."""
 
 LINGER_SECONDS = 2.0
-"""How long a refused peer may go on sending before its connection is closed."""
+"""How long a refused peer may continue to send before the connection closes."""
 
 ACCEPT_RETRY_SECONDS = 0.1
 STOP_POLL_SECONDS = 0.02
 FIRST_REQUEST_SECONDS = 1.0
-"""How long a stop waits for requests on connections just accepted."""
+"""How long a planned stop waits for the first request on new connections."""
 
 PROBLEM_TYPE = "application/problem+json"
 
@@ -40,29 +40,30 @@
 
 
 class HttpServer:
-    """A server whose accepting and whose open exchanges end separately.
+    """A server that can stop accepting while open exchanges continue.
 
     Parameters
     ----------
     host, port
-        Where to listen; port 0 takes a free one, found in `port` after `open`.
+        Address to listen on.  Port 0 selects a free port, which is in `port` after
+        `open`.
     handler
-        Called once a request is whole; may answer in pieces.
+        Called when a request is complete; may send its response in chunks.
     max_body_bytes
         Larger bodies are refused with 413 and never reach the handler.
     read_seconds
-        How long the body of a request may take, in seconds.
+        Maximum time for receiving the body of a request, in seconds.
     keep_alive_seconds
-        How long a connection may wait for the head of the next request.
+        Maximum time for receiving the head of the next request, in seconds.
     cancels_disconnected
-        Whether the handler is cancelled once its caller has closed.
+        Whether the handler is cancelled when its caller has closed the connection.
 
     Attributes
     ----------
     keep_alive_seconds, max_body_bytes
-        As given; may change while the server runs.
+        The parameters; may be changed while the server runs.
     open_exchanges : int
-        Requests begun and not yet answered.
+        Number of requests whose exchange has started and not ended.
 
     Examples
     --------
@@ -107,10 +108,10 @@
         self.port = self._listener.getsockname()[1]
 
     async def serve(self) -> None:
-        """Serve until cancelled, which ends the exchanges that are still open.
+        """Serve until cancelled; cancelling ends the open exchanges.
 
-        A planned stop first calls `stop_accepting`, then waits until there are
-        no `open_exchanges`.
+        A planned stop first calls `stop_accepting`, then waits until
+        `open_exchanges` is 0.
         """
         async with self._connections:
             self._acceptor = await curio.spawn(self._accept)
@@ -120,18 +121,18 @@
                 await self._close_listener()
 
     def begin_closing(self) -> None:
-        """Tell each peer with its next answer that no other request may follow.
+        """Ask each peer to close its connection with the next response.
 
-        New connections are still taken: a balancer that looks once a second goes
-        on sending them for a while, and a closed port would break them off.
+        New connections are still accepted: a balancer that checks once a second
+        continues to open them for a while, and a closed port would refuse them.
         """
         self._stopping = True
 
     async def stop_accepting(self) -> None:
-        """Refuse new connections; open exchanges go on.
+        """Refuse new connections; open exchanges continue.
 
-        On return the requests of all connections accepted before have begun, or
-        their peers have let `FIRST_REQUEST_SECONDS` pass.
+        On return, the first requests on all connections accepted before have
+        started, or `FIRST_REQUEST_SECONDS` have passed.
         """
         self._stopping = True
         await self._close_listener()
@@ -141,10 +142,10 @@
             waited += STOP_POLL_SECONDS
 
     async def close_idle(self) -> None:
-        """Close the connections on which no request has begun.
+        """Close the connections on which no request has started.
 
-        A peer would send its next one just before the end of a planned stop, too
-        late to be served whole.
+        Otherwise a peer might send a request just before the end of a planned
+        stop, too late to complete.
         """
         for sock, conn in list(self._idle_by_socket.items()):
             if not conn.trailing_data[0]:
@@ -152,8 +153,8 @@
                     await sock.shutdown(_socket.SHUT_RDWR)
 
     async def _close_listener(self) -> None:
-        # The accepting task has to be out of its wait before the listener is
-        # closed; closed under it, it would wait for ever on a freed descriptor.
+        # The accepting task has to end before the listener is closed; otherwise
+        # it would wait forever on a freed descriptor.
         if self._acceptor is not None:
             await self._acceptor.cancel()
         if self._listener is not None:
@@ -166,17 +167,17 @@
             try:
                 sock, _ = await self._listener.accept()
             except OSError as exc:
-                # Out of descriptors, or a peer gone before it was accepted: one
-                # such error must not end the accepting for good.
+                # The process is out of descriptors, or the peer disconnected
+                # early.  Such an error must not stop the server from accepting.
                 log_warning("accept_failed", error=str(exc))
                 await curio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
             await self._start_connection(sock)
 
     async def _accept_pending(self) -> None:
-        """Accept what the system has already accepted for this process."""
-        # Closing the listener resets the connections in its backlog, requests
-        # sent on them included: their callers would not know whether they ran.
+        """Accept the connections in the backlog of the listener."""
+        # Closing the listener resets the connections in its backlog.  Callers that
+        # sent requests on them would not know whether these ran.
         with suppress(OSError):
             while True:
                 sock, _ = self._listener._socket.accept()
@@ -235,15 +236,15 @@
         except (OSError, ExchangeBroken):
             raise
         except Exception as exc:
-            # A fault in a handler must reach its caller as an error, never as an
-            # answer that looks whole, and must not harm other connections.
+            # The caller of a failed handler must receive an error, never a
+            # response that looks complete; other connections must not be affected.
             log_error("handler_failed", path=request.path, error=repr(exc))
             await _report_fault(responder)
         finally:
             await watcher.cancel()
 
     async def _read_head(self, sock, conn) -> h11.Request | None:
-        """Return the head of the next request; None where the peer is done."""
+        """Return the head of the next request, or None if the peer sends none."""
         self._idle_by_socket[sock] = conn
         try:
             async with curio.timeout_after(self.keep_alive_seconds):
@@ -330,9 +331,9 @@
 
 
 async def _linger(sock) -> None:
-    """Read and drop what the peer still sends, for a while."""
+    """Read and drop what the peer sends, for up to `LINGER_SECONDS`."""
     # Closing with unread bytes resets the connection, and the reset can overtake
-    # the refusal: the caller would see a broken connection without a reason.
+    # the refusal: the caller would see an error without its reason.
     await sock.shutdown(_socket.SHUT_WR)
     try:
         async with curio.timeout_after(LINGER_SECONDS):
@@ -356,10 +357,10 @@
     responder: Responder,
     handler_task: curio.Task | None,
 ) -> None:
-    """Notice a peer that leaves while its request runs, and cancel its handler."""
+    """Detect that the peer disconnects during its request; cancel the handler."""
     try:
         while data := await sock.recv(READ_CHUNK_BYTES):
-            # A pipelined request: h11 keeps it until the next cycle.
+            # h11 buffers a pipelined request until the next cycle.
             conn.receive_data(data)
             if len(conn.trailing_data[0]) > MAX_PIPELINED_BYTES:
                 return
--- a/src/ragwortkeel/httpio.py
+++ b/src/ragwortkeel/httpio.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 on curio through h11: a server for callers and a client for peers.
+"""HTTP/1.1 with curio and h11: a server and a client.
 
-Bodies, header blocks and the time to send them are bounded, so that one slow
-or oversized peer holds one connection and nothing else.
+The server limits the size of bodies and headers and the time to receive them, so
+that a slow peer or one that sends too much occupies only its own connection.
 """
 
 from ragwortkeel.http_client import HttpClient, Response, StreamedResponse
--- a/src/ragwortkeel/links.py
+++ b/src/ragwortkeel/links.py
@@ -1,10 +1,10 @@
-"""Links between the system's own processes: zmq sockets driven from curio.
+"""Links between the processes of the fleet: zmq sockets used from curio.
 
-An `Endpoint` is the bound side that a process answers on; a `Link` is the
-connecting side towards one peer.  Both carry `Envelope` messages.  A link
-heartbeats and counts what it hears, because a TCP connection can go silent for
-good while it still looks open: the link then drops the socket, says `LinkDown`
-and connects anew, and says `LinkUp` when the peer is heard again.
+An `Endpoint` is the bound socket of a process; a `Link` is a connection to one peer.
+Both send and receive `Envelope` messages.  A link sends heartbeats and checks that
+the peer answers, because a TCP connection can stay open without delivering anything.
+After too long a silence the link closes its socket, reports `LinkDown` and
+reconnects; it reports `LinkUp` when it receives a message again.
 """
 
 from collections import deque
@@ -25,24 +25,37 @@
 from ragwortkeel.traffic import Traffic
 
 HEARTBEAT_SECONDS = 1.0
-"""At 1,000 routers and 10,000 sidecars this is the largest steady message rate."""
+"""Interval between heartbeats.
+
+With 1,000 routers and 10,000 sidecars, they are the largest steady message rate.
+"""
 
 SILENCE_SECONDS = 3.5
-"""Three lost heartbeats and some slack: shorter ones take a pause for a death."""
+"""Silence of a peer after which a link is down.
+
+The time of three heartbeats and some slack; with less, a short pause of a peer would
+count as a failure.
+"""
 
 UP = "up"
-"""The state of charts/link.json in which the peer was heard."""
+"""The state of charts/link.json in which the peer is reachable."""
 
 QUEUED_MESSAGES = 20_000
-"""Per peer; a peer that falls further behind loses messages and must resume."""
+"""Messages queued for each peer.
+
+A peer that falls further behind loses messages and has to resume.
+"""
 
 CLOSE_LINGER_MILLISECONDS = 500
-"""On a planned stop the last answers still leave; longer would hold up the exit."""
+"""Time for sending the last answers on a planned stop; more delays the exit."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Received:
-    """A message from a peer; `peer` is what `Endpoint.send` or the owner uses."""
+    """A message from a peer.
+
+    `peer` is its name for `Endpoint.send`, or for the owner of the `Link`.
+    """
 
     peer: str
     envelope: Envelope
@@ -50,14 +63,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LinkUp:
-    """The peer is heard on a fresh connection; resume what was open."""
+    """A message arrived on a new connection; the owner resumes open exchanges."""
 
     peer: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class LinkDown:
-    """The peer was not heard for `SILENCE_SECONDS`; sent messages may be lost."""
+    """The peer was silent for too long; sent messages may be lost."""
 
     peer: str
 
@@ -66,7 +79,7 @@
 
 
 class _Channel:
-    """One zmq socket and its received frames, woken through curio."""
+    """A zmq socket with a queue of received messages, read by a curio task."""
 
     def __init__(self, socket: zmq.Socket) -> None:
         self._socket = socket
@@ -75,13 +88,13 @@
         self._reader: curio.Task | None = None
 
     async def send(self, frames: list[bytes]) -> None:
-        """Queue the frames; raise `LinkLost` when they cannot be queued."""
+        """Queue the frames for sending; raise `LinkLost` if that fails."""
         try:
             self._socket.send_multipart(frames, zmq.NOBLOCK)
         except zmq.ZMQError as exc:
             raise LinkLost(str(exc)) from exc
-        # zmq's descriptor is edge-triggered and a send may use up the edge of a
-        # message that arrived meanwhile: without this look the reader hangs.
+        # zmq's descriptor is edge-triggered, and a send may consume the edge of a
+        # message that has arrived: without this check the reader would hang.
         await self._drain()
 
     async def receive(self) -> list[bytes]:
@@ -131,19 +144,19 @@
 
 
 class Endpoint:
-    """The bound socket of a process: peers connect, it answers them by name.
+    """The bound socket of a process, to which peers connect.
 
     Parameters
     ----------
     address
-        ``ip:port`` to bind; port 0 takes a free one, found in `address` after
-        `open`.
+        ``ip:port`` to bind.  Port 0 selects a free port, which is in `address`
+        after `open`.
     incarnation
         Sent with every message.
     revision
-        Called for each message: the configuration revision in force here.
+        Called for each message; returns the configuration revision in force.
     traffic
-        Counts the messages; none by default.
+        Counts the messages, if given.
 
     Examples
     --------
@@ -179,7 +192,7 @@
         self._channel = _Channel(socket)
 
     async def receive(self) -> Received:
-        """Return the next well-formed message; others are dropped."""
+        """Return the next valid message; invalid ones are dropped."""
         while True:
             frames = await self._channel.receive()
             envelope = _decode_or_none(frames[-1])
@@ -188,7 +201,7 @@
                 return Received(peer=frames[0].decode(), envelope=envelope)
 
     async def send(self, peer: str, message: AnyMessage) -> None:
-        """Send to a peer heard before; `LinkLost` when it is not connected."""
+        """Send to a peer that has sent a message; `LinkLost` if it is disconnected."""
         envelope = Envelope(
             sender=self.incarnation, revision=self._revision(), message=message
         )
@@ -197,7 +210,7 @@
         self._traffic.record_sent(message, len(data))
 
     async def close(self) -> None:
-        """Let queued answers leave, then close."""
+        """Send queued messages for a short time, then close the socket."""
         await self._channel.close(CLOSE_LINGER_MILLISECONDS)
 
 
@@ -205,27 +218,28 @@
 
 
 class Link:
-    """The connecting side towards one peer, with heartbeats.
+    """A connection to one peer, with heartbeats.
 
-    Everything it hears, and its ups and downs, go to `inbox` as `LinkEvent`
-    with `peer` set to `name`.
+    Received messages and changes of its state go to `inbox` as `LinkEvent`, with
+    `peer` set to `name`.
 
     Parameters
     ----------
     name
-        What the owner calls this peer.
+        Name of the peer in events.
     address
         ``ip:port`` of the peer's endpoint.
     incarnation, revision, traffic
         As for `Endpoint`.
     inbox
-        Where `Received`, `LinkUp` and `LinkDown` go.
+        Receives `Received`, `LinkUp` and `LinkDown`.
 
     Attributes
     ----------
     idle_seconds : float
-        Pause after a heartbeat that was answered, beyond `heartbeat_seconds`.  A peer
-        that answers no more is found so much later; it is asked at the full pace then.
+        Time between heartbeats in addition to `heartbeat_seconds`, while the peer
+        answers.  The failure of a peer is detected later by the same time; an
+        unanswered heartbeat is repeated without it.
 
     .. versionadded:: 0.1
     """
@@ -257,16 +271,16 @@
 
     @property
     def up(self) -> bool:
-        """Whether the peer was heard lately."""
+        """Whether the peer is reachable."""
         return self._lifecycle.state == UP
 
     @property
     def last_received_at(self) -> float:
-        """Monotonic second at which the peer was heard last."""
+        """Monotonic seconds at which a message was last received."""
         return self._last_received_at
 
     async def run(self) -> None:
-        """Keep the link up until cancelled."""
+        """Connect, and reconnect after each failure, until cancelled."""
         try:
             while True:
                 await self._run_connection()
@@ -278,7 +292,7 @@
                 await self._channel.close()
 
     async def send(self, message: AnyMessage) -> None:
-        """Send a message; `LinkLost` when there is no connection to put it on."""
+        """Send a message; raise `LinkLost` if there is no connection."""
         if self._channel is None:
             raise LinkLost(f"{self.name} is not connected")
         envelope = Envelope(
@@ -289,7 +303,7 @@
         self._traffic.record_sent(message, len(data))
 
     async def try_send(self, message: AnyMessage) -> bool:
-        """Send a message that may be lost; return whether it was put on its way."""
+        """Send a message that may be lost; return whether it was queued."""
         try:
             await self.send(message)
         except LinkLost as exc:
@@ -320,7 +334,7 @@
             await self._inbox.put(LinkDown(peer=self.name))
 
     async def _send_heartbeats(self) -> None:
-        """Heartbeat until the peer has been silent for too long."""
+        """Send heartbeats until the peer has been silent for too long."""
         idle = 0.0
         while monotonic() - self._last_received_at < self._silence_seconds + idle:
             sent_at = monotonic()
@@ -345,7 +359,7 @@
 
 
 def _decode_or_none(data: bytes) -> Envelope | None:
-    """Return the envelope; garbage from a stranger must not end the reader."""
+    """Return the envelope, or None for invalid data, which must not end the reader."""
     try:
         return decode(data)
     except msgspec.DecodeError:
--- a/src/ragwortkeel/platform.py
+++ b/src/ragwortkeel/platform.py
@@ -1,24 +1,24 @@
-"""The narrow interface to the platform; nothing above it knows its wire format.
+"""The interface to the platform, independent of its wire format.
 
-The platform keeps objects of a *kind* under a *name*, each with a value (bytes,
-at most ``MAX_VALUE_BYTES``) and a version that changes with each write.  All
-that has to last or be agreed on goes through this interface.
+The platform stores objects by *kind* and *name*.  Each has a value (bytes, at most
+``MAX_VALUE_BYTES``) and a version that changes with each write.  All state that has
+to be durable or agreed between processes is stored there.
 
-Versions and revisions count the same writes: a later write of any object has a
-higher version, also where the object was deleted and made anew, and a list or
-watch at a revision shows every version up to it.
+Versions and revisions count the same writes.  A later write of any object has a
+higher version, also if the object was deleted and created again, and a list or watch
+at a revision contains every version up to it.
 """
 
 from dataclasses import dataclass
 from typing import Protocol
 
 MAX_VALUE_BYTES = 1_000_000
-"""The platform refuses larger values."""
+"""Maximum size of a value; the platform refuses larger ones."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Stored:
-    """One object as read from the platform."""
+    """An object as read from the platform."""
 
     kind: str
     name: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Listing:
-    """Objects of one kind, and the revision from which a watch can go on."""
+    """Objects of one kind, and the revision from which a watch can continue."""
 
     by_name: dict[str, Stored]
     revision: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Change:
-    """One change seen by a watch; `stored` is None for a deletion."""
+    """A change returned by a watch; `stored` is None for a deletion."""
 
     name: str
     version: int
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Changes:
-    """What a watch returned; after a gap the watcher must list again.
+    """The result of a watch; after a gap, the kind has to be listed again.
 
-    Watches may be late and may skip changes: a reader treats them as hints to
-    converge sooner, and lists now and then all the same.
+    Watches may be late and may skip changes.  Readers use them only to converge
+    sooner, and still list regularly.
     """
 
     changes: tuple[Change, ...]
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Instance:
-    """One row of the platform's lagging list of instances."""
+    """An entry of the platform's list of instances, which may be outdated."""
 
     name: str
     address: str
@@ -68,34 +68,34 @@
 
 
 class Platform(Protocol):
-    """What the fleet needs of the platform.
+    """The operations that the fleet uses of the platform.
 
-    Every call may raise `PlatformUnavailable` (certainly nothing changed).
-    Writes may raise `OutcomeUnknown`: the caller re-reads, and a nonce in the
-    value tells whether the write was its own.
+    Every call may raise `PlatformUnavailable`; then certainly nothing changed.
+    Writes may raise `OutcomeUnknown`: the caller reads the object again and
+    recognizes its own write by a nonce in the value.
     """
 
     async def get(self, kind: str, name: str, *, stale: bool = False) -> Stored | None:
-        """Return the object, or None where there is none.
+        """Return the object, or None if it does not exist.
 
-        With `stale` it may be some seconds old, which costs the platform less: for
-        readers whose conditional write finds that out.
+        With `stale` it may be some seconds old, which costs the platform less.
+        This is for readers whose conditional write detects an old version.
         """
 
     async def list(self, kind: str, prefix: str = "") -> Listing:
         """Return all objects of a kind whose names start with `prefix`."""
 
     async def create(self, kind: str, name: str, value: bytes) -> int:
-        """Create the object and return its version; else `AlreadyExists`."""
+        """Create the object and return its version, or raise `AlreadyExists`."""
 
     async def update(self, kind: str, name: str, value: bytes, version: int) -> int:
-        """Replace the object at `version`; else `VersionConflict`."""
+        """Replace the object at `version`, or raise `VersionConflict`."""
 
     async def delete(self, kind: str, name: str, version: int) -> None:
-        """Delete the object at `version`; else `VersionConflict`."""
+        """Delete the object at `version`, or raise `VersionConflict`."""
 
     async def watch(self, kind: str, revision: int, timeout: float) -> Changes:
         """Wait at most `timeout` seconds for changes after `revision`."""
 
     async def live(self) -> dict[str, Instance]:
-        """Return the lagging list of live and leaving instances, by name."""
+        """Return live and leaving instances by name; the list may be outdated."""
--- a/src/ragwortkeel/platform_calls.py
+++ b/src/ragwortkeel/platform_calls.py
@@ -1,8 +1,8 @@
-"""Calls to an object service over HTTP, and what a failure of one lets conclude.
+"""Calls to an object service over HTTP, with errors that state the outcome.
 
-Each failure is turned into what the caller may conclude from it: certainly
-nothing changed (`PlatformUnavailable`), or nobody knows (`OutcomeUnknown`).  What
-the calls say is up to the client that uses them.
+A failed call raises `PlatformUnavailable` if certainly nothing changed, and
+`OutcomeUnknown` if a write may have taken effect.  The client that makes the calls
+defines their targets and bodies.
 """
 
 from collections.abc import Callable
@@ -23,22 +23,26 @@
 from ragwortkeel.settings import Address
 
 CALL_SECONDS = 2.0
-"""The platform answers in milliseconds; by then it is down or cut off."""
+"""Timeout of a call.
+
+The platform usually answers in milliseconds; after this time it is down or
+unreachable.
+"""
 
 _REFUSED_STATUSES = frozenset({429, 503})
-"""Refused at the door, so nothing changed."""
+"""Statuses of calls that were refused without any effect."""
 
 
 class PlatformCalls:
-    """Reads and writes at one address.
+    """Reads and writes at one address of an object service.
 
     Parameters
     ----------
     address : str
         ``ip:port`` of the object service.
     timeout : float
-        Seconds for one call at the most, less while answers are quick; a watch has
-        its own wait on top.
+        Maximum seconds for one call; the timeout is shorter while answers are
+        fast.  The wait of a watch is added.
     on_failure : callable, optional
         Called with the kind of each failure, for metrics.
     """
@@ -62,7 +66,7 @@
         wait: float = 0.0,
         allowed: frozenset[int] = frozenset({200, 404}),
     ) -> Response:
-        """Return the answer to a read, of one of the `allowed` statuses."""
+        """Return the response to a read, if its status is one of `allowed`."""
         try:
             response = await self._request("GET", target, wait=wait)
         except (ConnectFailed, ExchangeBroken) as exc:
@@ -74,16 +78,16 @@
     async def write(
         self, method: str, target: str, body: bytes, headers: dict[str, str]
     ) -> Response:
-        """Return the answer to a write that the platform took up."""
+        """Return the response to a write that the platform did not refuse."""
         if len(body) > MAX_VALUE_BYTES:
-            raise ValueRefused(f"{target}: more than {MAX_VALUE_BYTES} bytes")
+            raise ValueRefused(f"{target}: value has more than {MAX_VALUE_BYTES} bytes")
         try:
             response = await self._request(method, target, body=body, headers=headers)
         except ConnectFailed as exc:
             raise self.unavailable_error(str(exc)) from exc
         except ExchangeBroken as exc:
-            # The write may have been done before its answer was lost; the
-            # caller re-reads, for only the platform's object can tell.
+            # The write may have taken effect before its response was lost; the
+            # caller has to read the object again to find out.
             raise self.unknown_error(str(exc)) from exc
         if response.status in _REFUSED_STATUSES:
             raise self.unavailable_error(f"status {response.status}")
@@ -107,24 +111,24 @@
         return response
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         await self._client.close()
 
     def unavailable_error(self, reason: str) -> PlatformUnavailable:
-        """Return the error for a call that certainly changed nothing."""
+        """Report and return the error for a call that certainly changed nothing."""
         self._on_failure("unavailable")
         return PlatformUnavailable(reason)
 
     def unknown_error(self, reason: str) -> OutcomeUnknown:
-        """Return the error for a write that may have taken effect."""
+        """Report and return the error for a write that may have taken effect."""
         self._on_failure("outcome_unknown")
         return OutcomeUnknown(reason)
 
 
 def check_conditional(response: Response, kind: str, name: str) -> Response:
-    """Return the answer to a conditional write, unless another came first."""
+    """Return the response to a conditional write, or raise if it was refused."""
     if response.status == 404:
-        raise ObjectNotFound(f"{kind}/{name} is not there")
+        raise ObjectNotFound(f"{kind}/{name} does not exist")
     if response.status == 409:
-        raise VersionConflict(f"{kind}/{name} was changed meanwhile")
+        raise VersionConflict(f"{kind}/{name} has another version")
     return response
--- a/src/ragwortkeel/platform_client.py
+++ b/src/ragwortkeel/platform_client.py
@@ -1,8 +1,8 @@
-"""The platform's HTTP interface behind the narrow `Platform` protocol.
+"""Implementation of the `Platform` protocol with the platform's HTTP interface.
 
-Each failure is turned into what the caller may conclude from it: certainly
-nothing changed (`PlatformUnavailable`), somebody else's write came first
-(`VersionConflict`, `AlreadyExists`, `ObjectNotFound`), or nobody knows
+The error of a failed call states its outcome: certainly nothing changed
+(`PlatformUnavailable`), another write came first (`VersionConflict`,
+`AlreadyExists`, `ObjectNotFound`), or the write may have taken effect
 (`OutcomeUnknown`).
 """
 
@@ -37,7 +37,7 @@
     address : str
         ``ip:port`` of the object service.
     timeout : float
-        Seconds for one call; a watch has its own wait on top.
+        Maximum seconds for one call; the wait of a watch is added.
     on_failure : callable, optional
         Called with the kind of each failure, for metrics.
     """
@@ -54,14 +54,17 @@
         )
 
     async def get(self, kind: str, name: str, *, stale: bool = False) -> Stored | None:
-        """Return the object, or None where there is none; never a stale one."""
+        """Return the current object, or None if it does not exist.
+
+        `stale` has no effect.
+        """
         response = await self._calls.read(_target(kind, name))
         if response.status == 404:
             return None
         try:
             version = int(response.headers[VERSION_HEADER])
         except (KeyError, ValueError) as exc:
-            raise PlatformUnavailable("an object without a version") from exc
+            raise PlatformUnavailable("object without a version") from exc
         return Stored(kind=kind, name=name, value=response.body, version=version)
 
     async def list(self, kind: str, prefix: str = "") -> Listing:
@@ -72,27 +75,27 @@
         while True:
             page = await self._page(kind, prefix, after)
             by_name |= {one.name: one.stored(kind) for one in page.objects}
-            # The first page's revision: what changes behind a page already
-            # read has a higher one, so the watch that follows shows it.
+            # The revision of the first page: later changes of objects on pages
+            # that were already read are in a watch from this revision.
             revision = page.revision if revision is None else revision
             if not page.more or not page.objects:
                 return Listing(by_name=by_name, revision=revision)
             after = page.objects[-1].name
 
     async def create(self, kind: str, name: str, value: bytes) -> int:
-        """Create the object and return its version; else `AlreadyExists`."""
+        """Create the object and return its version, or raise `AlreadyExists`."""
         response = await self._write("POST", kind, name, value, None)
         if response.status == 409:
-            raise AlreadyExists(f"{kind}/{name} exists")
+            raise AlreadyExists(f"{kind}/{name} already exists")
         return self._version(response)
 
     async def update(self, kind: str, name: str, value: bytes, version: int) -> int:
-        """Replace the object at `version`; else `VersionConflict`."""
+        """Replace the object at `version`, or raise `VersionConflict`."""
         response = await self._write("PUT", kind, name, value, version)
         return self._version(check_conditional(response, kind, name))
 
     async def delete(self, kind: str, name: str, version: int) -> None:
-        """Delete the object at `version`; else `VersionConflict`."""
+        """Delete the object at `version`, or raise `VersionConflict`."""
         response = await self._write("DELETE", kind, name, b"", version)
         self._version(check_conditional(response, kind, name))
 
@@ -109,12 +112,12 @@
         )
 
     async def live(self) -> dict[str, Instance]:
-        """Return the lagging list of live and leaving instances, by name."""
+        """Return live and leaving instances by name; the list may be outdated."""
         body = _decode_body(await self._calls.read("/v1/live"), LiveBody)
         return {one.name: one for one in body.instances}
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         await self._calls.close()
 
     async def _page(self, kind: str, prefix: str, after: str) -> ListPage:
@@ -134,7 +137,9 @@
         try:
             return msgspec.json.decode(response.body, type=Written).version
         except msgspec.DecodeError as exc:
-            raise self._calls.unknown_error(f"answer without a version: {exc}") from exc
+            raise self._calls.unknown_error(
+                f"response without a version: {exc}"
+            ) from exc
 
 
 def _target(kind: str, name: str) -> str:
@@ -147,4 +152,4 @@
     try:
         return msgspec.json.decode(response.body, type=cls)
     except msgspec.DecodeError as exc:
-        raise PlatformUnavailable(f"an answer that makes no sense: {exc}") from exc
+        raise PlatformUnavailable(f"response cannot be decoded: {exc}") from exc
--- a/src/ragwortkeel/platform_counts.py
+++ b/src/ragwortkeel/platform_counts.py
@@ -1,7 +1,7 @@
-"""Counts the calls that a process makes to the platform, by purpose and outcome.
+"""Counts of a process's calls to the platform, by operation, kind and outcome.
 
-Each call is paid for, refused ones too, and what a fleet pays for is the sum over its
-processes: the counts tell which purpose grows with the fleet.
+The platform charges every call, also refused ones, so a fleet pays for the sum over
+its processes.  The counts show which calls increase with the size of the fleet.
 """
 
 from collections import Counter
@@ -21,7 +21,7 @@
 from ragwortkeel.platform import Changes, Instance, Listing, Platform, Stored
 
 REPORT_SECONDS = 2.0
-"""Between two log lines, however many calls there were."""
+"""Interval between log lines with the counts."""
 
 _CONFLICTS = (VersionConflict, AlreadyExists, ObjectNotFound)
 
@@ -34,7 +34,7 @@
     platform : Platform
         Makes the calls.
     metrics : Metrics
-        Where they are counted.
+        Receives the counts.
     """
 
     def __init__(self, *, platform: Platform, metrics: Metrics) -> None:
@@ -75,11 +75,11 @@
         return await self._await_counted("watch", kind, call)
 
     async def live(self) -> dict[str, Instance]:
-        """Return the live instances; see `Platform.live`."""
+        """Return live and leaving instances; see `Platform.live`."""
         return await self._await_counted("live", "instances", self._platform.live())
 
     async def run(self) -> None:
-        """Log the counts until cancelled."""
+        """Log the counts regularly until cancelled."""
         while True:
             await curio.sleep(REPORT_SECONDS)
             self._report()
--- a/src/ragwortkeel/platform_wire.py
+++ b/src/ragwortkeel/platform_wire.py
@@ -1,6 +1,6 @@
-"""The bodies of the stand-in platform's HTTP interface.
+"""The bodies of the HTTP interface of the stand-in platform.
 
-Only `platform_client` and the stand-in's server know them.
+Only `platform_client` and the stand-in's server use them.
 """
 
 import msgspec
@@ -11,17 +11,17 @@
 IF_MATCH_HEADER = "if-match"
 
 PAGE_LIMIT = 1_000
-"""Objects on one page of a list; keeps an answer to about a megabyte."""
+"""Maximum objects on one page of a list, for responses of about a megabyte."""
 
 
 class Written(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a write that took effect."""
+    """Response to a write that took effect."""
 
     version: int
 
 
 class ObjectBody(msgspec.Struct, frozen=True, kw_only=True):
-    """One object of a list or a change."""
+    """An object of a list."""
 
     name: str
     version: int
@@ -33,12 +33,12 @@
         return cls(name=stored.name, version=stored.version, value=stored.value)
 
     def stored(self, kind: str) -> Stored:
-        """Return the object as the interface shows it."""
+        """Return the object in the form of the `Platform` interface."""
         return Stored(kind=kind, name=self.name, value=self.value, version=self.version)
 
 
 class ListPage(msgspec.Struct, frozen=True, kw_only=True):
-    """One page of a list, in order of name; `more` follow the last one."""
+    """A page of a list in the order of names; `more` is set if others follow."""
 
     objects: tuple[ObjectBody, ...]
     revision: int
@@ -46,7 +46,7 @@
 
 
 class ChangeBody(msgspec.Struct, frozen=True, kw_only=True):
-    """One change; without `value` the object was deleted."""
+    """A change; `value` is None if the object was deleted."""
 
     name: str
     version: int
@@ -59,7 +59,7 @@
         return cls(name=change.name, version=change.version, value=value)
 
     def change(self, kind: str) -> Change:
-        """Return the change as the interface shows it."""
+        """Return the change in the form of the `Platform` interface."""
         stored = None
         if self.value is not None:
             stored = Stored(
@@ -69,7 +69,7 @@
 
 
 class ChangesBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a watch."""
+    """Response to a watch."""
 
     changes: tuple[ChangeBody, ...]
     revision: int
@@ -86,12 +86,12 @@
 
 
 class LiveBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The list of instances."""
+    """Response with the list of instances."""
 
     instances: tuple[Instance, ...]
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a call was refused."""
+    """The reason why a call was refused."""
 
     error: str
--- a/tests/test_configuration_convergence.py
+++ b/tests/test_configuration_convergence.py
@@ -1,6 +1,7 @@
-"""Hypothesis drives operators, a failing platform and cut-off nodes.
+"""Convergence under operator changes, platform faults and partitions.
 
-At every step no node reverts; once healed all hold what was accepted.
+Hypothesis chooses the events.  No process may ever revert an object, and after the
+faults end all processes must store the accepted changes.
 """
 
 from random import Random
@@ -34,20 +35,20 @@
 )
 from ragwortkeel.standins.local_platform import LocalPlatform, Switches
 
-NODES_BY_ZONE = {"a": (0, 1, 2), "b": (3,)}
-NODE_COUNT = 4
+PROCESSES_BY_ZONE = {"a": (0, 1, 2), "b": (3,)}
+PROCESS_COUNT = 4
 WATCHERS = (0, 1, 3)
 NAMES = ("chat", "claim", "dossier")
 HEALED_SECONDS = 20
 HISTORY = 3
 MAX_DELIVERIES = 1_000
 
-node_ids = st.integers(0, NODE_COUNT - 1)
+process_numbers = st.integers(0, PROCESS_COUNT - 1)
 names = st.sampled_from(NAMES)
 
 
-class _Node:
-    """One life of a node: an empty store, its exchange and its schedule."""
+class _Process:
+    """One start of a process: an empty store, its exchange and its schedule."""
 
     def __init__(self, number, clock):
         now = clock()
@@ -55,7 +56,7 @@
         self.number = number
         self.store = ConfigurationStore(kinds=(PROFILES,))
         self.exchange = Exchange(store=self.store, random=random, clock=clock)
-        others = [str(one) for one in range(NODE_COUNT) if one != number]
+        others = [str(one) for one in range(PROCESS_COUNT) if one != number]
         self.exchange.exchange_peers = others
         self.schedule = FollowSchedule(now=now, random=random)
         self.ranks = {}
@@ -69,9 +70,11 @@
         self.kernel = curio.Kernel()
         self.platform = LocalPlatform(history_limit=HISTORY)
         self.now = 0.0
-        self.nodes = [_Node(number, lambda: self.now) for number in range(NODE_COUNT)]
-        self.cut = set()
-        self.flying = []
+        self.processes = [
+            _Process(number, lambda: self.now) for number in range(PROCESS_COUNT)
+        ]
+        self.partitioned = set()
+        self.in_transit = []
         self.late = []
         self.accepted = {}
         self.serial = 0
@@ -83,7 +86,7 @@
     def call(self, coro):
         return self.kernel.run(coro)
 
-    # Operators: each writes at the version it read, maybe long ago.
+    # Operators write at the version that they read, possibly long before.
 
     @rule(target=reads, name=names)
     def operator_reads(self, name):
@@ -125,9 +128,9 @@
             pass
         finally:
             self.platform.switches.lost_answers = 0
-        self.note_accepted(name)
+        self.record_accepted(name)
 
-    def note_accepted(self, name):
+    def record_accepted(self, name):
         switches, self.platform.switches = self.platform.switches, Switches()
         one = versioned_object(self.call(self.platform.get(PROFILES, name)))
         self.platform.switches = switches
@@ -143,143 +146,144 @@
     def platform_comes_back(self, gaps, skips):
         self.platform.switches = Switches(watch_gaps=gaps, watch_skips=skips)
 
-    @rule(number=node_ids, late=st.booleans())
+    @rule(number=process_numbers, late=st.booleans())
     def node_asks(self, number, late):
-        self.ask(self.nodes[number], late)
+        self.ask(self.processes[number], late)
 
     @rule(
         changed=st.lists(names, max_size=3),
         retired=st.sampled_from([None, None, None, *NAMES]),
-        late=st.sets(node_ids),
+        late=st.sets(process_numbers),
         skips=st.integers(0, 2),
         random=st.randoms(use_true_random=False),
     )
     def second(self, changed, retired, late, skips, random):
-        """Play a busy second: changes, answers that hang, lost and mixed messages."""
+        """Simulate a second with changes, late answers and reordered messages."""
         self.now += 1.0
         self.platform.switches.watch_skips = skips
         for name in changed:
             self.write(*self.read(name), name == retired, False)
-        for node in self.nodes:
-            self.ask(node, node.number in late)
-            self.gossip(node)
-        random.shuffle(self.flying)
-        for _ in range(len(self.flying)):
-            self.deliver(self.flying.pop(0))
+        for process in self.processes:
+            self.ask(process, process.number in late)
+            self.send_round(process)
+        random.shuffle(self.in_transit)
+        for _ in range(len(self.in_transit)):
+            self.deliver(self.in_transit.pop(0))
         random.shuffle(self.late)
-        for node, objects in self.late[::2]:
-            node.exchange.merge_objects(objects)
+        for process, objects in self.late[::2]:
+            process.exchange.merge_objects(objects)
 
-    def ask(self, node, late=False):
-        step = node.schedule.next_action(
+    def ask(self, process, late=False):
+        action = process.schedule.next_action(
             now=self.now,
-            watching=node.number in WATCHERS,
-            complete=node.exchange.complete_by_kind[PROFILES],
+            watching=process.number in WATCHERS,
+            complete=process.exchange.complete_by_kind[PROFILES],
             peers_reachable=True,
-            age=node.exchange.age(PROFILES),
+            age=process.exchange.age(PROFILES),
         )
         try:
-            match step:
+            match action:
                 case ListAll():
                     listing = self.call(self.platform.list(PROFILES))
                     objects = [
                         versioned_object(one) for one in listing.by_name.values()
                     ]
-                    self.bring(node, objects, listing.revision, late)
-                    size = node.store.value_bytes(PROFILES)
-                    node.schedule.record_list(now=self.now, value_bytes=size)
+                    self.merge(process, objects, listing.revision, late)
+                    size = process.store.value_bytes(PROFILES)
+                    process.schedule.record_list(now=self.now, value_bytes=size)
                 case Watch(revision=revision):
                     watch = self.platform.watch(PROFILES, revision, 0.0)
                     changes = self.call(watch)
                     objects = [versioned_object(one.stored) for one in changes.changes]
-                    complete = node.exchange.complete_by_kind[PROFILES]
+                    complete = process.exchange.complete_by_kind[PROFILES]
                     if not changes.gap:
-                        self.bring(node, objects, changes.revision, late)
-                    node.schedule.record_watch(
+                        self.merge(process, objects, changes.revision, late)
+                    process.schedule.record_watch(
                         now=self.now, gap=changes.gap, complete=complete
                     )
         except PlatformError:
-            node.schedule.record_failure(now=self.now)
+            process.schedule.record_failure(now=self.now)
 
-    def bring(self, node, objects, revision, late):
+    def merge(self, process, objects, revision, late):
         if late:
-            self.late.append((node, objects))
+            self.late.append((process, objects))
             return
-        node.exchange.merge_objects(objects)
-        node.exchange.record_complete(PROFILES, revision)
+        process.exchange.merge_objects(objects)
+        process.exchange.record_complete(PROFILES, revision)
 
     @rule(data=st.data())
     def late_answer_arrives(self, data):
         if self.late:
-            node, objects = data.draw(st.sampled_from(self.late))
-            node.exchange.merge_objects(objects)
+            process, objects = data.draw(st.sampled_from(self.late))
+            process.exchange.merge_objects(objects)
 
     # Peers.
 
-    @rule(number=node_ids)
+    @rule(number=process_numbers)
     def node_gossips(self, number):
-        self.gossip(self.nodes[number])
+        self.send_round(self.processes[number])
 
-    def gossip(self, node):
-        self.post(
-            node.number, node.exchange.next_pushes() + node.exchange.next_digest()
+    def send_round(self, process):
+        self.queue_messages(
+            process.number,
+            process.exchange.next_pushes() + process.exchange.next_digest(),
         )
 
-    def post(self, sender, sends):
-        self.flying += [(sender, int(send.peer), send.message) for send in sends]
+    def queue_messages(self, sender, sends):
+        self.in_transit += [(sender, int(send.peer), send.message) for send in sends]
 
     @rule(data=st.data(), keep=st.booleans())
     def message_arrives(self, data, keep):
-        if not self.flying:
+        if not self.in_transit:
             return
-        index = data.draw(st.integers(0, len(self.flying) - 1))
-        one = self.flying[index] if keep else self.flying.pop(index)
+        index = data.draw(st.integers(0, len(self.in_transit) - 1))
+        one = self.in_transit[index] if keep else self.in_transit.pop(index)
         self.deliver(one)
 
     def deliver(self, one):
         sender, receiver, message = one
-        if frozenset((sender, receiver)) in self.cut:
+        if frozenset((sender, receiver)) in self.partitioned:
             return
-        node = self.nodes[receiver]
-        self.post(receiver, node.exchange.receive(str(sender), message))
+        process = self.processes[receiver]
+        self.queue_messages(receiver, process.exchange.receive(str(sender), message))
 
-    @rule(one=node_ids, other=node_ids)
+    @rule(one=process_numbers, other=process_numbers)
     def link_is_cut(self, one, other):
         if one != other:
-            self.cut.add(frozenset((one, other)))
+            self.partitioned.add(frozenset((one, other)))
 
     @rule()
     def links_heal(self):
-        self.cut.clear()
+        self.partitioned.clear()
 
-    @rule(number=node_ids)
+    @rule(number=process_numbers)
     def node_restarts(self, number):
-        self.nodes[number] = _Node(number, lambda: self.now)
+        self.processes[number] = _Process(number, lambda: self.now)
 
     @rule(seconds=st.floats(0.1, 10.0))
     def time_passes(self, seconds):
         self.now += seconds
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
     def nothing_reverts(self):
-        for node in getattr(self, "nodes", ()):
-            held = self.held(node)
-            for name, before in node.ranks.items():
+        for process in getattr(self, "processes", ()):
+            held = self.held(process)
+            for name, before in process.ranks.items():
                 assert held[name] >= before
-            node.ranks = held
+            process.ranks = held
 
     @invariant()
     def only_what_was_accepted_is_held(self):
-        for node in getattr(self, "nodes", ()):
-            for name in self.held(node):
-                one = node.store.get(PROFILES, name)
+        for process in getattr(self, "processes", ()):
+            for name in self.held(process):
+                one = process.store.get(PROFILES, name)
                 assert self.accepted[name][one.version] == one.value
 
     @rule()
     def healed_is_in_force_everywhere(self):
-        self.cut.clear()
+        self.partitioned.clear()
         self.platform.switches = Switches()
         self.run_rounds(ask=True)
         listing = self.call(self.platform.list(PROFILES))
@@ -287,32 +291,32 @@
             name: rank_of(versioned_object(stored))
             for name, stored in listing.by_name.items()
         }
-        for node in self.nodes:
-            assert self.held(node) == expected
+        for process in self.processes:
+            assert self.held(process) == expected
 
     @rule()
     def peers_agree_without_the_platform(self):
-        self.cut.clear()
+        self.partitioned.clear()
         self.platform.switches = Switches(down=True)
         self.run_rounds(ask=False)
-        assert len({node.store.root(PROFILES) for node in self.nodes}) == 1
+        assert len({process.store.root(PROFILES) for process in self.processes}) == 1
 
-    def held(self, node):
-        ranks = {name: node.store.rank(PROFILES, name) for name in NAMES}
+    def held(self, process):
+        ranks = {name: process.store.rank(PROFILES, name) for name in NAMES}
         return {name: rank for name, rank in ranks.items() if rank is not None}
 
     def run_rounds(self, *, ask):
         for _ in range(HEALED_SECONDS):
             self.now += 1.0
-            for node in self.nodes:
+            for process in self.processes:
                 if ask:
-                    self.ask(node)
-                self.gossip(node)
+                    self.ask(process)
+                self.send_round(process)
             for _ in range(MAX_DELIVERIES):
-                if not self.flying:
+                if not self.in_transit:
                     break
-                self.deliver(self.flying.pop(0))
-            assert not self.flying, "peers answer each other without end"
+                self.deliver(self.in_transit.pop(0))
+            assert not self.in_transit, "peers answer each other endlessly"
 
 
 TestConvergence = Convergence.TestCase
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange between two stores, message by message."""
+"""Tests of the exchange of messages between configuration stores."""
 
 from math import inf
 from random import Random
@@ -35,15 +35,15 @@
         return self.now
 
 
-def exchange(clock, *partners):
+def exchange(clock, *addresses):
     rv = Exchange(store=ConfigurationStore(), random=Random(1), clock=clock)
-    rv.exchange_peers = partners
+    rv.exchange_peers = addresses
     return rv
 
 
 class TestAge:
     @pytest.mark.parametrize(("equal", "age"), [(True, 5.0), (False, inf)])
-    def test_word_of_the_platform_is_passed_on(self, equal, age):
+    def test_confirmation_of_the_platform_is_forwarded(self, equal, age):
         clock = Clock()
         one, other, last = (exchange(clock) for _ in range(3))
         one.merge_objects([made("chat", 7)])
@@ -57,7 +57,7 @@
         assert other.age(PROFILES) == last.age(PROFILES) == age
         assert last.complete_by_kind[PROFILES] == (7 if equal else -1)
 
-    def test_older_word_does_not_count(self):
+    def test_older_confirmation_is_ignored(self):
         clock = Clock()
         one, other = exchange(clock), exchange(clock)
         one.record_complete(PROFILES, 0)
@@ -68,11 +68,12 @@
 
 
 class TestStartInAnOutage:
-    def test_one_that_nobody_knows_becomes_complete(self):
-        """A router is replaced while the platform is down.
+    def test_unregistered_process_becomes_complete(self):
+        """A router that starts while the platform is down becomes complete.
 
-        It cannot register, so no other router chooses it as a partner; it asks
-        one from its settings, gets everything, and must learn that this is all.
+        It cannot register, so no other router sends it digests.  It sends a digest
+        to a peer from its settings and receives all objects; the answers must also
+        confirm that its content is complete.
         """
         clock = Clock()
         old, new = exchange(clock), exchange(clock, "old")
@@ -82,36 +83,36 @@
         clock.now = 60.0
         digests = 0
         for _ in range(3):
-            flying = [("old", send.message) for send in new.next_digest()]
-            while flying and digests <= 5:
-                to, message = flying.pop(0)
+            in_transit = [("old", send.message) for send in new.next_digest()]
+            while in_transit and digests <= 5:
+                to, message = in_transit.pop(0)
                 digests += isinstance(message, ConfigurationDigest)
                 target, back = (old, "new") if to == "old" else (new, "old")
                 sends = target.receive(back, message)
-                flying += [(back, send.message) for send in sends]
+                in_transit += [(back, send.message) for send in sends]
         assert new.store.rank(PROFILES, "chat")
         assert set(new.complete_by_kind.values()) == {7}
         assert new.age(PROFILES) == 60.0
-        assert digests <= 5, "equal stores must not answer each other without end"
+        assert digests <= 5, "equal stores must not answer each other endlessly"
 
 
-class TestWhomToAsk:
-    def test_furthest_ahead_is_asked_once(self):
+class TestDigestPeer:
+    def test_peer_furthest_ahead_gets_one_digest(self):
         one = exchange(Clock(), "p1", "p2", "p3")
         one.record_revision("far", 9)
         one.record_revision("near", 5)
         assert [send.peer for send in one.next_digest()] == ["far"]
         assert [send.peer for send in one.next_digest()][0].startswith("p")
 
-    def test_nobody_is_asked_for_what_came_meanwhile(self):
+    def test_revision_received_meanwhile_is_not_requested(self):
         one = exchange(Clock(), "p1")
         one.record_revision("far", 9)
         one.merge_objects([made("chat", 9)])
         assert [send.peer for send in one.next_digest()] == ["p1"]
 
 
-class TestSpread:
-    def test_small_batches_are_pushed_and_large_are_left_to_digests(self):
+class TestPushes:
+    def test_only_small_batches_are_pushed(self):
         one = exchange(Clock(), "p1")
         one.merge_objects(made(f"p{i}", i) for i in range(MAX_PUSHED_BATCH_OBJECTS + 1))
         assert one.next_pushes() == []
@@ -120,14 +121,14 @@
             (made("chat", 999),)
         ]
 
-    def test_callers_are_pushed_to(self):
-        one, caller = exchange(Clock()), exchange(Clock())
-        one.receive("caller", caller.digest())
+    def test_senders_of_digests_receive_pushes(self):
+        one, sender = exchange(Clock()), exchange(Clock())
+        one.receive("caller", sender.digest())
         one.merge_objects([made("chat", 1)])
         assert [send.peer for send in one.next_pushes()] == ["caller"]
 
 
-class TestStrangeMessages:
+class TestInvalidMessages:
     @pytest.mark.parametrize(
         "message",
         [
@@ -143,7 +144,7 @@
             ConfigurationPush(objects=(), more=True),
         ],
     )
-    def test_are_answered_with_nothing(self, message):
+    def test_invalid_message_has_no_answer(self, message):
         assert exchange(Clock()).receive("peer", message) == []
 
 
@@ -159,15 +160,17 @@
         empty.exchange_peers = ("full",)
         largest = 0
         for _ in range(2_000):
-            flying = [("full", one.message) for one in empty.next_digest()]
-            while flying:
-                to, message = flying.pop()
+            in_transit = [("full", one.message) for one in empty.next_digest()]
+            while in_transit:
+                to, message = in_transit.pop()
                 if isinstance(message, ConfigurationPush):
                     size = sum(len(one.value) for one in message.objects)
                     largest = max(largest, size)
                 target = full if to == "full" else empty
                 back = "empty" if to == "full" else "full"
-                flying += [(back, one.message) for one in target.receive(to, message)]
+                in_transit += [
+                    (back, one.message) for one in target.receive(to, message)
+                ]
             if empty.store.root(PROFILES) == full.store.root(PROFILES):
                 break
         assert empty.store.size(PROFILES) == 500
--- a/tests/test_configuration_schedule.py
+++ b/tests/test_configuration_schedule.py
@@ -1,4 +1,4 @@
-"""Who asks the platform, and when."""
+"""Tests of the schedule of calls to the platform."""
 
 from random import Random
 
@@ -26,7 +26,9 @@
     return FollowSchedule(now=0.0, random=Random(1), stale_factor=stale_factor)
 
 
-def step(one, now, *, watching=True, complete=UNKNOWN, peers_reachable=False, age=0.0):
+def action_of(
+    one, now, *, watching=True, complete=UNKNOWN, peers_reachable=False, age=0.0
+):
     return one.next_action(
         now=now,
         watching=watching,
@@ -36,8 +38,8 @@
     )
 
 
-class TestWhoWatches:
-    def test_a_leaver_moves_only_its_own_part(self):
+class TestRendezvous:
+    def test_leaving_member_moves_only_its_own_keys(self):
         members = [f"r{i}" for i in range(40)]
         before = rendezvous("a", members, WATCHERS_PER_ZONE)
         others = [one for one in members if one not in before]
@@ -51,64 +53,64 @@
         assert rendezvous("a", ["r"][:count], 2) == ["r"][:count]
 
 
-class TestSteps:
+class TestActions:
     def test_a_watcher_lists_then_watches_then_lists(self):
         one = schedule()
-        assert step(one, 0.0) == ListAll()
+        assert action_of(one, 0.0) == ListAll()
         one.record_list(now=0.0, value_bytes=0)
-        watch = step(one, 0.1, complete=0)
+        watch = action_of(one, 0.1, complete=0)
         assert isinstance(watch, Watch) and watch.revision == 0
         assert 0 < watch.seconds <= MIN_LIST_SECONDS * 1.5
-        assert step(one, MIN_LIST_SECONDS * 1.6, complete=0) == ListAll()
+        assert action_of(one, MIN_LIST_SECONDS * 1.6, complete=0) == ListAll()
 
-    def test_others_learn_from_peers_first(self):
+    def test_others_wait_for_peers_first(self):
         one = schedule()
-        first = step(one, 0.0, watching=False, peers_reachable=True)
+        first = action_of(one, 0.0, watching=False, peers_reachable=True)
         assert isinstance(first, Wait)
-        assert step(one, 0.0, watching=False) == ListAll()
-        late = step(one, PEER_WAIT_SECONDS, watching=False, peers_reachable=True)
+        assert action_of(one, 0.0, watching=False) == ListAll()
+        late = action_of(one, PEER_WAIT_SECONDS, watching=False, peers_reachable=True)
         assert late == ListAll()
-        rest = step(one, 1.0, watching=False, peers_reachable=True, complete=7)
-        assert isinstance(rest, Wait)
+        wait = action_of(one, 1.0, watching=False, peers_reachable=True, complete=7)
+        assert isinstance(wait, Wait)
 
-    def test_stands_in_for_watchers_that_are_gone(self):
-        """Both watchers of a zone die, or are cut off from the platform.
+    def test_fallback_for_failed_watchers(self):
+        """Other processes watch if both watchers of a zone fail.
 
-        The others still talk to each other and all agree; a change that an
-        operator makes then would reach none of them.
+        The others stay connected and have equal content, but without a fallback a
+        later change by an operator would reach none of them.
         """
         one = schedule()
         one.record_list(now=0.0, value_bytes=10**9)
-        other = {"watching": False, "complete": 7, "peers_reachable": True}
-        assert isinstance(step(one, 1.0, age=5.0, **other), Wait)
-        assert isinstance(step(one, 21.0, age=20.1, **other), Watch)
-        assert isinstance(step(one, 22.0, age=0.0, **other), Watch)
+        options = {"watching": False, "complete": 7, "peers_reachable": True}
+        assert isinstance(action_of(one, 1.0, age=5.0, **options), Wait)
+        assert isinstance(action_of(one, 21.0, age=20.1, **options), Watch)
+        assert isinstance(action_of(one, 22.0, age=0.0, **options), Watch)
         later = 22.0 + FALLBACK_WATCH_SECONDS
-        assert isinstance(step(one, later, age=0.0, **other), Wait)
+        assert isinstance(action_of(one, later, age=0.0, **options), Wait)
 
-    def test_sidecars_bear_stale_content_for_longer(self):
+    def test_sidecars_start_a_fallback_later(self):
         one = schedule(SIDECAR_STALE_FACTOR)
         one.record_list(now=0.0, value_bytes=10**9)
-        other = {"watching": False, "complete": 7, "peers_reachable": True}
-        assert isinstance(step(one, 25.0, age=25.0, **other), Wait)
-        assert isinstance(step(one, 81.0, age=81.0, **other), Watch)
+        options = {"watching": False, "complete": 7, "peers_reachable": True}
+        assert isinstance(action_of(one, 25.0, age=25.0, **options), Wait)
+        assert isinstance(action_of(one, 81.0, age=81.0, **options), Watch)
 
-    def test_an_outage_is_not_answered_by_everybody_for_long(self):
-        """The platform is down: nobody's content is confirmed any more.
+    def test_fallback_calls_during_an_outage_are_bounded(self):
+        """Fallback watches back off while the platform is down.
 
-        If all stood in and kept trying, 1,000 nodes would meet the platform
-        with their calls the moment it is back.
+        The content of all processes is stale then.  If all kept calling, 1,000
+        processes would overload the platform as soon as it is available again.
         """
         one = schedule()
         one.record_list(now=0.0, value_bytes=10**9)
         calls = 0
         now = 20.0
         while now < 620.0:
-            got = step(
+            action = action_of(
                 one, now, watching=False, complete=7, peers_reachable=True, age=now
             )
-            if isinstance(got, Wait):
-                now += got.seconds + 1e-6
+            if isinstance(action, Wait):
+                now += action.seconds + 1e-6
             else:
                 calls += 1
                 one.record_failure(now=now)
@@ -119,30 +121,32 @@
         [(True, 5, ListAll), (False, 5, Wait), (True, 9, Watch)],
     )
     def test_after_a_gap(self, watching, complete, expected):
-        """A node falls behind the platform's bounded history of changes.
+        """A process that falls behind the platform's bounded history lists again.
 
-        The watch says so and shows nothing; whoever went on watching from
-        there would never see what was forgotten.
+        The watch returns a gap and no changes.  Watching on from there would never
+        return the changes that the history no longer contains.
         """
         one = schedule()
         one.record_list(now=0.0, value_bytes=10**9)
         one.record_watch(now=1.0, gap=True, complete=5)
-        got = step(one, 1.1, watching=watching, complete=complete, peers_reachable=True)
-        assert isinstance(got, expected)
+        action = action_of(
+            one, 1.1, watching=watching, complete=complete, peers_reachable=True
+        )
+        assert isinstance(action, expected)
 
     def test_failures_wait_longer_up_to_a_bound(self):
         one = schedule()
-        rests = []
+        waits = []
         now = 0.0
         for _ in range(12):
             one.record_failure(now=now)
             start = now
-            while isinstance(rest := step(one, now), Wait):
-                now += rest.seconds + 1e-6
-            rests.append(now - start)
-        assert rests[0] < 1.0
-        assert max(rests) <= MAX_RETRY_SECONDS * 1.5 + 0.1
-        assert min(rests[6:]) > MAX_RETRY_SECONDS * 0.4
+            while isinstance(wait := action_of(one, now), Wait):
+                now += wait.seconds + 1e-6
+            waits.append(now - start)
+        assert waits[0] < 1.0
+        assert max(waits) <= MAX_RETRY_SECONDS * 1.5 + 0.1
+        assert min(waits[6:]) > MAX_RETRY_SECONDS * 0.4
 
     @pytest.mark.parametrize(
         ("size", "seconds"),
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""Contract of the configuration store: the newest of each object, for good."""
+"""Tests of the configuration store, which never reverts an object."""
 
 import msgspec
 import pytest
@@ -36,7 +36,7 @@
 
 class TestNeverReverts:
     @pytest.mark.parametrize(
-        ("held", "shown", "taken"),
+        ("held", "received", "is_merged"),
         [
             (made("a", 2), made("a", 1), False),
             (made("a", 2), made("a", 2), False),
@@ -49,16 +49,16 @@
             (made("a", 2), made("b", 1), True),
         ],
     )
-    def test_only_higher_rank_is_taken(self, held, shown, taken):
+    def test_only_higher_rank_is_merged(self, held, received, is_merged):
         store = ConfigurationStore()
         store.merge([held])
-        assert bool(store.merge([shown])) == taken
+        assert bool(store.merge([received])) == is_merged
 
     @given(st.lists(states, max_size=20), st.randoms(use_true_random=False))
-    def test_any_order_ends_in_the_same(self, seen, random):
+    def test_any_order_gives_equal_stores(self, received, random):
         one, other = ConfigurationStore(), ConfigurationStore()
-        one.merge(seen)
-        shuffled = seen + seen[:3]
+        one.merge(received)
+        shuffled = received + received[:3]
         random.shuffle(shuffled)
         for state in shuffled:
             other.merge([state])
@@ -69,9 +69,9 @@
 
     def test_unreadable_value_is_kept_with_its_version(self):
         store = ConfigurationStore()
-        odd = VersionedObject(kind=PROFILES, name="a", version=3, value=b"\xff")
-        assert store.merge([odd]) == [odd]
-        assert store.get(PROFILES, "a") == odd
+        undecodable = VersionedObject(kind=PROFILES, name="a", version=3, value=b"\xff")
+        assert store.merge([undecodable]) == [undecodable]
+        assert store.get(PROFILES, "a") == undecodable
 
     @pytest.mark.parametrize(
         "refused",
@@ -82,14 +82,14 @@
             made("b", 1, kind=UPSTREAMS),
         ],
     )
-    def test_what_is_not_held_here_is_ignored(self, refused):
+    def test_objects_of_other_kinds_and_names_are_ignored(self, refused):
         store = ConfigurationStore(only={UPSTREAMS: frozenset({"own"})})
         assert store.merge([refused]) == []
         assert store.revision == 0
 
 
 class TestTree:
-    def test_hashes_tell_where_stores_differ(self):
+    def test_hashes_show_where_stores_differ(self):
         one, other = ConfigurationStore(), ConfigurationStore()
         same = [made(f"p{i}", i) for i in range(200)]
         one.merge(same)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""The gossip tasks over an in-memory platform and in-memory links."""
+"""Tests of the gossip tasks with an in-memory platform and in-memory links."""
 
 from contextlib import asynccontextmanager
 from random import Random
@@ -16,23 +16,27 @@
 from ragwortkeel.standins.local_platform import LocalPlatform
 
 IN_FORCE_SECONDS = 20.0
-"""A bound against hanging, not a measure."""
+"""Timeout of a test that hangs."""
 
 
 class Fleet:
-    """Gossips by name, each with all others as partners."""
+    """Gossip processes by name, each with all others as exchange peers."""
 
     def __init__(self, platform):
         self.platform = platform
         self.gossip_by_name = {}
         self.tasks = {}
-        self.cut = set()
+        self.partitioned = set()
 
     async def start(self, name, zone="a", **options):
         store = options.pop("store", None) or ConfigurationStore()
 
         async def send(peer, message):
-            if name in self.cut or peer in self.cut or peer not in self.gossip_by_name:
+            if (
+                name in self.partitioned
+                or peer in self.partitioned
+                or peer not in self.gossip_by_name
+            ):
                 raise LinkLost(peer)
             envelope = FromPeer(peer=name, revision=store.revision, message=message)
             await self.gossip_by_name[peer].inbox.put(envelope)
@@ -48,14 +52,14 @@
         )
         self.gossip_by_name[name] = gossip
         self.tasks[name] = await curio.spawn(gossip.run)
-        await self.tell_partners()
+        await self.send_exchange_peers()
         return store
 
-    async def tell_partners(self):
+    async def send_exchange_peers(self):
         for name, gossip in self.gossip_by_name.items():
             others = tuple(one for one in self.gossip_by_name if one != name)
-            partners = ExchangePeers(addresses=others, zone_members=others)
-            await gossip.inbox.put(partners)
+            exchange_peers = ExchangePeers(addresses=others, zone_members=others)
+            await gossip.inbox.put(exchange_peers)
 
     async def stop(self):
         for task in self.tasks.values():
@@ -86,7 +90,7 @@
 
 
 class TestInForce:
-    def test_change_reaches_all_and_few_watch(self):
+    def test_change_reaches_all_and_two_watch(self):
         async def scenario(fleet):
             stores = [await fleet.start(f"r{i}") for i in range(5)]
             version = await fleet.platform.create(PROFILES, "chat", b"{}")
@@ -98,10 +102,10 @@
         run(scenario)
 
     def test_start_while_the_platform_is_down(self):
-        """A router is replaced during an outage of the platform.
+        """A router that starts during an outage receives profiles from its peers.
 
-        Its callers name profiles it has never seen; it has no disk, and the
-        platform does not answer.  It must learn them from the other routers.
+        It has no stored state and the platform does not answer, but its callers
+        use the profiles.
         """
 
         async def scenario(fleet):
@@ -115,52 +119,52 @@
 
         run(scenario)
 
-    def test_cut_off_node_catches_up(self):
+    def test_partitioned_process_catches_up(self):
         async def scenario(fleet):
             ahead = await fleet.start("r1")
             behind = await fleet.start("r2", follows=False)
             await until(lambda: fleet.gossip_by_name["r2"].complete())
-            fleet.cut.add("r2")
+            fleet.partitioned.add("r2")
             for i in range(300):
                 await fleet.platform.create(PROFILES, f"p{i}", b"{}")
             await until(lambda: ahead.size(PROFILES) == 300)
             fleet.platform.switches.down = True
             assert behind.size(PROFILES) < 300
-            fleet.cut.clear()
+            fleet.partitioned.clear()
             await until(lambda: behind.size(PROFILES) == 300)
 
         run(scenario)
 
-    def test_listener_is_told_once(self):
+    def test_listener_receives_each_object_once(self):
         async def scenario(fleet):
-            told = []
+            received = []
 
             async def listener(objects):
-                told.extend(one.name for one in objects)
+                received.extend(one.name for one in objects)
 
             await fleet.start("r1")
             store = await fleet.start("r2", listener=listener)
             await fleet.platform.create(PROFILES, "chat", b"{}")
             await until(lambda: store.size(PROFILES) == 1)
             await curio.sleep(0.5)
-            assert told == ["chat"]
+            assert received == ["chat"]
 
         run(scenario)
 
 
 class TestDeletions:
     @pytest.mark.parametrize(
-        ("kind", "gone"), [(NODES, True), (SEALS, True), (PROFILES, False)]
+        ("kind", "is_deleted"), [(NODES, True), (SEALS, True), (PROFILES, False)]
     )
     @pytest.mark.parametrize("skips", [0, 1])
-    def test_only_what_is_no_operators_is_deleted(self, kind, gone, skips):
+    def test_objects_of_operators_are_not_deleted(self, kind, is_deleted, skips):
         async def scenario(fleet):
             store = await fleet.start("r1")
             version = await fleet.platform.create(kind, "x", b"{}")
             await until(lambda: store.rank(kind, "x"))
             fleet.platform.switches.watch_skips = skips
             await fleet.platform.delete(kind, "x", version)
-            if gone:
+            if is_deleted:
                 await until(lambda: store.rank(kind, "x").gone)
             else:
                 await curio.sleep(0.3)
@@ -170,7 +174,7 @@
 
 
 class TestSidecar:
-    def test_learns_its_upstream_and_the_seals_from_a_router(self):
+    def test_receives_its_upstream_and_seals_from_a_router(self):
         async def scenario(fleet):
             await fleet.start("r1")
             only = ConfigurationStore(
@@ -205,10 +209,10 @@
 
 class TestGaps:
     def test_a_gap_makes_nothing_complete(self):
-        """The platform forgot changes and says so in a watch.
+        """A watch with a gap does not make the content complete.
 
-        A node that took itself for complete all the same would tell its peers,
-        and none of them would ever list what was forgotten.
+        Otherwise the process would forward this to its peers, and none of them
+        would list the changes that the platform left out.
         """
 
         async def scenario(fleet):
@@ -224,12 +228,12 @@
         run(scenario)
 
 
-class TestStandIn:
-    def test_dead_watchers_are_stood_in_for(self, monkeypatch):
-        """Both watchers of a zone are killed and stay registered.
+class TestFallback:
+    def test_fallback_for_stopped_watchers(self, monkeypatch):
+        """Other processes watch if both watchers of a zone stop but stay registered.
 
-        By the list of members they still are the zone's watchers, so none of
-        the others would ask the platform, and a change would stay unseen.
+        By the list of members they still are the zone's watchers; without a
+        fallback nobody would receive a change from the platform.
         """
         monkeypatch.setattr(
             "ragwortkeel.configuration_schedule.STALE_RANGE_SECONDS", (0.5, 1.0)
@@ -244,7 +248,7 @@
             await until(lambda: sum(one.watching for one in gossips.values()) == 2)
             for name in [one for one in stores if gossips[one].watching]:
                 await fleet.tasks.pop(name).cancel()
-                fleet.cut.add(name)
+                fleet.partitioned.add(name)
                 del stores[name]
             await fleet.platform.create(PROFILES, "chat", b"{}")
             await until(
--- a/tests/test_httpio.py
+++ b/tests/test_httpio.py
@@ -1,4 +1,4 @@
-"""HTTP on curio: what peers do wrong, and what the others must not notice."""
+"""Tests of the HTTP server and client, mainly of faults of peers."""
 
 import socket
 
@@ -49,7 +49,7 @@
 
 
 def with_server(scenario, handler=echo, **settings):
-    """Run `scenario(server, client)` against a server in this process."""
+    """Run `scenario(server, client)` with a server in this process."""
 
     async def main():
         server = HttpServer(
@@ -64,7 +64,7 @@
         async with curio.TaskGroup(wait=None) as group:
             await group.spawn(server.serve)
             result = await scenario(server, client)
-            # Whatever the peer did, the server still serves the others.
+            # After a fault of a peer, the server still serves other peers.
             assert (await client.request("GET", "/", timeout=5)).body == b"empty"
             await client.close()
             return result
@@ -73,7 +73,7 @@
 
 
 async def exchange(port, sent, *, half_close=False):
-    """Send raw bytes and return all that comes back."""
+    """Send raw bytes and return all received bytes."""
     sock = await curio.open_connection("127.0.0.1", port)
     received = b""
     try:
@@ -113,7 +113,7 @@
             (post(b"x" * 2_000_000), b"413", b"body_too_large"),
         ],
     )
-    def test_is_refused_with_a_clear_status(self, sent, status, reason):
+    def test_bad_request_is_refused_with_its_status(self, sent, status, reason):
         async def scenario(server, _):
             return await exchange(server.port, sent)
 
@@ -132,7 +132,7 @@
             b"",
         ],
     )
-    def test_body_or_head_cut_off_reaches_no_handler(self, sent):
+    def test_truncated_request_reaches_no_handler(self, sent):
         seen = []
 
         async def handler(request, responder):
@@ -147,7 +147,7 @@
         assert answer == b"" or answer.startswith(b"HTTP/1.1 400")
         assert seen == []
 
-    def test_slow_body_is_refused_and_holds_nobody_up(self):
+    def test_slow_body_is_refused_and_delays_no_other_request(self):
         async def scenario(server, _):
             return await exchange(server.port, post(b"abc", length=100))
 
@@ -162,7 +162,7 @@
         answer = with_server(scenario, keep_alive_seconds=0.1)
         assert answer.startswith(b"HTTP/1.1 408")
 
-    def test_idle_connection_is_closed_without_a_word(self):
+    def test_idle_connection_is_closed_without_a_response(self):
         async def scenario(server, _):
             return await exchange(server.port, b"")
 
@@ -180,10 +180,10 @@
         assert answer.index(b"one") < answer.index(b"two") < answer.index(b"three")
 
     def test_flood_of_pipelined_bytes_stays_in_the_socket(self):
-        """A caller streams without end behind a request that runs for long.
+        """A caller that sends endlessly during its request uses bounded memory.
 
-        Its bytes must not pile up in the router's memory: they stay in the
-        socket, whose buffers are bounded, so its sending stalls.
+        The bytes stay in the socket, whose buffers are bounded, so that its
+        sending stalls.
         """
 
         async def scenario(server, _):
@@ -220,7 +220,7 @@
         assert answer.count(b"HTTP/1.1 200") == 2
         assert answer.count(b"\r\n\r\nempty") == 1
 
-    def test_repeated_header_is_joined_rather_than_chosen_from(self):
+    def test_repeated_header_is_joined(self):
         async def scenario(server, _):
             fields = ("X-A: 1", "X-A: 2", "Connection: close")
             return await exchange(server.port, post(b"", *fields, target="/headers"))
@@ -229,7 +229,7 @@
 
 
 class TestHandlers:
-    def test_fault_before_the_answer_gives_500(self):
+    def test_handler_failure_before_the_response_gives_500(self):
         async def scenario(_, client):
             return await client.request("GET", "/crash", timeout=5)
 
@@ -238,10 +238,10 @@
         assert b'"outcome":"unknown"' in response.body
 
     @pytest.mark.parametrize("path", ["/half-crash", "/abort"])
-    def test_fault_in_the_answer_shows_as_broken(self, path):
-        """Half an answer must never look like a whole one.
+    def test_handler_failure_within_the_response_is_visible(self, path):
+        """A truncated response must never look complete.
 
-        The handler fails after it sent a part; the connection has to end
+        The handler fails after it has sent a chunk; the connection has to close
         without the end marker of the body.
         """
 
@@ -252,10 +252,10 @@
         with_server(scenario)
 
     def test_aborts_do_not_harm_connections_that_reuse_their_descriptor(self):
-        """Other requests hang or fail after some exchange was aborted.
+        """Guards against requests that hang or fail after an aborted exchange.
 
-        An abort frees a descriptor while a task still waits on it; the next
-        connection gets the same number, and the kernel mixes up the two.
+        If an abort freed a descriptor while a task waits on it, the next
+        connection would get the same number, and curio would confuse the two.
         """
 
         async def scenario(_, client):
@@ -273,7 +273,7 @@
 
         with_server(scenario)
 
-    def test_peer_that_leaves_is_noticed(self):
+    def test_disconnected_peer_is_detected(self):
         left = curio.Event()
 
         async def handler(request, responder):
@@ -292,11 +292,10 @@
 
 
 class TestStop:
-    def test_open_exchange_ends_whole_and_new_connections_are_refused(self):
-        """A planned stop comes while an answer streams.
+    def test_open_exchange_completes_and_new_connections_are_refused(self):
+        """A planned stop during a streamed response.
 
-        The answer has to end whole, and a caller that connects meanwhile is
-        turned away at once.
+        The response has to complete, and new connections are refused immediately.
         """
 
         async def main():
@@ -322,10 +321,10 @@
         assert run(main).body == b"piece " * 10
 
     def test_request_waiting_to_be_accepted_is_served(self):
-        """A caller sent its request just before the stop and gets a reset.
+        """Guards against a reset of a request that was sent just before a stop.
 
-        The system had accepted its connection, the server not yet; closing the
-        listener throws such connections away with what was sent on them.
+        Its connection is in the backlog of the listener, and closing the listener
+        resets such connections with the requests sent on them.
         """
 
         async def main():
@@ -348,7 +347,7 @@
 
         assert all(a.startswith(b"HTTP/1.1 200") for a in run(main))
 
-    def test_request_whose_body_is_still_coming_counts_as_open(self):
+    def test_request_with_incomplete_body_counts_as_open(self):
         async def main():
             server = HttpServer(host="127.0.0.1", port=0, handler=echo)
             server.open()
@@ -380,7 +379,7 @@
 
 
 def with_raw_server(scenario, answer):
-    """Run `scenario(client)` against a server that answers with these bytes."""
+    """Run `scenario(client)` with a server that answers with these bytes."""
 
     async def serve_one(sock, _):
         await sock.recv(65536)
@@ -410,14 +409,14 @@
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         ],
     )
-    def test_answer_that_is_not_whole_is_broken(self, answer):
+    def test_truncated_response_is_broken(self, answer):
         async def scenario(client):
             with pytest.raises(ExchangeBroken):
                 await client.request("GET", "/", timeout=5)
 
         with_raw_server(scenario, answer)
 
-    def test_informational_answers_are_skipped(self):
+    def test_informational_responses_are_skipped(self):
         async def scenario(client):
             return await client.request("GET", "/", timeout=5)
 
@@ -425,7 +424,7 @@
         answer = with_raw_server(scenario, head + b"Content-Length: 2\r\n\r\nok")
         assert answer.body == b"ok"
 
-    def test_nobody_listening_means_surely_not_sent(self):
+    def test_refused_connection_means_not_sent(self):
         async def main():
             client = HttpClient(host="127.0.0.1", port=1)
             with pytest.raises(ConnectFailed):
@@ -433,14 +432,14 @@
 
         run(main)
 
-    def test_silence_is_broken_after_the_timeout(self):
+    def test_request_without_response_times_out(self):
         async def scenario(_, client):
             with pytest.raises(ExchangeBroken):
                 await client.request("GET", "/wait", timeout=0.1)
 
         with_server(scenario)
 
-    def test_kept_connection_that_the_server_closed_is_not_used_again(self):
+    def test_closed_idle_connection_is_not_reused(self):
         async def scenario(_, client):
             assert (await client.request("GET", "/", timeout=5)).status == 200
             await curio.sleep(0.3)
@@ -448,7 +447,7 @@
 
         with_server(scenario, keep_alive_seconds=0.1)
 
-    def test_reader_that_stops_early_leaves_no_half_read_connection(self):
+    def test_connection_is_not_reused_after_an_early_stop_of_the_reader(self):
         async def scenario(_, client):
             async with client.stream("GET", "/slow") as answer:
                 async for _ in answer.chunks():
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links: echo, silence found by heartbeats, garbage ignored."""
+"""Tests of links: delivery, detection of silent peers and invalid messages."""
 
 from contextlib import suppress
 
@@ -37,12 +37,12 @@
 async def echo(endpoint):
     while True:
         received = await endpoint.receive()
-        # What a replaced connection had sent cannot be answered any more.
+        # Messages of a replaced connection can no longer be answered.
         with suppress(LinkLost):
             await endpoint.send(received.peer, received.envelope.message)
 
 
-async def next_of(inbox, kind):
+async def next_event(inbox, kind):
     while True:
         event = await inbox.get()
         if isinstance(event, kind):
@@ -56,10 +56,10 @@
             server = await curio.spawn(echo, endpoint, daemon=True)
             link = link_to(endpoint.address, inbox)
             task = await curio.spawn(link.run, daemon=True)
-            await next_of(inbox, LinkUp)
+            await next_event(inbox, LinkUp)
             await link.send(Cancel(nonce="n"))
             while True:
-                event = await next_of(inbox, Received)
+                event = await next_event(inbox, Received)
                 if event.envelope.message == Cancel(nonce="n"):
                     break
             await task.cancel()
@@ -70,11 +70,11 @@
         envelope = run(main)
         assert (envelope.sender, envelope.revision) == ("sidecar-1", 4)
 
-    def test_a_silent_peer_is_found_and_the_link_replaced(self):
-        """A stream stands still for good although the connection looks open.
+    def test_silent_peer_is_detected_and_reconnected(self):
+        """A link reconnects if an open connection no longer delivers messages.
 
-        Something between the two ends has lost track of the connection; a new
-        one works.  The link must notice the silence and connect anew.
+        This happens if a device between the processes loses the state of the
+        connection; a new connection works.
         """
 
         async def main():
@@ -82,11 +82,11 @@
             server = await curio.spawn(echo, endpoint, daemon=True)
             link = link_to(endpoint.address, inbox)
             task = await curio.spawn(link.run, daemon=True)
-            await next_of(inbox, LinkUp)
+            await next_event(inbox, LinkUp)
             await server.cancel()
-            await next_of(inbox, LinkDown)
+            await next_event(inbox, LinkDown)
             server = await curio.spawn(echo, endpoint, daemon=True)
-            await next_of(inbox, LinkUp)
+            await next_event(inbox, LinkUp)
             await task.cancel()
             await server.cancel()
             await endpoint.close()
@@ -94,44 +94,44 @@
         run(main)
 
     def test_thousands_of_messages_at_once_all_arrive_in_order(self):
-        """An answer stands still half way: the edge of zmq's descriptor was lost."""
+        """Guards against a reader that hangs after a lost edge of zmq's descriptor."""
 
         async def main():
             endpoint, inbox = open_endpoint(), curio.Queue()
             server = await curio.spawn(echo, endpoint, daemon=True)
             link = link_to(endpoint.address, inbox)
             task = await curio.spawn(link.run, daemon=True)
-            await next_of(inbox, LinkUp)
+            await next_event(inbox, LinkUp)
             for i in range(3000):
                 await link.send(Cancel(nonce=str(i)))
-            seen = []
-            while len(seen) < 3000:
-                message = (await next_of(inbox, Received)).envelope.message
+            received = []
+            while len(received) < 3000:
+                message = (await next_event(inbox, Received)).envelope.message
                 if isinstance(message, Cancel):
-                    seen.append(int(message.nonce))
+                    received.append(int(message.nonce))
             await task.cancel()
             await server.cancel()
             await endpoint.close()
-            return seen
+            return received
 
         assert run(main) == list(range(3000))
 
 
 class TestEndpoint:
-    def test_garbage_does_not_end_the_reader(self):
+    def test_invalid_message_does_not_end_the_reader(self):
         async def main():
             endpoint = open_endpoint()
-            stranger = zmq.Context.instance().socket(zmq.DEALER)
-            stranger.setsockopt(zmq.LINGER, 0)
-            stranger.connect(f"tcp://{endpoint.address}")
-            stranger.send(b"not a message")
+            other_client = zmq.Context.instance().socket(zmq.DEALER)
+            other_client.setsockopt(zmq.LINGER, 0)
+            other_client.connect(f"tcp://{endpoint.address}")
+            other_client.send(b"not a message")
             inbox = curio.Queue()
             link = link_to(endpoint.address, inbox)
             task = await curio.spawn(link.run, daemon=True)
             async with curio.timeout_after(10):
                 received = await endpoint.receive()
             await task.cancel()
-            stranger.close()
+            other_client.close()
             await endpoint.close()
             return received.envelope.message
 
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""Contract of the platform, kept by the client over HTTP and by the stand-in."""
+"""Tests of the `Platform` protocol with the HTTP client and the stand-in."""
 
 from contextlib import asynccontextmanager
 
@@ -41,9 +41,9 @@
 
 @pytest.fixture(params=[in_process, over_http], ids=["local", "http"])
 def run(request):
-    """Run a scenario against a fresh platform, directly and over HTTP."""
+    """Run a scenario with a new platform, directly and over HTTP."""
 
-    def go(scenario, **limits):
+    def run_scenario(scenario, **limits):
         async def main():
             local = LocalPlatform(**limits)
             async with request.param(local) as platform:
@@ -51,7 +51,7 @@
 
         curio.run(main)
 
-    return go
+    return run_scenario
 
 
 class TestObjects:
@@ -73,7 +73,7 @@
         run(scenario)
 
     @pytest.mark.parametrize("method", ["update", "delete"])
-    def test_conditional_write_of_nothing(self, run, method):
+    def test_conditional_write_of_a_missing_object(self, run, method):
         async def scenario(platform, local):
             arguments = (KIND, "a", b"1", 1) if method == "update" else (KIND, "a", 1)
             with pytest.raises(ObjectNotFound):
@@ -81,7 +81,7 @@
 
         run(scenario)
 
-    def test_list_is_whole_over_pages(self, run, monkeypatch):
+    def test_list_is_complete_over_pages(self, run, monkeypatch):
         monkeypatch.setattr("ragwortkeel.platform_client.PAGE_LIMIT", 3)
 
         async def scenario(platform, local):
@@ -112,7 +112,7 @@
 
         run(scenario)
 
-    def test_quiet_watch_ends(self, run):
+    def test_watch_without_changes_ends(self, run):
         async def scenario(platform, local):
             changes = await platform.watch(KIND, 0, 0.01)
             assert changes.changes == () and not changes.gap
@@ -120,7 +120,7 @@
 
         run(scenario)
 
-    def test_gap_after_forgotten_history(self, run):
+    def test_gap_after_truncated_history(self, run):
         async def scenario(platform, local):
             for i in range(4):
                 await platform.create(KIND, f"x{i}", b"")
@@ -129,7 +129,7 @@
 
         run(scenario, history_limit=2)
 
-    def test_skipped_change_never_shows(self, run):
+    def test_skipped_change_is_not_returned(self, run):
         async def scenario(platform, local):
             local.switches.watch_skips = 1
             await platform.create(KIND, "skipped", b"")
@@ -153,7 +153,7 @@
             ("live", ()),
         ],
     )
-    def test_down_changes_nothing(self, run, method, arguments):
+    def test_outage_changes_nothing(self, run, method, arguments):
         async def scenario(platform, local):
             local.switches.down = True
             with pytest.raises(PlatformUnavailable):
@@ -164,10 +164,10 @@
 
     @pytest.mark.parametrize("method", ["create", "update", "delete"])
     def test_answer_lost_after_the_write(self, run, method):
-        """An operator's change is stored and the answer to it lost.
+        """A write whose response is lost has an unknown outcome.
 
-        The client must not say that nothing changed, or the operator would
-        repeat a top-up; nor that it was done, for it may not have been.
+        If the client reported that nothing changed, an operator would repeat a
+        top-up; it cannot report success either, because the write may have failed.
         """
 
         async def scenario(platform, local):
@@ -200,7 +200,7 @@
 
 
 class TestOverHttpOnly:
-    def test_nobody_listens(self):
+    def test_refused_connection(self):
         async def main():
             client = HttpPlatform(address="127.0.0.1:1")
             with pytest.raises(PlatformUnavailable):
@@ -240,7 +240,7 @@
             (413, b"", PlatformUnavailable, ValueRefused),
         ],
     )
-    def test_strange_answers(self, status, body, on_read, on_write):
+    def test_unexpected_responses(self, status, body, on_read, on_write):
         async def handler(request, responder):
             await responder.respond(status, body)
 
--- a/tests/test_platform_counts.py
+++ b/tests/test_platform_counts.py
@@ -1,4 +1,4 @@
-"""Calls of the platform are counted by purpose and outcome."""
+"""Tests of the counts of platform calls by operation, kind and outcome."""
 
 import curio
 import pytest
@@ -15,17 +15,17 @@
 
 
 def test_each_outcome_is_counted():
-    platform, metrics, one = counted()
+    platform, metrics, client = counted()
 
     async def main():
-        version = await one.create("kind", "name", b"1")
-        await one.update("kind", "name", b"2", version)
+        version = await client.create("kind", "name", b"1")
+        await client.update("kind", "name", b"2", version)
         with pytest.raises(VersionConflict):
-            await one.update("kind", "name", b"3", version)
-        await one.get("kind", "name", stale=True)
+            await client.update("kind", "name", b"3", version)
+        await client.get("kind", "name", stale=True)
         platform.switches.down = True
         with pytest.raises(PlatformUnavailable):
-            await one.get("kind", "name")
+            await client.get("kind", "name")
 
     curio.run(main)
     text = metrics.render().decode()
