--- a/src/ragwortkeel/gossip.py
+++ b/src/ragwortkeel/gossip.py
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MergeObjects(_Submitted):
-    """Objects from other sources, such as the refusal of a sidecar."""
+    """Newer objects from other sources, such as the refusal of a sidecar."""
 
     objects: tuple[VersionedObject, ...]
 
--- a/src/ragwortkeel/http_server.py
+++ b/src/ragwortkeel/http_server.py
@@ -216,13 +216,15 @@
         self.open_exchanges += 1
         try:
             request = await self._read_request(sock, conn, head)
-            await self._answer(sock, conn, request, responder)
+            await self._run_handler(sock, conn, request, responder)
         finally:
             self.open_exchanges -= 1
         reusable = conn.our_state is h11.DONE and conn.their_state is h11.DONE
         return reusable and not responder.disconnected.is_set()
 
-    async def _answer(self, sock, conn, request: Request, responder: Responder) -> None:
+    async def _run_handler(
+        self, sock, conn, request: Request, responder: Responder
+    ) -> None:
         responder.bodiless = request.method == "HEAD"
         responder.closing = self._stopping
         handler_task = (
--- a/tests/test_httpio.py
+++ b/tests/test_httpio.py
@@ -303,8 +303,8 @@
             server.open()
             client = HttpClient(host="127.0.0.1", port=server.port)
             serving = await curio.spawn(server.serve)
-            kept = HttpClient(host="127.0.0.1", port=server.port)
-            await kept.request("GET", "/", timeout=5)
+            idle_client = HttpClient(host="127.0.0.1", port=server.port)
+            await idle_client.request("GET", "/", timeout=5)
             asking = await curio.spawn(_ask_slow, client)
             while not server.open_exchanges:
                 await curio.sleep(0.001)
@@ -312,8 +312,8 @@
             late = HttpClient(host="127.0.0.1", port=server.port)
             with pytest.raises(ConnectFailed):
                 await late.request("GET", "/", timeout=5)
-            on_kept = await kept.request("GET", "/", timeout=5)
-            assert on_kept.headers["connection"] == "close"
+            idle_response = await idle_client.request("GET", "/", timeout=5)
+            assert idle_response.headers["connection"] == "close"
             response = await asking.join()
             await drained(server, serving)
             return response
