--- a/src/ragwortkeel/sidecar/__init__.py
+++ b/src/ragwortkeel/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside each upstream: the only way to it, and the memory of its runs."""
+"""The sidecar: the only client of its upstream, with a journal of the runs there."""
--- a/src/ragwortkeel/sidecar/admission.py
+++ b/src/ragwortkeel/sidecar/admission.py
@@ -1,4 +1,4 @@
-"""Whether a sidecar takes work at all: registration, state, versions, limit."""
+"""Admission of dispatches by registration, state, object versions and load."""
 
 import msgspec
 
@@ -8,34 +8,34 @@
 from ragwortkeel.messages import Dispatch, RefusalReason, VersionedObject
 
 SHORT_RETRY_SECONDS = 1.0
-"""For reasons that pass by themselves, such as a full upstream."""
+"""Retry delay for reasons that pass without intervention, such as an overload."""
 
 LONG_RETRY_SECONDS = 10.0
-"""For reasons that wait for an operator or the platform."""
+"""Retry delay for reasons that last until an operator or the platform acts."""
 
 _LONG_RETRY_REASONS = {RefusalReason.NOT_ADMITTED, RefusalReason.QUARANTINED}
 _SHORT_RETRY_REASONS = {RefusalReason.OVERLOADED, RefusalReason.UPSTREAM_UNREACHABLE}
 
 
 class Admission:
-    """What decides on new work besides the journal.
+    """Decides on new work by everything except the journal.
 
     Parameters
     ----------
     upstream
         Name of the upstream beside this sidecar.
     max_running
-        Runs at once beyond which dispatches are refused whatever the limit is;
-        guards the process's memory.
+        Concurrent runs from which on dispatches are refused, whatever
+        `refusal_threshold` is.  It bounds the memory of the process.
 
     Attributes
     ----------
     refusal_threshold : int
-        Runs at once beyond which the upstream would be overloaded.
+        Concurrent runs from which on the upstream counts as overloaded.
     admitted : bool
-        Set once the sidecar is registered and has read the seals.
+        Whether the sidecar is registered and has read the seals.
     draining, stopping : bool
-        Leaving by an operator's wish, or by a planned stop.
+        Whether an operator drains the upstream, and whether a planned stop runs.
     """
 
     def __init__(self, *, upstream: str, max_running: int = 256) -> None:
@@ -53,7 +53,7 @@
         return self.draining or self.stopping
 
     def merge_object(self, thing: VersionedObject) -> bool:
-        """Keep the highest rank of an object; return whether it was news."""
+        """Store an object if its rank is the highest yet; return whether it was."""
         key = (thing.kind, thing.name)
         known = self._objects_by_key.get(key)
         if known is not None and rank_of(known) >= rank_of(thing):
@@ -66,13 +66,14 @@
     def reason_to_refuse(
         self, dispatch: Dispatch, running: int
     ) -> RefusalReason | None:
-        """Return why the dispatch is not let in, or None."""
+        """Return the reason to refuse the dispatch, or None."""
         if self.stopping:
             return RefusalReason.STOPPING
         if not self.admitted:
-            # Failure: a sidecar that starts after a seal lets the sealed
-            # router in.  Registered first and the seals read after, either the
-            # sealer finds this sidecar or this sidecar finds the seal.
+            # Failure prevented: a sidecar that starts after a seal accepts
+            # dispatches of the sealed router.  As it registers before it reads
+            # the seals, the sealer finds this sidecar or this sidecar finds the
+            # seal.
             return RefusalReason.NOT_ADMITTED
         if self.newer_objects(dispatch):
             return RefusalReason.STALE_CONFIGURATION
@@ -83,7 +84,7 @@
         return None
 
     def newer_objects(self, dispatch: Dispatch) -> tuple[VersionedObject, ...]:
-        """Return the objects that the sender of the dispatch has yet to learn."""
+        """Return the objects of which the sender used an older version."""
         versions_by_key = {
             (PROFILES, dispatch.profile): dispatch.profile_version,
             (UPSTREAMS, self.upstream): dispatch.upstream_version,
@@ -96,7 +97,7 @@
         )
 
     def retry_delay_seconds(self, reason: RefusalReason) -> float:
-        """Return the seconds after which coming back here may help, else 0."""
+        """Return the seconds after which a retry here may succeed, 0 for no hint."""
         if reason in _SHORT_RETRY_REASONS:
             return SHORT_RETRY_SECONDS
         return LONG_RETRY_SECONDS if reason in _LONG_RETRY_REASONS else 0.0
@@ -108,8 +109,8 @@
     try:
         upstream = msgspec.json.decode(thing.value, type=Upstream)
     except msgspec.DecodeError as exc:
-        # A damaged object must not take down every sidecar that hears of it;
-        # what it was to say is unknown, so nothing new is let in.
+        # A damaged object must not crash every sidecar that receives it.  Its
+        # state is unknown, so no new work is admitted.
         log_error("upstream_unreadable", name=thing.name, error=str(exc))
         return True
     return upstream.retired or upstream.state is not UpstreamState.SERVING
--- a/src/ragwortkeel/sidecar/answer_streams.py
+++ b/src/ragwortkeel/sidecar/answer_streams.py
@@ -1,4 +1,4 @@
-"""Answers on their way out: who follows which run, and replays from an offset."""
+"""Forwarding of answers to the followers of runs, and replays from an offset."""
 
 from collections import defaultdict
 
@@ -15,12 +15,12 @@
 
 
 class AnswerStreams:
-    """Answers, their followers, and how ended runs ended.
+    """Holds answers, their followers, and the final messages of ended runs.
 
     Parameters
     ----------
     answers
-        Where the answers' bytes are kept.
+        Stores the bytes of the answers.
     """
 
     def __init__(self, *, answers: AnswerStore) -> None:
@@ -29,42 +29,48 @@
         self._ended_by_nonce: dict[str, Finished | Failed] = {}
 
     def end_of(self, nonce: str) -> Finished | Failed | None:
-        """Return how a run ended, None where it has not or is forgotten."""
+        """Return the final message of a run, None where it runs or is discarded."""
         return self._ended_by_nonce.get(nonce)
 
     def add_follower(self, peer: Peer, nonce: str) -> None:
-        """Tell the peer how a running run goes on."""
+        """Send further messages of a run to the peer."""
         self._followers_by_nonce[nonce].add(peer)
 
     def start_answer(self, started: Started) -> list[Send]:
-        """Begin an answer."""
+        """Start an answer and send its head to the followers."""
         self.answers.open(
             started.nonce, status=started.status, content_type=started.content_type
         )
         return self._send_to_followers(started.nonce, started)
 
     def append_chunk(self, nonce: str, data: bytes) -> list[Send]:
-        """Add to an answer; `AnswerTooLarge` where it won't fit."""
+        """Append to an answer and send the bytes to the followers.
+
+        Raises
+        ------
+        AnswerTooLarge
+            The answer exceeds the limit of the store.
+        """
         offset = self.answers.append(nonce, data)
         return self._send_to_followers(
             nonce, Chunk(nonce=nonce, offset=offset, data=data)
         )
 
     def end_answer(self, message: Finished | Failed, *, pinned: bool) -> list[Send]:
-        """End an answer; a pinned one stays until it is unpinned."""
+        """End an answer; a pinned answer is stored until it is unpinned."""
         nonce = message.nonce
         self._ended_by_nonce[nonce] = message
         self.answers.finish(nonce, pinned=pinned)
         return self.send_last(nonce, message)
 
     def send_last(self, nonce: str, message: AnyMessage) -> list[Send]:
-        """Tell followers the last they will hear of a run."""
+        """Send the final message of a run to its followers, and remove them."""
         rv = self._send_to_followers(nonce, message)
         self._followers_by_nonce.pop(nonce, None)
         return rv
 
     def replay(self, nonce: str, offset: int, *, tokens: int) -> list[AnyMessage]:
-        """Return all that is known of an answer from `offset` on."""
+        """Return the messages that repeat an answer from `offset` on."""
         answer = self.answers.get(nonce)
         ended = self._ended_by_nonce.get(nonce)
         if answer is None:
@@ -79,13 +85,13 @@
         return rv if ended is None else [*rv, ended]
 
     def discard(self, nonces: list[str]) -> None:
-        """Drop what is kept of these runs."""
+        """Discard the answers and final messages of these runs."""
         for nonce in nonces:
             self.answers.remove(nonce)
             self._ended_by_nonce.pop(nonce, None)
 
     def remove_peer(self, peer: Peer) -> None:
-        """Forget a peer that is not connected any more."""
+        """Remove a disconnected peer from the followers of every run."""
         for followers in self._followers_by_nonce.values():
             followers.discard(peer)
 
@@ -95,7 +101,7 @@
 
 
 def lost_answer_failure(nonce: str, *, tokens: int) -> Failed:
-    """Return the truth about a run whose answer is not here (any more)."""
+    """Return the failure of a run whose answer is not stored here."""
     return Failed(
         nonce=nonce,
         reason=FailureReason.ANSWER_LOST,
--- a/src/ragwortkeel/sidecar/core.py
+++ b/src/ragwortkeel/sidecar/core.py
@@ -1,7 +1,7 @@
-"""The sidecar's decisions: messages in, messages and effects out, no I/O.
+"""The decisions of the sidecar, without I/O: messages in, effects out.
 
-One task owns a `SidecarCore`.  It lets dispatches in or refuses them, keeps the
-journal and the answers, and tells followers how runs go on.
+One task owns a `SidecarCore`.  It admits or refuses dispatches, maintains the
+journal and the answers, and sends the progress of runs to their followers.
 """
 
 from ragwortkeel.messages import (
@@ -61,14 +61,14 @@
     Parameters
     ----------
     incarnation
-        Of this sidecar; orders to another are refused.
+        Incarnation of this sidecar.  Dispatches to another one are refused.
     admission
-        Whether work is let in at all, and in which version.
+        Decides on dispatches by state, object versions and load.
 
     Attributes
     ----------
     load : LoadReport
-        The upstream's last word on itself.
+        The last load report of the upstream.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
     def on_message(
         self, peer: Peer, sender: str, message: AnyMessage, now: float
     ) -> list[Effect]:
-        """Take a message from a peer whose incarnation is `sender`."""
+        """Handle a message from a peer whose incarnation is `sender`."""
         self._now = now
         self._crash_detector.record_peer(peer, now)
         match message:
@@ -125,7 +125,7 @@
         return []
 
     def on_upstream(self, event: UpstreamEvent, now: float) -> list[Effect]:
-        """Take what the upstream did; events of ended runs change nothing."""
+        """Handle an event of the upstream; events of ended runs change nothing."""
         self._now = now
         if self.journal.state(event.nonce) is not RunState.RUNNING:
             return []
@@ -147,12 +147,12 @@
                 return seen + self._fail(nonce, reason, tokens, now)
 
     def on_epoch(self, now: float) -> None:
-        """Begin the next epoch and forget what has become safe to forget."""
+        """Begin the next epoch and discard the runs that may be discarded."""
         self.answer_streams.discard(self.journal.next_epoch())
         self._crash_detector.remove_expired_peers(now)
 
     def on_outcomes_durable(self, nonces: tuple[str, ...]) -> None:
-        """Let go of must-not-repeat runs whose intents hold their outcomes."""
+        """Unpin the answers of runs whose outcomes are stored in their intents."""
         for nonce in nonces:
             self.journal.record_durable_outcome(nonce)
             self.answer_streams.answers.unpin(nonce)
@@ -206,7 +206,7 @@
         return [] if dispatch is None else self._start(dispatch)
 
     def _remove_run(self, nonce: str) -> list[Effect]:
-        """Take a run that is over out of what is in flight; start what waited."""
+        """Remove an ended run; start the isolated run if one is pending."""
         self._crash_detector.record_end(nonce)
         self._upstream_limit.record_end(nonce)
         self._isolation.record_end(nonce)
@@ -215,8 +215,8 @@
     def _refuse_permanently(
         self, peer: Peer, dispatch: Dispatch, reason: RefusalReason
     ) -> list[Effect]:
-        # A refusal promises that the nonce never runs: a second copy of the
-        # dispatch may come once the reason has passed.
+        # A refusal guarantees that the nonce never runs, also when a copy of
+        # the dispatch arrives after the reason has passed.
         self.journal.tombstone(dispatch.nonce)
         self.answer_streams.discard(self.journal.evict_ended())
         newer: tuple[VersionedObject, ...] = ()
@@ -243,7 +243,7 @@
         return [Send(peer=peer, message=refused)]
 
     def _attach(self, peer: Peer, nonce: str, offset: int) -> list[Effect]:
-        """Replay a run to a peer from `offset`, and let it follow."""
+        """Replay a run to a peer from `offset`, and add the peer as a follower."""
         state = self.journal.state(nonce)
         if state is RunState.TOMBSTONED:
             return self._refuse(peer, nonce, RefusalReason.TOMBSTONED)
@@ -258,8 +258,8 @@
     def _tombstone(self, message: Tombstone) -> TombstoneResult:
         nonce = message.nonce
         if message.sidecar not in ("", self.incarnation):
-            # Failure: a restarted sidecar promises for its predecessor, whose
-            # run of this nonce it can't know of.
+            # Failure prevented: a restarted sidecar tombstones a nonce that
+            # ran at its predecessor, of whose runs it has no record.
             return TombstoneResult(nonce=nonce, state=RunState.UNSEEN)
         state = self.journal.tombstone(nonce)
         self.answer_streams.discard(self.journal.evict_ended())
@@ -267,8 +267,8 @@
 
     def _locate(self, locate: Locate) -> Located:
         nonce = self.journal.nonce_of_request(locate.profile, locate.request_id)
-        # A run that went on after tokens sent elsewhere holds only the end of
-        # the answer; replayed, it would be shown as the whole of it.
+        # A run that continued an answer begun elsewhere holds only its end.
+        # Replayed, it would pass for the complete answer.
         if nonce is None or not self.journal.run(nonce).replayable:
             return Located(
                 profile=locate.profile,
@@ -292,9 +292,9 @@
             declined = RunDeclined(nonce=nonce, reason=RefusalReason.DEADLINE)
             return self._on_declined(declined)
         if not run.idempotent:
-            # Failure: the caller of a filing hangs up, the filing is cut off
-            # half done, and nobody knows whether it took effect.  It costs
-            # little to let it end, and a retry then finds its answer.
+            # Failure prevented: a caller disconnects, the must-not-repeat run
+            # is aborted, and whether it took effect is unknown.  Letting it end
+            # costs little, and a retry then finds its answer.
             return []
         self.journal.cancel(nonce)
         return [CancelRun(nonce=nonce, request_id=run.request_id)]
@@ -316,8 +316,9 @@
         self.admission.refusal_threshold = self._upstream_limit.max_runs
         outrun = self.journal.progress(event.nonce, event.tokens)
         if outrun:
-            # Failure: an engine ignores its limit and spends past what the
-            # budget has set aside; the run ends at the reservation.
+            # Failure prevented: an engine ignores its output limit and spends
+            # more than the budget has reserved.  The run ends at the
+            # reservation.
             return self._fail(
                 event.nonce, FailureReason.RESERVATION_OUTRUN, event.tokens, now
             )
@@ -345,7 +346,7 @@
     def _fail(
         self, nonce: str, reason: FailureReason, tokens: int, now: float
     ) -> list[Effect]:
-        # A caller that left is billed what it took; a fault of ours is not.
+        # A cancelled run is billed; one that failed otherwise is not.
         billable = reason is FailureReason.CANCELLED
         receipt = self.journal.end(
             nonce, RunState.FAILED, tokens=tokens, billable=billable, now=now
--- a/src/ragwortkeel/sidecar/crashes.py
+++ b/src/ragwortkeel/sidecar/crashes.py
@@ -1,7 +1,8 @@
-"""Which requests were running when the upstream crashed, for the quarantine.
+"""Requests that were running when the upstream crashed, for the quarantine.
 
-The sidecar alone sees everything that ran there.  It gives each crash an id and
-names the bodies once; routers pass that on and decide by `policy.quarantine`.
+Only the sidecar knows everything that ran at the upstream.  It assigns each crash
+an id and reports the fingerprints of the requests once; routers forward the report
+and decide by `policy.quarantine`.
 """
 
 from dataclasses import dataclass
@@ -11,7 +12,7 @@
 from ragwortkeel.sidecar.effects import Peer, Send
 
 PEER_EXPIRY_SECONDS = 10.0
-"""Routers heartbeat every second; one not heard for so long is gone."""
+"""Silence after which a router counts as disconnected; heartbeats come each second."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -21,12 +22,12 @@
 
 
 class CrashDetector:
-    """Runs in flight by nonce, and the crashes that they were part of.
+    """Tracks the runs in flight and reports the crashes that broke them.
 
     Parameters
     ----------
     sidecar
-        Incarnation, the first half of each crash's id.
+        Incarnation of this sidecar, the first half of each crash id.
     """
 
     def __init__(self, *, sidecar: str) -> None:
@@ -37,34 +38,34 @@
         self._crash_count = 0
 
     def record_start(self, dispatch: Dispatch) -> None:
-        """Note a run that goes to the upstream."""
+        """Record a run that is sent to the upstream."""
         self._running_by_nonce[dispatch.nonce] = _Suspect(
             fingerprint=dispatch.fingerprint or fingerprint(dispatch.body),
             alone=dispatch.alone,
         )
 
     def record_end(self, nonce: str) -> None:
-        """Note that a run is over."""
+        """Record that a run ended."""
         self._running_by_nonce.pop(nonce, None)
         self._reported_nonces.discard(nonce)
 
     def record_peer(self, peer: Peer, now: float) -> None:
-        """Note a router that is connected."""
+        """Record a message of a connected router."""
         if peer:
             self._last_received_at_by_peer[peer] = now
 
     def remove_expired_peers(self, now: float) -> None:
-        """Forget routers that are not heard any more.
+        """Remove routers that have sent nothing for `PEER_EXPIRY_SECONDS`.
 
-        Every reconnection is a peer of another name, so they would add up.
+        Each reconnection creates a peer with a new name, so they would accumulate.
         """
         self._last_received_at_by_peer = self._live_peers(now)
 
     def report_crash(self, nonce: str, now: float) -> list[Send]:
-        """Tell every connected router of the crash that broke a run, once.
+        """Report the crash that broke a run to each connected router, once.
 
-        One crash breaks every run in flight, and each reports it: the first
-        names them all, so that the rest are not taken for crashes of their own.
+        One crash breaks every run in flight, and each run reports it.  The first
+        report names all of them, so the others don't count as separate crashes.
         """
         if nonce in self._reported_nonces or nonce not in self._running_by_nonce:
             return []
--- a/src/ragwortkeel/sidecar/dispatch_check.py
+++ b/src/ragwortkeel/sidecar/dispatch_check.py
@@ -1,4 +1,4 @@
-"""Whether a dispatch is let in, from all that the sidecar knows."""
+"""Check of a dispatch against journal, admission, answers and isolation."""
 
 from ragwortkeel.messages import Dispatch, RefusalReason
 from ragwortkeel.runs.answer import AnswerStore
@@ -13,7 +13,7 @@
     Parameters
     ----------
     incarnation
-        Of this sidecar.
+        Incarnation of this sidecar.
     """
 
     def __init__(
@@ -32,14 +32,14 @@
         self._isolation = isolation
 
     def reason_to_refuse(self, sender: str, dispatch: Dispatch) -> RefusalReason | None:
-        """Return why the dispatch of a router is not let in, or None."""
+        """Return the reason to refuse the dispatch of a router, or None."""
         if dispatch.sidecar != self._incarnation:
-            # Failure: a router's order to this sidecar's predecessor, whose
-            # journal is gone, would run here what may have run there.
+            # Failure prevented: a dispatch to the predecessor, whose journal is
+            # lost, runs here although it may have run there.
             return RefusalReason.WRONG_INCARNATION
         if self._journal.is_sealed(sender):
-            # Failure: a paused router wakes and spends a slice that has been
-            # given back meanwhile.
+            # Failure prevented: a router resumes after a pause and spends a
+            # slice that has been given back meanwhile.
             return RefusalReason.SEALED
         if not self._accepts_epoch(dispatch):
             return RefusalReason.STALE_EPOCH
@@ -60,6 +60,6 @@
         return self._journal.accepts_epoch(dispatch.epoch)
 
     def _is_duplicate(self, dispatch: Dispatch) -> bool:
-        # The intent keeps two attempts apart; this holds even if it is lost.
+        # Intents exclude two attempts already; this check needs no intent.
         found = self._journal.nonce_of_request(dispatch.profile, dispatch.request_id)
         return found is not None
--- a/src/ragwortkeel/sidecar/effects.py
+++ b/src/ragwortkeel/sidecar/effects.py
@@ -1,16 +1,16 @@
-"""What the sidecar's core asks of its tasks, and what the upstream tells it."""
+"""Effects that the sidecar's core requests, and events of the upstream."""
 
 from dataclasses import dataclass
 
 from ragwortkeel.messages import AnyMessage, Dispatch, FailureReason, RefusalReason
 
 Peer = str
-"""Identity of a router's link, as the endpoint names it."""
+"""Identity of a router's link, assigned by the endpoint."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Send:
-    """Send a message to a peer; a peer that is gone is no error."""
+    """Send a message to a peer; a disconnected peer is no error."""
 
     peer: Peer
     message: AnyMessage
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CancelRun:
-    """Ask the upstream to stop a run; its end is reported like any other."""
+    """Ask the upstream to stop a run; events report its end."""
 
     nonce: str
     request_id: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StopRun:
-    """Cut a run off; it has ended already as far as the core goes."""
+    """Abort a run that the core has already recorded as ended."""
 
     nonce: str
     request_id: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AnswerChunk:
-    """Bytes of the answer; `tokens` is the most that may be spent so far."""
+    """Bytes of the answer; `tokens` bounds what may have been spent so far."""
 
     nonce: str
     data: bytes
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class AnswerCompleted:
-    """The answer is whole and cost `tokens`."""
+    """The answer is complete and cost `tokens`."""
 
     nonce: str
     tokens: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RunBroken:
-    """The upstream failed after it may have begun; `tokens` is a bound."""
+    """The run failed after it may have begun; `tokens` bounds its cost."""
 
     nonce: str
     reason: FailureReason
--- a/src/ragwortkeel/sidecar/inbox_items.py
+++ b/src/ragwortkeel/sidecar/inbox_items.py
@@ -1,4 +1,4 @@
-"""What the sidecar's main task hears besides links, runs and the platform."""
+"""Items of the main task's inbox that come from the sidecar itself."""
 
 from dataclasses import dataclass
 
@@ -7,36 +7,36 @@
 
 
 class SidecarFailed(RagwortkeelError):
-    """A task of the sidecar ended by a fault; the process has to start anew."""
+    """A task of the sidecar failed; the process has to be restarted."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Tick:
-    """Time to look at what is due."""
+    """Periodic signal to check what is due."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ObjectsReceived:
-    """Configuration objects that may be newer than those known."""
+    """Configuration objects that may be newer than the stored ones."""
 
     objects: tuple[VersionedObject, ...]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Stop:
-    """Refuse new work and end once nothing is left in flight."""
+    """Refuse new work, and stop once nothing is left in flight."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class TaskFailed:
-    """A task ended by a fault of the program."""
+    """A task failed with an exception."""
 
     error: Exception
 
 
 @dataclass(frozen=True, kw_only=True)
 class Leftover:
-    """What a planned stop left undone at its deadline; zeros are a clean stop."""
+    """Work left when a planned stop ended; all values are zero after a clean stop."""
 
     running: int
     receipts: int
--- a/src/ragwortkeel/sidecar/isolation.py
+++ b/src/ragwortkeel/sidecar/isolation.py
@@ -1,14 +1,14 @@
-"""Running a suspected request alone: nothing else is at the upstream meanwhile."""
+"""Isolated execution of a request that is suspected of crashing upstreams."""
 
 from ragwortkeel.messages import Dispatch
 
 
 class Isolation:
-    """The one request that runs alone, or waits until it can.
+    """The single request that runs in isolation or is pending for it.
 
-    Failure: a request that crashes upstreams takes its neighbours' answers with
-    it.  While one is to run alone nothing new is let in, so what runs drains
-    within its deadlines, and then it runs by itself.
+    Failure prevented: a request that crashes upstreams breaks the runs beside it.
+    While a request is pending nothing new is admitted, so the runs in flight end
+    within their deadlines, and the request then runs alone.
     """
 
     def __init__(self) -> None:
@@ -17,26 +17,26 @@
 
     @property
     def is_occupied(self) -> bool:
-        """Whether a request runs alone or waits to; nothing else may start."""
+        """Whether a request runs alone or is pending; no other may start."""
         return self._dispatch is not None
 
     def set_pending(self, dispatch: Dispatch) -> None:
-        """Take the request that is to run alone."""
+        """Store the request that is to run alone."""
         self._dispatch = dispatch
         self._started = False
 
     def is_waiting(self, nonce: str) -> bool:
-        """Whether this nonce is held and has not started."""
+        """Return whether the request with this nonce is pending."""
         return self.is_occupied and not self._started and self._dispatch.nonce == nonce
 
     def start_if_alone(self, running: int) -> Dispatch | None:
-        """Return the held request once nothing but it is in the journal."""
+        """Return the pending request once no other run is in flight, else None."""
         if self._dispatch is None or self._started or running > 1:
             return None
         self._started = True
         return self._dispatch
 
     def record_end(self, nonce: str) -> None:
-        """Let others in again once the request that was alone is over."""
+        """Release the isolation if the ended run held it."""
         if self.is_occupied and self._dispatch.nonce == nonce:
             self._dispatch = None
--- a/src/ragwortkeel/sidecar/load.py
+++ b/src/ragwortkeel/sidecar/load.py
@@ -1,4 +1,4 @@
-"""Reading the upstream's own load report, which routers hear in heartbeats."""
+"""Polling of the upstream's load report, which heartbeats send to routers."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 from ragwortkeel.httpio import HttpClient
 
 POLL_INTERVAL_SECONDS = 0.5
-"""Engines report with a lag of this order; asking more often tells nothing new."""
+"""Engines report with a lag of this order, so more frequent polls gain nothing."""
 
 RESPONSE_TIMEOUT_SECONDS = 2.0
 OK = 200
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """What the upstream says of itself, a while ago; zeros where it says nothing."""
+    """The upstream's last load report; values are zero where it sends none."""
 
     waiting: int = 0
     limit: int = 0
 
 
 async def poll_load(client: HttpClient, inbox: curio.Queue) -> None:
-    """Put a `LoadReport` on the inbox now and then, until cancelled."""
+    """Put a `LoadReport` on the inbox periodically, until cancelled."""
     while True:
         report = await read_load(client)
         if report is not None:
@@ -39,7 +39,7 @@
 
 
 async def read_load(client: HttpClient) -> LoadReport | None:
-    """Return the upstream's report, None where it gives none."""
+    """Return the upstream's load report, or None where it sends none."""
     try:
         response = await client.request(
             "GET", "/load", timeout=RESPONSE_TIMEOUT_SECONDS
--- a/src/ragwortkeel/sidecar/overdue_writes.py
+++ b/src/ragwortkeel/sidecar/overdue_writes.py
@@ -1,8 +1,8 @@
-"""What a sidecar owes the platform, and when it sees to it itself.
+"""Writes of receipts and outcomes that routers have not made in time.
 
-Routers write receipts and outcomes.  A router that died or was cut off writes
-neither, so what stays open for a while is written from here; both writes are
-harmless when they are made twice.
+Routers write receipts and outcomes.  A crashed or disconnected router writes
+neither, so the sidecar writes what is still open after a grace period.  Both writes
+are idempotent.
 """
 
 from random import Random
@@ -18,27 +18,29 @@
 )
 
 RECEIPT_GRACE_SECONDS = 30.0
-"""Routers write receipts in batches every few seconds; later ones are stuck."""
+"""Age from which on the sidecar writes a receipt; routers need a few seconds."""
 
 OUTCOME_GRACE_SECONDS = 5.0
-"""A router writes an outcome at once; a retry may come soon after its death."""
+"""Age from which on the sidecar writes an outcome.
+
+Routers write outcomes at once, and a retry may follow a router crash soon.
+"""
 
 MAX_DOUBLINGS = 10
 INITIAL_BACKOFF_SECONDS = 2.0
 MAX_BACKOFF_SECONDS = 60.0
-"""Up to these pauses grow while the platform takes no writes.
+"""Bound of the backoff while the platform accepts no writes.
 
-Failure: an outage ends and ten thousand sidecars, each with receipts that waited,
-write again within the same second, and the platform goes down anew.  Pauses
-that have grown and differ spread them over a minute; meanwhile the routers'
-own writes make most of these needless.
+Failure prevented: an outage ends, 10,000 sidecars with pending receipts write within
+the same second, and the platform fails again.  Long random backoffs spread the writes
+over a minute, in which the writes of the routers make most of them needless.
 """
 
 MAX_STOPPING_BACKOFF_SECONDS = 1.0
 
 
 def backoff_seconds(failures: int, *, stopping: bool, random: Random) -> float:
-    """Return the seconds to wait after so many failed writes in a row."""
+    """Return the seconds to wait after this number of consecutive failed writes."""
     max_seconds = MAX_STOPPING_BACKOFF_SECONDS if stopping else MAX_BACKOFF_SECONDS
     seconds = min(
         INITIAL_BACKOFF_SECONDS * 2 ** min(failures, MAX_DOUBLINGS), max_seconds
@@ -47,14 +49,14 @@
 
 
 class OverdueWrites:
-    """Gives out one write at a time, and pauses while the platform takes none.
+    """Selects one write at a time, and backs off while the platform accepts none.
 
     Parameters
     ----------
     core
-        Knows what is owed.
+        Holds the journal and the answers.
     random
-        Spreads the pauses of many sidecars.
+        Spreads the backoffs of many sidecars.
     """
 
     def __init__(self, *, core: SidecarCore, random: Random) -> None:
@@ -65,7 +67,7 @@
         self._backoff_until = 0.0
 
     def next_write(self, now: float) -> RecorderJob | None:
-        """Return the write to make now, None where none is due."""
+        """Return the write that is due now, or None."""
         if self._busy or now < self._backoff_until:
             return None
         job = next_job(self._core, now)
@@ -73,12 +75,12 @@
         return job
 
     def record_success(self) -> None:
-        """Note that the last write took effect."""
+        """Record that the last write took effect."""
         self._busy = False
         self._failures = 0
 
     def record_failure(self, now: float) -> None:
-        """Note that the platform did not take the last write."""
+        """Record that the last write failed, and start a backoff."""
         self._busy = False
         self._failures += 1
         stopping = self._core.admission.stopping
@@ -88,14 +90,14 @@
         self._backoff_until = now + backoff
 
     def end_backoff(self) -> None:
-        """End a pause: the sidecar is stopping."""
+        """End the backoff, as the sidecar is stopping."""
         self._backoff_until = 0.0
 
 
 def next_job(core: SidecarCore, now: float) -> RecorderJob | None:
-    """Return the most urgent write that is due, None where nothing is.
+    """Return the most urgent write that is due, or None.
 
-    A sidecar that is stopping owes everything at once.
+    In a stopping sidecar every open write is due at once.
     """
     is_stopping = core.admission.stopping
     outcome_grace = 0.0 if is_stopping else OUTCOME_GRACE_SECONDS
@@ -107,9 +109,9 @@
 
 
 def outcome_of(core: SidecarCore, nonce: str) -> Outcome:
-    """Return what an intent should say of an ended run.
+    """Return the outcome of an ended run for its intent.
 
-    A run that broke off may have taken effect, so it waits for an operator.
+    A failed run may have taken effect, so it is left to an operator.
     """
     ended = core.answer_streams.end_of(nonce)
     answer = core.answer_streams.answers.get(nonce)
--- a/src/ragwortkeel/sidecar/recorder.py
+++ b/src/ragwortkeel/sidecar/recorder.py
@@ -1,7 +1,7 @@
-"""Writing receipts and outcomes to the platform, where a router does not.
+"""Writing receipts and outcomes to the platform where the router has not.
 
-A router that died or lost its way would leave bills and intents open; the
-sidecar beside the run knows both, so it writes them itself after a while.
+A crashed or disconnected router leaves bills and intents open.  The sidecar of the
+run has the data of both and writes them after a grace period.
 """
 
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WriteOutcome:
-    """Write how a must-not-repeat run ended into its intent."""
+    """Write the outcome of a must-not-repeat run into its intent."""
 
     run: Run
     outcome: intents.Outcome
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WriteFailed:
-    """The platform did not take a job; the tick tries again."""
+    """The platform failed to execute a job; a later tick retries it."""
 
     job: WriteReceipts | WriteOutcome
 
@@ -48,14 +48,14 @@
 
 
 class Recorder:
-    """The task that writes; one job at a time, each safe to repeat.
+    """Executes write jobs one at a time; each is idempotent.
 
     Parameters
     ----------
     sidecar
-        Incarnation that names the segments.
+        Incarnation of this sidecar, the writer in segment names.
     inbox
-        Takes `ReceiptsDurable`, `OutcomeDurable` or `WriteFailed` for each job.
+        Receives `ReceiptsDurable`, `OutcomeDurable` or `WriteFailed` for each job.
     """
 
     def __init__(self, *, platform: Platform, sidecar: str, inbox: curio.Queue) -> None:
@@ -65,7 +65,7 @@
         self.jobs: curio.Queue = curio.Queue()
 
     async def run(self) -> None:
-        """Take jobs until cancelled."""
+        """Execute jobs until cancelled."""
         while True:
             job = await self.jobs.get()
             try:
@@ -89,7 +89,7 @@
             try:
                 await self._platform.create(RECEIPTS, segment.name, value)
             except AlreadyExists:
-                # An earlier try took effect, and only its answer was lost.
+                # An earlier attempt took effect and only its answer was lost.
                 continue
 
     async def _write_outcome(self, run: Run, outcome: intents.Outcome) -> None:
@@ -101,8 +101,8 @@
             try:
                 intent = intents.decode(stored.value)
             except intents.IntentUnreadable as exc:
-                # Nobody can read it, so that no retry can run; the sidecar
-                # must not fall over it for good.
+                # No router can read it either, so no retry can run.  The
+                # sidecar must not fail on it again and again.
                 log_error("intent_unreadable", name=name, error=str(exc))
                 return
             if not intents.may_settle(intent, run.nonce):
--- a/src/ragwortkeel/sidecar/registration.py
+++ b/src/ragwortkeel/sidecar/registration.py
@@ -1,8 +1,8 @@
-"""Registering a sidecar, and what it has to know before it takes work.
+"""Registration of a sidecar, and reading the seals before it admits work.
 
-The order of calls is the guard: the sidecar is in the platform's list first and
-reads the seals after, while a sealer writes the seal first and reads the list
-after.  Whichever came first, one of them sees the other.
+The order of the calls guards the seals: a sidecar registers, then reads the seals;
+a sealer writes the seal, then reads the list of sidecars.  Whichever is first, at
+least one of them sees the other.
 """
 
 from collections.abc import Callable
@@ -22,12 +22,15 @@
 
 RETRY_INTERVAL_SECONDS = 1.0
 SEALS_READ_INTERVAL_SECONDS = 120.0
-"""Only a second line, as a sealer tells each registered sidecar itself: two reads
-by 10,000 sidecars in that time are 167 a second, a twelfth of what there is."""
+"""Interval of the fallback reads; sealers also message each registered sidecar.
+
+Two reads by each of 10,000 sidecars in 120 s make 167 reads a second, a twelfth of
+the platform's capacity.
+"""
 
 
 class _Fence(msgspec.Struct, frozen=True, kw_only=True):
-    """The highest fencing number given out for an upstream, and to whom."""
+    """The highest fencing number of an upstream, and the incarnation that got it."""
 
     number: int
     incarnation: str
@@ -35,10 +38,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Registration:
-    """What a registered sidecar holds.
+    """Fencing number and seals of a registered sidecar.
 
-    `fencing_number` is higher than that of every sidecar of the same upstream
-    that registered before; `sealed` are router incarnations.
+    `fencing_number` is higher than those of all sidecars that registered earlier
+    for the same upstream.  `sealed` holds router incarnations.
     """
 
     fencing_number: int
@@ -47,25 +50,25 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SealsRead:
-    """The router incarnations that were sealed when last looked."""
+    """The router incarnations that were sealed at the last read."""
 
     routers: frozenset[str]
 
 
 @dataclass(frozen=True, kw_only=True)
 class RegistrationLost:
-    """Another process took this sidecar off the list; it has to join again."""
+    """Another process removed this sidecar's registration; it registers again."""
 
 
 class Registrar:
-    """The task that keeps a sidecar registered and reads the seals.
+    """Keeps a sidecar registered and reads the seals.
 
     Parameters
     ----------
     node
-        Returns what to register; called once the address is known.
+        Returns the entry to register; called once the address is known.
     inbox
-        Takes `Registration`, `SealsRead` and `RegistrationLost`.
+        Receives `Registration`, `SealsRead` and `RegistrationLost`.
     """
 
     def __init__(
@@ -76,7 +79,7 @@
         self._inbox = inbox
 
     async def run(self) -> None:
-        """Register, and again once struck off, until cancelled."""
+        """Register, and again whenever the registration is lost, until cancelled."""
         while True:
             try:
                 registration = await register(self._platform, self._node())
@@ -88,7 +91,7 @@
             await self._inbox.put(RegistrationLost())
 
     async def deregister(self) -> bool:
-        """Take the sidecar off the list; return whether that is sure."""
+        """Remove the registration; return whether the platform confirmed it."""
         try:
             await deregister(self._platform, self._node())
         except PlatformError:
@@ -96,7 +99,7 @@
         return True
 
     async def _watch_registration(self) -> None:
-        """Read the seals now and then; return once struck off."""
+        """Read the seals periodically; return once the registration is lost."""
         while True:
             await curio.sleep(SEALS_READ_INTERVAL_SECONDS)
             try:
@@ -112,12 +115,12 @@
 async def register(platform: Platform, node: Node) -> Registration:
     """Register, then read the seals.
 
-    May be called again with the same node after any error of the platform.
+    The call may be repeated with the same node after any platform error.
 
     Raises
     ------
     PlatformError
-        Nothing may be let in yet.
+        The registration is not certain, so no work may be admitted.
     """
     number = await _next_fencing_number(platform, node)
     await _create_node(platform, node)
@@ -131,19 +134,19 @@
 
 
 async def is_registered(platform: Platform, node: Node) -> bool:
-    """Whether the sidecar is still on the list.
+    """Return whether the sidecar is still registered.
 
-    Failure: it was taken for dead and struck off while it was only cut off; a
-    sealer does not find it any more and it would let sealed routers in.
+    Failure prevented: a partitioned sidecar is taken for crashed and removed.
+    Sealers no longer find it, and it would admit dispatches of sealed routers.
     """
     return await platform.get(NODES, node.incarnation) is not None
 
 
 async def deregister(platform: Platform, node: Node) -> None:
-    """Take the sidecar off the list; harmless where it is off already.
+    """Remove the registration; no error where it is removed already.
 
-    Only for one whose receipts are all durable: a sealer that doesn't find it
-    takes it that nothing is left to ask.
+    Call this only once all receipts are durable: a sealer that doesn't find the
+    sidecar assumes that it has no receipts left.
     """
     stored = await platform.get(NODES, node.incarnation)
     if stored is not None:
@@ -167,7 +170,7 @@
             else:
                 await platform.update(FENCES, node.upstream, value, stored.version)
         except (AlreadyExists, VersionConflict, OutcomeUnknown):
-            # The next read tells whether the write was ours.
+            # The next read shows whether this write took effect.
             continue
         return fence.number
 
@@ -176,5 +179,5 @@
     try:
         await platform.create(NODES, node.incarnation, msgspec.json.encode(node))
     except AlreadyExists:
-        # An incarnation's name is its own: an earlier try took effect.
+        # Incarnation names are unique, so an earlier attempt took effect.
         return
--- a/src/ragwortkeel/sidecar/reporting.py
+++ b/src/ragwortkeel/sidecar/reporting.py
@@ -1,4 +1,4 @@
-"""Logs and metrics of what a sidecar decides; never on the way of a token."""
+"""Logs and metrics of a sidecar's decisions; none per token."""
 
 from ragwortkeel.logs import log_debug, log_info, log_warning
 from ragwortkeel.messages import (
@@ -30,18 +30,18 @@
     RefusalReason.DRAINING,
     RefusalReason.STOPPING,
 }
-"""Refusals that come by the thousand under load; the metric is enough."""
+"""Refusals that are frequent under load, so they are logged at debug level."""
 
 
 class Reporting:
-    """Says what happened, once for each decision.
+    """Logs and counts each decision once.
 
     Parameters
     ----------
     sidecar
-        Incarnation, in each line.
+        Incarnation of this sidecar, a field of each log line.
     metrics
-        What counts.
+        Counts the decisions.
     """
 
     def __init__(self, *, sidecar: str, metrics: Metrics) -> None:
@@ -49,7 +49,7 @@
         self._metrics = metrics
 
     def report_item(self, item: object) -> None:
-        """Report what came in from the upstream, the platform or the recorder."""
+        """Report an inbox item of the upstream, the registrar or the recorder."""
         match item:
             case AnswerCompleted():
                 self._metrics.decided(decision=RUN_ENDED, reason="finished")
@@ -93,7 +93,7 @@
                 log_debug("run_stopped", sidecar=self._sidecar, nonce=nonce)
 
     def report_load(self, core: SidecarCore) -> None:
-        """Report how much is in flight."""
+        """Report the number of running and queued requests."""
         self._metrics.load(running=core.journal.running, queued=core.load.waiting)
 
     def _info(self, event: str, **fields) -> None:
--- a/src/ragwortkeel/sidecar/runner.py
+++ b/src/ragwortkeel/sidecar/runner.py
@@ -1,4 +1,4 @@
-"""The tasks of runs in flight at the upstream, by nonce."""
+"""Tasks of the runs in flight at the upstream, by nonce."""
 
 from dataclasses import dataclass
 
@@ -32,14 +32,14 @@
     client
         The upstream's HTTP client.
     report
-        Takes the events of every run.
+        Receives the events of every run.
     tracing
         Starts a span for each run.
 
     Attributes
     ----------
     fencing_number : int
-        Sent with every order once the sidecar is registered.
+        Sent with every request once the sidecar is registered.
     """
 
     def __init__(
@@ -66,12 +66,12 @@
         self._running_by_nonce[dispatch.nonce] = _Running(run=run, task=task)
 
     async def cancel(self, nonce: str, request_id: str) -> None:
-        """Ask the upstream to end a run, so that it says what it cost."""
+        """Ask the upstream to end a run, so that it reports the cost."""
         if nonce in self._running_by_nonce:
             await curio.spawn(self._cancel, nonce, request_id, daemon=True)
 
     async def stop(self, nonce: str, request_id: str) -> None:
-        """Close the run's connection and tell the upstream to stop."""
+        """Close the run's connection and ask the upstream to stop."""
         running = self._running_by_nonce.pop(nonce, None)
         if running is None:
             return
@@ -90,7 +90,7 @@
         await curio.sleep(CANCEL_TIMEOUT_SECONDS)
         running = self._running_by_nonce.pop(nonce, None)
         if running is not None:
-            # The engine goes on all the same: cut off, at the most it can cost.
+            # The engine ignored the request: abort, at the bound of the cost.
             await running.task.cancel()
             await running.run.report_broken(FailureReason.CANCELLED)
 
@@ -98,7 +98,7 @@
         try:
             await run.run()
         except Exception as exc:
-            # A fault of this program must not leave a caller waiting for good.
+            # An exception must not leave a caller waiting forever.
             log_error("run_crashed", nonce=nonce, error=repr(exc))
             await run.report_broken(FailureReason.UPSTREAM_ERROR)
         finally:
--- a/src/ragwortkeel/sidecar/sealing.py
+++ b/src/ragwortkeel/sidecar/sealing.py
@@ -1,4 +1,4 @@
-"""Sealing a router incarnation here, and reporting what it ran."""
+"""Sealing of a router incarnation, and reports of its runs to the sealers."""
 
 from collections import defaultdict
 
@@ -8,16 +8,16 @@
 from ragwortkeel.sidecar.effects import Peer, Send
 
 MAX_SEALED_RECEIPTS = 2_000
-"""In one report, about half a megabyte; this sidecar writes the rest itself."""
+"""Receipts in one report, about 0.5 MB; the sidecar writes the others itself."""
 
 
 class Sealing:
-    """Answers sealers, at once and again when the last run has ended.
+    """Replies to sealers at once, and again when the last run has ended.
 
     Parameters
     ----------
     incarnation
-        Of this sidecar.
+        Incarnation of this sidecar.
     """
 
     def __init__(self, *, incarnation: str, journal: Journal) -> None:
@@ -26,14 +26,14 @@
         self._sealers_by_router: dict[str, set[Peer]] = defaultdict(set)
 
     def seal(self, peer: Peer, router: str) -> list[Send]:
-        """Refuse a router from now on and report to who asked."""
+        """Seal a router and report its runs to the peer that asked."""
         report = self._journal.seal(router)
         if report.running:
             self._sealers_by_router[router].add(peer)
         return [Send(peer=peer, message=self._sealed_message(router, report))]
 
     def record_run_end(self, router: str) -> list[Send]:
-        """Report again once a sealed router's last run has ended."""
+        """Report to the sealers again if a sealed router's last run has ended."""
         if router not in self._sealers_by_router:
             return []
         report = self._journal.seal(router)
--- a/src/ragwortkeel/sidecar/sidecar.py
+++ b/src/ragwortkeel/sidecar/sidecar.py
@@ -1,7 +1,7 @@
-"""The sidecar's tasks: sockets in, the core's decisions, effects out.
+"""The tasks of the sidecar, around the core that decides.
 
-The main task alone owns the core; the endpoint's reader, the runs, the recorder
-and the registrar talk to it through one inbox.
+Only the main task uses the core.  The endpoint's reader, the runs, the recorder and
+the registrar send to it through one inbox.
 """
 
 from collections.abc import Awaitable, Callable
@@ -62,30 +62,30 @@
 
 TICK_INTERVAL_SECONDS = 0.25
 EPOCH_SECONDS = 30.0
-"""Many heartbeats long, so that a router that is heard never falls behind."""
+"""Many heartbeats long, so that the epoch of a connected router is never stale."""
 
 
 class Sidecar:
-    """One sidecar: the only way to the upstream beside it.
+    """One sidecar, the only client of its upstream.
 
     Parameters
     ----------
     settings
         Names and addresses.
     incarnation
-        Unique to this start of the process.
+        Name that is unique to this start of the process.
     platform
         The platform's client.
     revision
         The configuration revision in force, sent with every message.
     configuration_inbox
-        Where configuration messages and heartbeats of peers go, as `Received`.
+        Receives configuration messages and heartbeats of peers, as `Received`.
     tracing
-        Where spans of runs go.
+        Receives the spans of runs.
     metrics
-        Where runs, refusals and receipts are counted.
+        Counts runs, refusals and receipts.
     address
-        Where to listen instead of the settings' address; port 0 takes a free one.
+        Listen address in place of the settings' one; port 0 selects a free port.
 
     Examples
     --------
@@ -145,12 +145,12 @@
 
     @property
     def address(self) -> str:
-        """Where routers connect, once `open` was called."""
+        """Address that routers connect to, once `open` was called."""
         return self._endpoint.address
 
     @property
     def admitted(self) -> bool:
-        """Whether work may be let in: registered, and the seals are read."""
+        """Whether work may be admitted: registered, and the seals are read."""
         return self._core.admission.admitted
 
     def open(self) -> None:
@@ -158,12 +158,12 @@
         self._endpoint.open()
 
     async def run(self) -> Leftover:
-        """Serve until `stop`, and return what was left undone.
+        """Serve until `stop`, and return the work that was left.
 
         Raises
         ------
         SidecarFailed
-            A task failed by a fault of the program.
+            A task failed with an exception.
         """
         self._next_epoch_at = self._clock() + EPOCH_SECONDS
         jobs = [
@@ -191,18 +191,18 @@
             await self._client.close()
 
     async def stop(self) -> None:
-        """Begin a planned stop; `run` returns when it is over."""
+        """Begin a planned stop; `run` returns at its end."""
         await self._inbox.put(Stop())
 
     async def receive_objects(self, objects: tuple[VersionedObject, ...]) -> None:
-        """Take in configuration objects; older ones than known change nothing.
+        """Merge configuration objects; older versions change nothing.
 
         The upstream's own object decides whether this sidecar is draining.
         """
         await self._inbox.put(ObjectsReceived(objects=objects))
 
     async def send(self, peer: str, message: AnyMessage) -> None:
-        """Send to a peer; one that is gone is no error."""
+        """Send to a peer; a disconnected peer is no error."""
         try:
             await self._endpoint.send(peer, message)
         except LinkLost:
@@ -239,7 +239,7 @@
             case WriteFailed():
                 self._overdue_writes.record_failure(now)
             case TaskFailed(error=error):
-                raise SidecarFailed("a task failed") from error
+                raise SidecarFailed("a task of the sidecar failed") from error
             case _:
                 self._on_control(item, now)
         return []
@@ -300,8 +300,8 @@
                 await self._runner.stop(nonce, request_id)
 
     async def _run_guarded(self, job: Callable[[], Awaitable[None]]) -> None:
-        # Failure: a task dies of a fault and the rest goes on without it, a
-        # sidecar that looks alive and is deaf.  So its death ends the process.
+        # Failure prevented: one task fails, the others continue, and the
+        # sidecar looks live but no longer works.  So it ends the process.
         try:
             await job()
         except Exception as exc:
--- a/src/ragwortkeel/sidecar/upstream.py
+++ b/src/ragwortkeel/sidecar/upstream.py
@@ -1,8 +1,8 @@
-"""One run at the upstream: the HTTP exchange, turned into typed events.
+"""One run at the upstream: an HTTP exchange that is reported as typed events.
 
-Each run is a task of its own that owns its connection.  What it can't be sure
-of it reports as broken with the most that may have been spent, never as
-declined: only a request that surely did not run is declined.
+Each run is a separate task with its own connection.  Only a request that certainly
+did not run is reported as declined.  In case of doubt it is reported as broken, with
+the bound of the tokens that it may have spent.
 """
 
 from collections.abc import Awaitable, Callable
@@ -28,13 +28,16 @@
 )
 
 MAX_SILENCE_SECONDS = 20.0
-"""Between two chunks of an answer; a stream that is silent for longer is dead."""
+"""Longest gap between two chunks; a stream with a longer gap has failed."""
 
 MIN_UNREPEATABLE_SECONDS = 120.0
-"""A must-not-repeat run may outlive its caller: cut off, its fate is unknown."""
+"""Shortest timeout of a must-not-repeat run.
+
+It may exceed the caller's, as the outcome of an aborted run is unknown.
+"""
 
 CANCEL_TIMEOUT_SECONDS = 2.0
-"""An engine ends a cancelled stream within a step or two."""
+"""Time for an engine to end a cancelled stream, which takes it one or two steps."""
 
 OK = 200
 CONFLICT = 409
@@ -42,7 +45,7 @@
 SERVER_ERROR = 500
 UNAVAILABLE = 503
 DECLINING_STATUSES = {TOO_MANY_REQUESTS, UNAVAILABLE}
-"""With these an engine turns a request away before it runs."""
+"""Statuses with which an engine refuses a request before it runs."""
 
 ReportEvent = Callable[[UpstreamEvent], Awaitable[None]]
 
@@ -59,12 +62,12 @@
     client
         The upstream's HTTP client.
     dispatch
-        What to run.
+        The request to run.
     fencing_number
-        Goes up with each sidecar of this upstream; engines that check it
-        refuse what an earlier sidecar may still send.
+        Increases with each sidecar of this upstream; engines that check it
+        refuse requests of earlier sidecars.
     report
-        Takes each event in order; the last one ends the run.
+        Receives the events in order; the last event ends the run.
     """
 
     def __init__(
@@ -87,7 +90,7 @@
         self._stream = StreamUsage()
 
     async def run(self) -> None:
-        """Run to the end and report it; cancellation ends it without a report."""
+        """Run to the end and report it; a cancelled task reports nothing."""
         try:
             async with curio.timeout_after(self._timeout_seconds()):
                 await self._exchange()
@@ -101,7 +104,7 @@
             await self.report_broken(FailureReason.CRASHED)
 
     async def report_broken(self, reason: FailureReason) -> None:
-        """ReportEvent that the run broke off, with the most it can have spent."""
+        """Report that the run failed, with the bound of its tokens."""
         has_streamed = (
             self._stream.content_events > 0 or self._stream.token_count is not None
         )
@@ -138,15 +141,15 @@
             elif _has_delimited_body(response):
                 await self._forward_document(response)
             else:
-                # Failure: the answer ends only with its connection, so one cut
-                # short looks whole.
+                # Failure prevented: the answer ends only with its connection,
+                # so a truncated answer looks complete.
                 await self.report_broken(FailureReason.TRUNCATED)
 
     async def _handle_refusal(self, response: StreamedResponse) -> None:
         async for _ in response.pieces():
             pass
         if response.status in DECLINING_STATUSES and self._dispatch.idempotent:
-            # Of a service whose calls may not be repeated, 503 proves nothing.
+            # A must-not-repeat call may have run in spite of status 503.
             await self._report_declined(RefusalReason.OVERLOADED)
         else:
             await self.report_broken(FailureReason.UPSTREAM_ERROR)
@@ -159,8 +162,8 @@
         if self._stream.cancelled:
             await self.report_broken(FailureReason.CANCELLED)
         elif not self._stream.done:
-            # Failure: an engine that dies closes its stream in good order; the
-            # end marker is missing, and half an answer must not pass for one.
+            # Failure prevented: a crashing engine closes its stream in good
+            # order, and a truncated answer without end marker looks complete.
             await self.report_broken(FailureReason.TRUNCATED)
         else:
             await self._report_completed(response.status, self._stream.token_count)
@@ -196,11 +199,11 @@
 
     async def _report_completed(self, status: int, token_count: int | None) -> None:
         if status != OK:
-            # The upstream refused the request as wrong; nothing was generated.
+            # The upstream rejected the request, so it generated nothing.
             token_count = 0
         elif token_count is None:
-            # Without usage the reservation is charged: it is all that can have
-            # been spent, and for a plain call it is the price.
+            # Without usage the reservation is charged.  It bounds the tokens of
+            # an engine, and is the price of a plain call.
             token_count = self._dispatch.reservation
         await self._report(
             AnswerCompleted(nonce=self._dispatch.nonce, tokens=token_count)
@@ -210,7 +213,7 @@
         await self._report(RunDeclined(nonce=self._dispatch.nonce, reason=reason))
 
     async def _chunks(self, response: StreamedResponse):
-        """Yield the body; `UpstreamSilent` where nothing comes for too long."""
+        """Yield the body; raise `UpstreamSilent` after too long a gap."""
         chunks = response.pieces()
         while True:
             try:
@@ -219,7 +222,9 @@
             except StopAsyncIteration:
                 return
             except curio.TaskTimeout as exc:
-                raise UpstreamSilent("the answer went silent") from exc
+                raise UpstreamSilent(
+                    "the upstream stopped sending within an answer"
+                ) from exc
             yield chunk
 
     def _token_bound(self) -> int:
@@ -231,7 +236,10 @@
 async def cancel_request(
     client: HttpClient, request_id: str, fencing_number: int
 ) -> None:
-    """Ask the upstream to stop; it notices a closed connection as well."""
+    """Ask the upstream to stop a request; failures are ignored.
+
+    The upstream detects the closed connection as well.
+    """
     headers = {"x-fencing-number": str(fencing_number)}
     try:
         await client.request(
--- a/src/ragwortkeel/sidecar/upstream_limit.py
+++ b/src/ragwortkeel/sidecar/upstream_limit.py
@@ -1,15 +1,18 @@
-"""The adaptive limit of the upstream, fed with what first tokens tell."""
+"""The adaptive concurrency limit of the upstream, set by times to first token."""
 
 from ragwortkeel.policy.limits import AdaptiveLimit, Sample
 
 OVERSHOOT_FACTOR = 1.25
 OVERSHOOT_RUNS = 2
-"""Routers act on reports that lag, several at once: refusing at the limit itself
-would send requests back and forth while the upstream has room."""
+"""Runs beyond the limit that are still accepted.
+
+Several routers act on reports that lag.  Refusals at the limit itself would send
+requests back and forth while the upstream has headroom.
+"""
 
 
 class UpstreamLimit:
-    """Times each run to its first piece and moves the limit by it."""
+    """Measures the time of each run to its first chunk and adapts the limit."""
 
     def __init__(self) -> None:
         self._limit = AdaptiveLimit()
@@ -17,22 +20,22 @@
 
     @property
     def limit(self) -> int:
-        """Runs at once that routers should keep below."""
+        """Number of concurrent runs that routers should stay below."""
         return self._limit.limit
 
     @property
     def max_runs(self) -> int:
-        """Runs at once from which on dispatches are refused as overloaded."""
+        """Number of concurrent runs from which on dispatches are refused."""
         return int(self.limit * OVERSHOOT_FACTOR) + OVERSHOOT_RUNS
 
     def record_start(self, nonce: str, promised_seconds: float, now: float) -> None:
-        """Note a run that goes to the upstream; no promise binds where 0."""
+        """Record a run that is sent to the upstream; 0 stands for no promise."""
         self._open_by_nonce[nonce] = (now, promised_seconds)
 
     def record_first_chunk(
         self, nonce: str, *, running: int, queued: bool, now: float
     ) -> None:
-        """Note the first piece of an answer; later ones change nothing."""
+        """Record the first chunk of an answer; later chunks change nothing."""
         timed = self._open_by_nonce.pop(nonce, None)
         if timed is None:
             return
@@ -45,5 +48,5 @@
         self._limit.observe(sample, running=running, now=now)
 
     def record_end(self, nonce: str) -> None:
-        """Forget a run that ended without an answer."""
+        """Remove a run that ended, also without an answer."""
         self._open_by_nonce.pop(nonce, None)
--- a/src/ragwortkeel/sidecar/usage.py
+++ b/src/ragwortkeel/sidecar/usage.py
@@ -1,4 +1,4 @@
-"""Reading tokens and the end marker out of an answer while it passes through."""
+"""Token counts and end marker of an answer, read while it is forwarded."""
 
 import msgspec
 
@@ -22,14 +22,14 @@
 
 
 class _Answer(msgspec.Struct):
-    """What is looked at of a whole answer or of one event of a stream."""
+    """The fields that are read of a complete answer or of one stream event."""
 
     usage: _Usage | None = None
     choices: tuple[_Choice, ...] = ()
 
     @property
     def cancelled(self) -> bool:
-        """Whether the engine stopped because it was told to."""
+        """Whether the engine stopped on request."""
         return any(choice.finish_reason == CANCELLED for choice in self.choices)
 
 
@@ -46,14 +46,14 @@
 
 
 class DocumentUsage:
-    """Tokens and end of an answer that comes as one JSON document.
+    """Token count and state of an answer that is one JSON document.
 
     Attributes
     ----------
     token_count : int or None
-        Tokens by the answer's own usage, None where it has none.
+        Tokens of the answer's `usage` field, None without it.
     cancelled : bool
-        Whether it was cut short on request: never to be shown as whole.
+        Whether it was cancelled; it must not be shown as complete.
     """
 
     def __init__(self, body: bytes) -> None:
@@ -66,7 +66,7 @@
 
 
 def is_stale_fencing_refusal(body: bytes) -> bool:
-    """Whether an engine's refusal says that the fencing number is old."""
+    """Return whether a refusal body reports a stale fencing number."""
     try:
         refusal = msgspec.json.decode(body, type=_Refusal)
     except msgspec.DecodeError:
@@ -75,10 +75,10 @@
 
 
 def prompt_token_bound(body: bytes, reservation: int) -> int:
-    """Return what the reservation sets aside for the prompt.
+    """Return the tokens that the reservation sets aside for the prompt.
 
-    The rest is the output limit that the body gives the engine; a body without
-    one leaves everything to the prompt, which only counts too much.
+    The other tokens are the output limit in the body.  Without one the full
+    reservation counts for the prompt, which can only overestimate the cost.
     """
     try:
         limits = msgspec.json.decode(body, type=_Limits)
@@ -88,18 +88,18 @@
 
 
 class StreamUsage:
-    """Tokens and end marker of a server-sent event stream.
+    """Token count and end marker of a server-sent event stream.
 
     Attributes
     ----------
     content_events : int
-        Events with content so far; an engine sends one a token.
+        Events with content so far; an engine sends one event per token.
     token_count : int or None
-        Tokens by the stream's own usage, once it came.
+        Tokens of the stream's `usage` field, None before it arrives.
     done : bool
-        Whether the end marker came; without it the answer is truncated.
+        Whether the end marker arrived; without it the answer is truncated.
     cancelled : bool
-        Whether it was cut short on request: never to be shown as whole.
+        Whether it was cancelled; it must not be shown as complete.
     """
 
     def __init__(self) -> None:
@@ -110,7 +110,7 @@
         self._line = b""
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes, however they are cut."""
+        """Parse the next bytes, which may end anywhere in a line."""
         *lines, self._line = (self._line + data).split(b"\n")
         for line in lines:
             self._parse_line(line.strip())
@@ -125,12 +125,12 @@
         try:
             event = msgspec.json.decode(payload, type=_Answer)
         except msgspec.DecodeError:
-            # Counted, because too many is the safe side.
+            # Counted, as a count that is too high is safe.
             self.content_events += 1
             return
         self.cancelled = self.cancelled or event.cancelled
         if event.usage is not None:
             self.token_count = event.usage.total_tokens
-        # Events that only name a role or an end carry no token.
+        # Events that contain only a role or a finish reason carry no token.
         if any(c.delta is not None and c.delta.content for c in event.choices):
             self.content_events += 1
--- a/src/ragwortkeel/sidecar/worker.py
+++ b/src/ragwortkeel/sidecar/worker.py
@@ -1,4 +1,4 @@
-"""The sidecar daemon's work: the sidecar, and the configuration it needs."""
+"""Tasks of the sidecar daemon: the sidecar and its configuration."""
 
 from random import Random
 from time import monotonic
@@ -20,14 +20,14 @@
 from ragwortkeel.traces import Tracing
 
 PEER_EXPIRY_SECONDS = 10.0
-"""A router that has not been heard for this long is no partner any more."""
+"""Silence after which a router is removed from the gossip partners."""
 
 
 class SidecarWorker:
     """Everything a sidecar process runs.
 
-    A sidecar holds its own upstream's object and hears of it from the routers
-    that are linked to it; it never watches the platform.
+    A sidecar stores its own upstream's object and receives it from connected
+    routers; it never watches the platform.
 
     .. versionadded:: 0.1
     """
@@ -68,7 +68,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether work is let in."""
+        """Whether work is admitted."""
         return self._sidecar.admitted
 
     def open(self) -> None:
@@ -76,12 +76,12 @@
         self._sidecar.open()
 
     async def run(self) -> None:
-        """Work until cancelled or until a task fails."""
+        """Run until cancelled or until a task fails."""
         self._serving = await curio.spawn(self._sidecar.run, daemon=True)
         await run_together(self._gossip.run, self._read_peers, self._watch_sidecar)
 
     async def stop(self) -> Leftover:
-        """Finish what is in flight, flush receipts, deregister."""
+        """Finish the runs in flight, write receipts and deregister."""
         await self._sidecar.stop()
         leftover = await self._serving.join()
         return Leftover(
@@ -93,14 +93,14 @@
         )
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return what is in force here of an object."""
+        """Return the version of an object that is in force here."""
         return self._store.in_force(kind, name)
 
     async def _watch_sidecar(self) -> None:
         await self._serving.wait()
         if self._serving.exception is not None:
             raise self._serving.exception
-        # A planned stop: its caller holds the result and ends the process.
+        # After a planned stop the caller has the result and ends the process.
         await curio.Event().wait()
 
     async def _receive_objects(self, objects: list[VersionedObject]) -> None:
