--- a/src/ragwortkeel/cli/bills.py
+++ b/src/ragwortkeel/cli/bills.py
@@ -4,7 +4,7 @@
 
 from ragwortkeel.budget.receipt import Bill, decode_segment
 from ragwortkeel.cli.objects import list_kind
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.configuration import RECEIPTS
 from ragwortkeel.exceptions import CommandError
 from ragwortkeel.platform import Platform
@@ -49,11 +49,13 @@
     if profile:
         rows = _request_rows(found, profile)
         cells = [[row.request_id, row.tokens, row.sidecar] for row in rows]
-        return Result(data=rows, text=table(("request", "tokens", "sidecar"), cells))
+        return Result(
+            data=rows, text=format_table(("request", "tokens", "sidecar"), cells)
+        )
     rows = _bill_rows(found)
     cells = [[row.profile, row.requests, row.tokens, row.absorbed] for row in rows]
     headings = ("profile", "requests", "tokens", "absorbed")
-    return Result(data=rows, text=table(headings, cells))
+    return Result(data=rows, text=format_table(headings, cells))
 
 
 def _request_rows(found: Bill, profile: str) -> list[RequestRow]:
--- a/src/ragwortkeel/cli/budgets.py
+++ b/src/ragwortkeel/cli/budgets.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ragwortkeel.budget.ledger import Ledger, decode_ledger, encode_ledger
-from ragwortkeel.cli.objects import list_kind, unavailable
+from ragwortkeel.cli.objects import list_kind, unavailable_error
 from ragwortkeel.configuration import LEDGERS
 from ragwortkeel.exceptions import (
     AlreadyExists,
@@ -28,7 +28,7 @@
 )
 from ragwortkeel.platform import Platform, Stored
 
-ATTEMPTS = 30
+MAX_WRITE_ATTEMPTS = 30
 """1,000 routers renew a busy slice some times a second; one of 30 gets in."""
 
 Transition = Callable[[Ledger], Ledger]
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Changed:
+class LedgerChange:
     """A ledger after an operation, and the id that repeats it safely."""
 
     ledger: Ledger
@@ -66,16 +66,16 @@
     async def find(self, profile: str) -> Ledger | None:
         """Return a profile's ledger, or None where it has none."""
         stored = await self._read(profile)
-        return None if stored is None else _decoded(stored)
+        return None if stored is None else _decode(stored)
 
     async def all(self) -> dict[str, Ledger]:
         """Return all ledgers by profile."""
         listing = await list_kind(self._platform, LEDGERS)
-        return {name: _decoded(one) for name, one in listing.by_name.items()}
+        return {name: _decode(one) for name, one in listing.by_name.items()}
 
     async def top_up(
         self, profile: str, tokens: int, operation_id: str = ""
-    ) -> Changed:
+    ) -> LedgerChange:
         """Add prepaid tokens; makes the ledger where there is none."""
         operation_id = operation_id or await self._new_id(profile)
         ledger = await self._apply(
@@ -83,9 +83,11 @@
             lambda one: one.top_up(tokens=tokens, operation_id=operation_id),
             operation_id,
         )
-        return Changed(ledger=ledger, operation_id=operation_id)
+        return LedgerChange(ledger=ledger, operation_id=operation_id)
 
-    async def lower(self, profile: str, tokens: int, operation_id: str = "") -> Changed:
+    async def lower(
+        self, profile: str, tokens: int, operation_id: str = ""
+    ) -> LedgerChange:
         """Take prepaid tokens off at once, or refuse."""
         operation_id = operation_id or await self._new_id(profile)
         ledger = await self._apply(
@@ -93,7 +95,7 @@
             lambda one: one.lower(tokens=tokens, operation_id=operation_id),
             operation_id,
         )
-        return Changed(ledger=ledger, operation_id=operation_id)
+        return LedgerChange(ledger=ledger, operation_id=operation_id)
 
     async def recall(self, profile: str, to: int) -> Ledger:
         """Lower the prepaid tokens to `to` as slices come back."""
@@ -111,9 +113,9 @@
         self, profile: str, transition: Transition, operation_id: str
     ) -> Ledger:
         maybe_written = False
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
-                return await self._try(profile, transition)
+                return await self._apply_once(profile, transition)
             except (VersionConflict, AlreadyExists, ObjectNotFound):
                 continue
             except OutcomeUnknown:
@@ -122,25 +124,25 @@
                 maybe_written = True
             except PlatformUnavailable as exc:
                 if maybe_written:
-                    raise _uncertain(profile, operation_id) from exc
-                raise unavailable(exc) from exc
+                    raise _uncertain_error(profile, operation_id) from exc
+                raise unavailable_error(exc) from exc
             except BudgetError as exc:
-                raise _refused(profile, exc) from exc
+                raise _refusal_error(profile, exc) from exc
         if maybe_written:
-            raise _uncertain(profile, operation_id)
+            raise _uncertain_error(profile, operation_id)
         raise CommandConflict(
             f"the budget of {profile} changes too fast to get in; nothing was "
             "written: run this again"
         )
 
-    async def _try(self, profile: str, transition: Transition) -> Ledger:
+    async def _apply_once(self, profile: str, transition: Transition) -> Ledger:
         stored = await self._platform.get(LEDGERS, profile)
         if stored is None:
             ledger = transition(Ledger())
             value = encode_ledger(ledger)
             await self._platform.create(LEDGERS, profile, value)
             return ledger
-        before = _decoded(stored)
+        before = _decode(stored)
         ledger = transition(before)
         if ledger != before:
             value = encode_ledger(ledger)
@@ -151,10 +153,10 @@
         try:
             return await self._platform.get(LEDGERS, profile)
         except PlatformUnavailable as exc:
-            raise unavailable(exc) from exc
+            raise unavailable_error(exc) from exc
 
 
-def row_of(profile: str, ledger: Ledger) -> BudgetRow:
+def budget_row(profile: str, ledger: Ledger) -> BudgetRow:
     """Return a ledger as operators read it."""
     return BudgetRow(
         profile=profile,
@@ -167,7 +169,7 @@
     )
 
 
-def _decoded(stored: Stored) -> Ledger:
+def _decode(stored: Stored) -> Ledger:
     try:
         return decode_ledger(stored.value)
     except msgspec.DecodeError as exc:
@@ -176,7 +178,7 @@
         ) from exc
 
 
-def _refused(profile: str, exc: BudgetError) -> CommandError:
+def _refusal_error(profile: str, exc: BudgetError) -> CommandError:
     if isinstance(exc, BudgetCommitted):
         return CommandError(
             f"budget of {profile}: {exc}; add --recall to lower it as soon as the "
@@ -185,7 +187,7 @@
     return CommandError(f"budget of {profile}: {exc}")
 
 
-def _uncertain(profile: str, operation_id: str) -> CommandUncertain:
+def _uncertain_error(profile: str, operation_id: str) -> CommandUncertain:
     repeat = f" with --operation-id {operation_id}" if operation_id else ""
     return CommandUncertain(
         f"the platform's answer was lost: the budget of {profile} may or may not be "
--- a/src/ragwortkeel/cli/command.py
+++ b/src/ragwortkeel/cli/command.py
@@ -7,7 +7,7 @@
 
 from ragwortkeel.cli.bills import bill
 from ragwortkeel.cli.ingress import IngressCommands
-from ragwortkeel.cli.plan import Plan, Session, carry_out
+from ragwortkeel.cli.plan import Plan, Session, run_plan
 from ragwortkeel.cli.profiles import ProfileCommands
 from ragwortkeel.cli.report import report
 from ragwortkeel.cli.reports import status, trace
@@ -48,7 +48,7 @@
 
     def status(self):
         """Show nodes, what they have in force, and counts of objects."""
-        return Plan(session=self._session, scenario=status)
+        return Plan(session=self._session, action=status)
 
     @SetParseFns(profile=str)
     def bill(self, profile=""):
@@ -60,14 +60,14 @@
             The profile; all of them without it.
         """
 
-        async def scenario(platform):
+        async def action(platform):
             return await bill(platform, profile)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     def unresolved(self):
         """List runs that must not repeat and of which nobody knows if they ran."""
-        return Plan(session=self._session, scenario=unresolved)
+        return Plan(session=self._session, action=unresolved)
 
     @SetParseFns(profile=str, request_id=str, word=str)
     def resolve(self, profile, request_id, word):
@@ -83,10 +83,10 @@
             ran, or not-run: then its caller may send it again.
         """
 
-        async def scenario(platform):
+        async def action(platform):
             return await resolve(platform, profile, request_id, word)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(trace_id=str)
     def trace(self, trace_id):
@@ -98,10 +98,10 @@
             The 32 hexadecimal digits of the request's traceparent.
         """
 
-        async def scenario(platform):
+        async def action(platform):
             return await trace(platform, str(trace_id))
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(str, request=str)
     def report(self, *files, request=""):
@@ -115,10 +115,10 @@
             Show just the lines of this request, in order.
         """
 
-        async def scenario(platform):
+        async def action(platform):
             return report(tuple(str(file) for file in files), request)
 
-        return Plan(session=self._session, scenario=scenario, needs_platform=False)
+        return Plan(session=self._session, action=action, needs_platform=False)
 
 
 def main(arguments: list[str] | None = None) -> None:
@@ -128,18 +128,18 @@
             Commands,
             command=sys.argv[1:] if arguments is None else arguments,
             name="ragwortkeel",
-            serialize=_shown,
+            serialize=_run_if_plan,
         )
     except SettingsError as exc:
-        _fail(str(exc), EXIT_BAD_INPUT)
+        _exit_with_error(str(exc), EXIT_BAD_INPUT)
     except CommandError as exc:
-        _fail(str(exc), exc.exit_code)
+        _exit_with_error(str(exc), exc.exit_code)
 
 
-def _shown(found: object) -> object:
-    return carry_out(found) if isinstance(found, Plan) else found
+def _run_if_plan(found: object) -> object:
+    return run_plan(found) if isinstance(found, Plan) else found
 
 
-def _fail(text: str, code: int) -> None:
+def _exit_with_error(text: str, code: int) -> None:
     print(f"ragwortkeel: {' '.join(text.split())}", file=sys.stderr)
     sys.exit(code)
--- a/src/ragwortkeel/cli/definition.py
+++ b/src/ragwortkeel/cli/definition.py
@@ -22,7 +22,7 @@
         return Profile(**values)
 
 
-def defined(file: str, flags: dict[str, object]) -> Definition:
+def read_definition(file: str, flags: dict[str, object]) -> Definition:
     """Return the definition in `file`, with `flags` before it.
 
     Raises
@@ -31,20 +31,20 @@
         Names the field, what was found and what is allowed.
     """
     raw: dict[str, object] = _read(file) if file else {}
-    return decode(msgspec.json.encode(raw | given(flags)), Definition)
+    return decode(msgspec.json.encode(raw | given_flags(flags)), Definition)
 
 
-def changed(profile: Profile, flags: dict[str, object]) -> Profile:
+def apply_flags(profile: Profile, flags: dict[str, object]) -> Profile:
     """Return the profile with the fields that `flags` give."""
     if profile.retired:
         raise CommandError(
             f"profile {profile.name} is retired for good; create another"
         )
-    raw = msgspec.to_builtins(profile) | given(flags)
+    raw = msgspec.to_builtins(profile) | given_flags(flags)
     return decode(msgspec.json.encode(raw), Profile)
 
 
-def given(flags: dict[str, object]) -> dict[str, object]:
+def given_flags(flags: dict[str, object]) -> dict[str, object]:
     """Return the flags that were given, as JSON would hold them."""
     values = {key: one for key, one in flags.items() if one is not None}
     if "back_ends" in values:
--- a/src/ragwortkeel/cli/fleet.py
+++ b/src/ragwortkeel/cli/fleet.py
@@ -21,15 +21,15 @@
 from ragwortkeel.settings import Address
 from ragwortkeel.traces import SpanRecord, TraceReport
 
-NODE_SECONDS = 2.0
-NODES_AT_ONCE = 50
-WAIT_PAUSE_SECONDS = 0.2
+PROCESS_TIMEOUT_SECONDS = 2.0
+MAX_CONCURRENT_REQUESTS = 50
+POLL_INTERVAL_SECONDS = 0.2
 
 Body = TypeVar("Body")
 
 
 @dataclass(frozen=True, kw_only=True)
-class NodeState:
+class ProcessState:
     """A registered node and what it answered; None where it did not."""
 
     node: Node
@@ -37,7 +37,7 @@
     listed: bool | None
 
 
-async def registered(platform: Platform) -> list[Node]:
+async def list_registered(platform: Platform) -> list[Node]:
     """Return the registered nodes in order of role and name."""
     listing = await list_kind(platform, NODES)
     nodes = []
@@ -50,15 +50,15 @@
     return sorted(nodes, key=lambda node: (node.role, node.zone, node.incarnation))
 
 
-async def states(
+async def fetch_states(
     platform: Platform, nodes: Iterable[Node], *, kind: str = "", name: str = ""
-) -> list[NodeState]:
+) -> list[ProcessState]:
     """Return what each node says of one object, or of itself."""
     live = await _live_addresses(platform)
     target = f"/in-force?kind={kind}&name={name}"
     asked = await _ask_all(nodes, target, InForce)
     return [
-        NodeState(
+        ProcessState(
             node=node,
             in_force=answer,
             listed=None if live is None else node.address in live,
@@ -79,9 +79,11 @@
     """
     deadline = monotonic() + seconds
     while True:
-        nodes = concerned(await registered(platform), kind=kind, name=name)
-        found = await states(platform, nodes, kind=kind, name=name)
-        lagging = lagging_nodes(found, version)
+        nodes = processes_to_update(
+            await list_registered(platform), kind=kind, name=name
+        )
+        found = await fetch_states(platform, nodes, kind=kind, name=name)
+        lagging = lagging_processes(found, version)
         if not lagging:
             return len(found)
         if monotonic() >= deadline:
@@ -89,10 +91,10 @@
                 f"{kind}/{name} version {version} is accepted, but after {seconds:g} s "
                 f"not in force on {', '.join(lagging)}; see `ragwortkeel status`"
             )
-        await curio.sleep(WAIT_PAUSE_SECONDS)
+        await curio.sleep(POLL_INTERVAL_SECONDS)
 
 
-def concerned(nodes: Iterable[Node], *, kind: str, name: str) -> list[Node]:
+def processes_to_update(nodes: Iterable[Node], *, kind: str, name: str) -> list[Node]:
     """Return the nodes on which a change has to be in force.
 
     Routers decide by every object.  Of sidecars only that of a changed upstream
@@ -106,7 +108,7 @@
     ]
 
 
-def lagging_nodes(found: Iterable[NodeState], version: int) -> list[str]:
+def lagging_processes(found: Iterable[ProcessState], version: int) -> list[str]:
     """Return the nodes where a version is not in force, as an operator reads them.
 
     One that does not answer counts, unless the platform's list lacks it as
@@ -119,14 +121,16 @@
             if state.listed is not False:
                 lagging.append(f"{name} (no answer from {state.node.http_address})")
         elif (state.in_force.version or 0) < version:
-            held = state.in_force.version
-            lagging.append(f"{name} ({'none' if held is None else held})")
+            version_in_force = state.in_force.version
+            lagging.append(
+                f"{name} ({'none' if version_in_force is None else version_in_force})"
+            )
     return lagging
 
 
-async def spans(platform: Platform, trace_id: str) -> list[SpanRecord]:
+async def fetch_spans(platform: Platform, trace_id: str) -> list[SpanRecord]:
     """Return the spans of a trace from all nodes that answer, by start."""
-    nodes = await registered(platform)
+    nodes = await list_registered(platform)
     asked = await _ask_all(nodes, f"/traces/{trace_id}", TraceReport)
     found = {span.span_id: span for _, one in asked if one for span in one.spans}
     return sorted(found.values(), key=lambda span: span.start_ns)
@@ -142,7 +146,7 @@
 async def _ask_all(
     nodes: Iterable[Node], target: str, cls: type[Body]
 ) -> list[tuple[Node, Body | None]]:
-    slots = curio.Semaphore(NODES_AT_ONCE)
+    slots = curio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
     async def ask(node: Node) -> tuple[Node, Body | None]:
         async with slots:
@@ -160,7 +164,7 @@
         return None
     client = HttpClient(host=where.host, port=where.port)
     try:
-        response = await client.request("GET", target, timeout=NODE_SECONDS)
+        response = await client.request("GET", target, timeout=PROCESS_TIMEOUT_SECONDS)
         return msgspec.json.decode(response.body, type=cls)
     except (HttpError, msgspec.DecodeError):
         return None
@@ -168,7 +172,7 @@
         await client.close()
 
 
-async def note_in_force(
+async def in_force_note(
     platform: Platform, *, kind: str, name: str, version: int, wait: float
 ) -> str:
     """Return what to add to a command's text, after waiting where asked to."""
--- a/src/ragwortkeel/cli/ingress.py
+++ b/src/ragwortkeel/cli/ingress.py
@@ -7,8 +7,13 @@
 from fire.decorators import SetParseFns
 
 from ragwortkeel.budget.shards import SHARDS_KIND, decode_shard
-from ragwortkeel.cli.objects import Held, Objects, list_kind, unavailable
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.objects import (
+    Objects,
+    VersionedObject,
+    list_kind,
+    unavailable_error,
+)
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.cli.plan import Plan, Session
 from ragwortkeel.exceptions import CommandError, LedgerUnreadable, PlatformUnavailable
 from ragwortkeel.ingress.configuration import (
@@ -22,7 +27,7 @@
 from ragwortkeel.settings import decode
 
 
-class Definition(msgspec.Struct, frozen=True, kw_only=True):
+class ApplySummary(msgspec.Struct, frozen=True, kw_only=True):
     """What a command did to the configuration."""
 
     revision: int
@@ -72,20 +77,20 @@
         """
         wanted = decode(_read(file), IngressConfiguration)
 
-        async def scenario(platform):
-            return _described(await _apply(platform, wanted))
+        async def action(platform):
+            return _summary_result(await _apply(platform, wanted))
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     def show(self):
         """Show the configuration in force."""
 
-        async def scenario(platform):
-            held = await _objects(platform).read(CONFIGURATION_NAME)
-            text = msgspec.json.format(msgspec.json.encode(held.value)).decode()
-            return Result(data=held.value, text=text)
+        async def action(platform):
+            current = await _objects(platform).read(CONFIGURATION_NAME)
+            text = msgspec.json.format(msgspec.json.encode(current.value)).decode()
+            return Result(data=current.value, text=text)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(zone=str)
     def evacuate(self, zone):
@@ -97,44 +102,46 @@
             Its name, as the upstreams' entries spell it.
         """
 
-        async def scenario(platform):
+        async def action(platform):
             await _evacuations(platform).create(zone, Evacuation(since=time()))
             return Result(data={"zone": zone}, text=f"{zone} is evacuated")
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(zone=str)
     def take_back(self, zone):
         """Let the upstreams of an evacuated availability zone serve again."""
 
-        async def scenario(platform):
+        async def action(platform):
             await _evacuations(platform).remove(zone)
             return Result(data={"zone": zone}, text=f"{zone} serves again")
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     def evacuations(self):
         """Show which availability zones are evacuated, and since when."""
-        return Plan(session=self._session, scenario=_evacuated_rows)
+        return Plan(session=self._session, action=_evacuated_rows)
 
     def budgets(self):
         """Show what each customer has paid for, spent, and has left."""
-        return Plan(session=self._session, scenario=_budgets)
+        return Plan(session=self._session, action=_budgets)
 
 
 async def _apply(
     platform: Platform, wanted: IngressConfiguration
 ) -> IngressConfiguration:
     objects = _objects(platform)
-    held: Held[IngressConfiguration] | None = await objects.find(CONFIGURATION_NAME)
-    if held is None:
+    current: VersionedObject[IngressConfiguration] | None = await objects.find(
+        CONFIGURATION_NAME
+    )
+    if current is None:
         first = msgspec.structs.replace(wanted, revision=1)
         await objects.create(CONFIGURATION_NAME, first)
         return first
     changed = await objects.change(
         CONFIGURATION_NAME,
         lambda old: msgspec.structs.replace(wanted, revision=old.revision + 1),
-        version=held.version,
+        version=current.version,
     )
     return changed.value
 
@@ -143,7 +150,7 @@
     try:
         stored = await platform.get(SHARDS_KIND, SHARD_NAME)
     except PlatformUnavailable as exc:
-        raise unavailable(exc) from exc
+        raise unavailable_error(exc) from exc
     if stored is None:
         return Result(data=[], text="no budgets yet")
     try:
@@ -162,7 +169,7 @@
     ]
     headings = ("customer", "prepaid", "spent", "held", "free")
     cells = [(r.customer, r.prepaid, r.spent, r.held, r.free) for r in rows]
-    return Result(data=rows, text=table(headings, cells))
+    return Result(data=rows, text=format_table(headings, cells))
 
 
 async def _evacuated_rows(platform: Platform) -> Result:
@@ -174,7 +181,7 @@
     if not rows:
         return Result(data=[], text="no zone is evacuated")
     cells = [(row.zone, row.since or "unknown") for row in rows]
-    return Result(data=rows, text=table(("zone", "since"), cells))
+    return Result(data=rows, text=format_table(("zone", "since"), cells))
 
 
 def _since(value: bytes) -> float | None:
@@ -191,8 +198,8 @@
     )
 
 
-def _described(configuration: IngressConfiguration) -> Result:
-    done = Definition(
+def _summary_result(configuration: IngressConfiguration) -> Result:
+    done = ApplySummary(
         revision=configuration.revision,
         routes=len(configuration.routes),
         services=len(configuration.services),
--- a/src/ragwortkeel/cli/objects.py
+++ b/src/ragwortkeel/cli/objects.py
@@ -24,7 +24,7 @@
 )
 from ragwortkeel.platform import Listing, Platform, Stored
 
-ATTEMPTS = 4
+MAX_WRITE_ATTEMPTS = 4
 """Tries of one write whose answers are lost; each is conditional, so repeats
 are harmless."""
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Held(Generic[Value]):
+class VersionedObject(Generic[Value]):
     """An object as read, with the version that a change of it has to name."""
 
     value: Value
@@ -60,34 +60,34 @@
         self._noun = noun
         self._decoder = msgspec.json.Decoder(cls)
 
-    async def read(self, name: str) -> Held[Value]:
+    async def read(self, name: str) -> VersionedObject[Value]:
         """Return the object; `CommandError` where there is none."""
-        held = await self.find(name)
-        if held is None:
+        current = await self.find(name)
+        if current is None:
             raise CommandError(
                 f"no {self._noun} {name}; see `ragwortkeel {self._noun} list`"
             )
-        return held
+        return current
 
-    async def find(self, name: str) -> Held[Value] | None:
+    async def find(self, name: str) -> VersionedObject[Value] | None:
         """Return the object or None."""
         try:
             stored = await self._platform.get(self._kind, name)
         except PlatformUnavailable as exc:
-            raise unavailable(exc) from exc
-        return None if stored is None else self._held(stored)
+            raise unavailable_error(exc) from exc
+        return None if stored is None else self._decode(stored)
 
-    async def all(self) -> dict[str, Held[Value]]:
+    async def all(self) -> dict[str, VersionedObject[Value]]:
         """Return all objects of the kind by name, in order of name."""
         listing = await list_kind(self._platform, self._kind)
         by_name = listing.by_name
-        return {name: self._held(by_name[name]) for name in sorted(by_name)}
+        return {name: self._decode(by_name[name]) for name in sorted(by_name)}
 
     async def create(self, name: str, value: Value) -> int:
         """Create the object and return its version."""
         data = msgspec.json.encode(value)
         try:
-            return await self._settled(name, data, None)
+            return await self._write_with_retries(name, data, None)
         except AlreadyExists as exc:
             raise CommandConflict(
                 f"{self._noun} {name} exists already; choose another name, for "
@@ -100,7 +100,7 @@
         transition: Callable[[Value], Value],
         *,
         version: int | None = None,
-    ) -> Held[Value]:
+    ) -> VersionedObject[Value]:
         """Replace the object by what `transition` makes of it.
 
         Parameters
@@ -108,16 +108,18 @@
         version : int, optional
             The version that the operator looked at; another one is a conflict.
         """
-        held = await self.read(name)
-        if version is not None and held.version != version:
-            raise self._conflict(name, VersionConflict(f"found {held.version}"))
-        value = transition(held.value)
+        current = await self.read(name)
+        if version is not None and current.version != version:
+            raise self._conflict_error(
+                name, VersionConflict(f"found {current.version}")
+            )
+        value = transition(current.value)
         data = msgspec.json.encode(value)
         try:
-            changed = await self._settled(name, data, held.version)
+            changed = await self._write_with_retries(name, data, current.version)
         except (VersionConflict, ObjectNotFound) as exc:
-            raise self._conflict(name, exc) from exc
-        return Held(value=value, version=changed)
+            raise self._conflict_error(name, exc) from exc
+        return VersionedObject(value=value, version=changed)
 
     async def remove(self, name: str) -> None:
         """Delete the object as it is now; `CommandError` where there is none."""
@@ -127,52 +129,54 @@
                 raise CommandError(f"no {self._noun} {name}")
             await self._platform.delete(self._kind, name, stored.version)
         except PlatformUnavailable as exc:
-            raise unavailable(exc) from exc
+            raise unavailable_error(exc) from exc
         except OutcomeUnknown as exc:
-            raise self._uncertain(name) from exc
+            raise self._uncertain_error(name) from exc
         except (VersionConflict, ObjectNotFound) as exc:
-            raise self._conflict(name, exc) from exc
+            raise self._conflict_error(name, exc) from exc
 
-    async def _settled(self, name: str, data: bytes, version: int | None) -> int:
-        for _ in range(ATTEMPTS):
+    async def _write_with_retries(
+        self, name: str, data: bytes, version: int | None
+    ) -> int:
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 return await self._write(name, data, version)
             except OutcomeUnknown:
                 # The write may have been done before its answer was lost.  The
                 # same bytes at another version are this write or one like it;
                 # the old version says it was not done and may be sent again.
-                found = await self._reread(name)
+                found = await self._read_again(name)
                 if found is not None and found.version != version:
                     if found.value == data:
                         return found.version
-                    raise self._conflict(name, None) from None
+                    raise self._conflict_error(name, None) from None
             except PlatformUnavailable as exc:
-                raise unavailable(exc) from exc
+                raise unavailable_error(exc) from exc
             except ValueRefused as exc:
                 raise CommandError(f"the platform refuses it: {exc}") from exc
-        raise self._uncertain(name)
+        raise self._uncertain_error(name)
 
     async def _write(self, name: str, data: bytes, version: int | None) -> int:
         if version is None:
             return await self._platform.create(self._kind, name, data)
         return await self._platform.update(self._kind, name, data, version)
 
-    async def _reread(self, name: str) -> Stored | None:
+    async def _read_again(self, name: str) -> Stored | None:
         try:
             return await self._platform.get(self._kind, name)
         except PlatformUnavailable as exc:
-            raise self._uncertain(name) from exc
+            raise self._uncertain_error(name) from exc
 
-    def _held(self, stored: Stored) -> Held[Value]:
+    def _decode(self, stored: Stored) -> VersionedObject[Value]:
         try:
             value = self._decoder.decode(stored.value)
         except msgspec.DecodeError as exc:
             raise CommandError(
                 f"{self._noun} {stored.name} holds what this release cannot read: {exc}"
             ) from exc
-        return Held(value=value, version=stored.version)
+        return VersionedObject(value=value, version=stored.version)
 
-    def _conflict(self, name: str, exc: Exception | None) -> CommandConflict:
+    def _conflict_error(self, name: str, exc: Exception | None) -> CommandConflict:
         detail = f" ({exc})" if exc else ""
         return CommandConflict(
             f"{self._noun} {name} was changed by somebody else meanwhile{detail}; "
@@ -180,7 +184,7 @@
             "then run this again"
         )
 
-    def _uncertain(self, name: str) -> CommandUncertain:
+    def _uncertain_error(self, name: str) -> CommandUncertain:
         return CommandUncertain(
             f"the platform's answer was lost: {self._noun} {name} may or may not be "
             f"changed; see `ragwortkeel {self._noun} show {name}` before running "
@@ -193,10 +197,10 @@
     try:
         return await platform.list(kind, prefix)
     except PlatformUnavailable as exc:
-        raise unavailable(exc) from exc
+        raise unavailable_error(exc) from exc
 
 
-def unavailable(exc: Exception) -> CommandUnavailable:
+def unavailable_error(exc: Exception) -> CommandUnavailable:
     """Return what to tell an operator when the platform does not answer."""
     return CommandUnavailable(
         f"the platform does not answer ({exc}); nothing was changed: check "
--- a/src/ragwortkeel/cli/output.py
+++ b/src/ragwortkeel/cli/output.py
@@ -21,14 +21,14 @@
     data: object
     text: str
 
-    def shown(self, *, as_json: bool) -> str:
+    def render(self, *, as_json: bool) -> str:
         """Return what to print."""
         if as_json:
             return msgspec.json.encode(self.data).decode()
         return self.text
 
 
-def table(headings: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
+def format_table(headings: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
     """Return rows under headings, in columns as wide as they need."""
     cells = [[str(cell) for cell in row] for row in [headings, *rows]]
     widths = [max(len(row[i]) for row in cells) for i in range(len(headings))]
@@ -39,14 +39,16 @@
     return "\n".join(lines)
 
 
-def fields(one: msgspec.Struct) -> str:
+def format_fields(one: msgspec.Struct) -> str:
     """Return a struct as one ``key: value`` a line."""
     values = msgspec.to_builtins(one)
     width = max(len(key) for key in values)
-    return "\n".join(f"{key.ljust(width)}  {_shown(v)}" for key, v in values.items())
+    return "\n".join(
+        f"{key.ljust(width)}  {_format_value(v)}" for key, v in values.items()
+    )
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, list | tuple):
         return ", ".join(str(one) for one in value)
     return str(value)
--- a/src/ragwortkeel/cli/plan.py
+++ b/src/ragwortkeel/cli/plan.py
@@ -1,4 +1,4 @@
-"""A command as parsed, run only once its whole command line made sense.
+"""A command as parsed, run only once its run_and_close command line made sense.
 
 `fire` calls a command before it looks at the arguments left over; were the
 command to act at once, a misspelt flag would change the platform and only then
@@ -19,7 +19,7 @@
 
 PLATFORM_VARIABLE = "RAGWORTKEEL_PLATFORM"
 
-Scenario = Callable[[Platform], Awaitable[Result]]
+Action = Callable[[Platform], Awaitable[Result]]
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -54,33 +54,33 @@
     ----------
     session : Session
         Which platform it works on, and how its result is shown.
-    scenario : callable
+    action : callable
         Does it.
     needs_platform : bool
-        Whether it works on a platform at all; the scenario gets None where not.
+        Whether it works on a platform at all; the action gets None where not.
     """
 
-    __slots__ = ("_needs_platform", "_scenario", "_session")
+    __slots__ = ("_needs_platform", "_action", "_session")
 
     def __init__(
-        self, *, session: Session, scenario: Scenario, needs_platform: bool = True
+        self, *, session: Session, action: Action, needs_platform: bool = True
     ) -> None:
         self._session = session
-        self._scenario = scenario
+        self._action = action
         self._needs_platform = needs_platform
 
 
-def carry_out(plan: Plan) -> str:
+def run_plan(plan: Plan) -> str:
     """Run a plan and return what to print."""
     if not plan._needs_platform:
-        result = curio.run(plan._scenario, None)
-        return result.shown(as_json=plan._session.as_json)
+        result = curio.run(plan._action, None)
+        return result.render(as_json=plan._session.as_json)
     platform = plan._session.connect()
 
-    async def whole() -> Result:
+    async def run_and_close() -> Result:
         try:
-            return await plan._scenario(platform)
+            return await plan._action(platform)
         finally:
             await platform.close()
 
-    return curio.run(whole).shown(as_json=plan._session.as_json)
+    return curio.run(run_and_close).render(as_json=plan._session.as_json)
--- a/src/ragwortkeel/cli/profile_rows.py
+++ b/src/ragwortkeel/cli/profile_rows.py
@@ -3,9 +3,9 @@
 import msgspec
 
 from ragwortkeel.budget.ledger import Ledger
-from ragwortkeel.cli.budgets import BudgetRow, row_of
-from ragwortkeel.cli.objects import Held
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.budgets import BudgetRow, budget_row
+from ragwortkeel.cli.objects import VersionedObject
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.configuration import Profile
 
 
@@ -26,7 +26,7 @@
 
 def budget_result(name: str, ledger: Ledger, operation_id: str) -> Result:
     """Return what to show of a changed budget."""
-    row = row_of(name, ledger)
+    row = budget_row(name, ledger)
     text = (
         f"budget of {name}: {row.prepaid} prepaid, {row.spent} spent, {row.rest} free"
     )
@@ -36,11 +36,11 @@
     return Result(data=data, text=text)
 
 
-def row_of_profile(held: Held[Profile], ledger: Ledger | None) -> ProfileRow:
+def profile_row(current: VersionedObject[Profile], ledger: Ledger | None) -> ProfileRow:
     """Return a profile with its budget, where it has one."""
-    name = held.value.name
-    budget = None if ledger is None else row_of(name, ledger)
-    return ProfileRow(profile=held.value, version=held.version, budget=budget)
+    name = current.value.name
+    budget = None if ledger is None else budget_row(name, ledger)
+    return ProfileRow(profile=current.value, version=current.version, budget=budget)
 
 
 def profile_table(rows: list[ProfileRow]) -> str:
@@ -70,4 +70,4 @@
         "spent",
         "version",
     )
-    return table(headings, cells)
+    return format_table(headings, cells)
--- a/src/ragwortkeel/cli/profiles.py
+++ b/src/ragwortkeel/cli/profiles.py
@@ -7,22 +7,22 @@
 
 from ragwortkeel.budget.ledger import Ledger
 from ragwortkeel.cli.budgets import Budgets
-from ragwortkeel.cli.definition import changed, defined
-from ragwortkeel.cli.fleet import note_in_force
-from ragwortkeel.cli.objects import Held, Objects
-from ragwortkeel.cli.output import Result, fields
+from ragwortkeel.cli.definition import apply_flags, read_definition
+from ragwortkeel.cli.fleet import in_force_note
+from ragwortkeel.cli.objects import Objects, VersionedObject
+from ragwortkeel.cli.output import Result, format_fields
 from ragwortkeel.cli.plan import Plan, Session
 from ragwortkeel.cli.profile_rows import (
     ProfileRow,
     budget_result,
+    profile_row,
     profile_table,
-    row_of_profile,
 )
 from ragwortkeel.configuration import PROFILES, Profile
 from ragwortkeel.exceptions import CommandError, CommandUncertain
 from ragwortkeel.platform import Platform
 
-FIRST_OPERATION = "create"
+CREATE_OPERATION = "create"
 """The same for every try to create a profile, so that none adds twice."""
 
 MAX_TOKENS = 10**15
@@ -97,15 +97,15 @@
             "prepaid_tokens": prepaid_tokens,
         }
 
-        async def scenario(platform: Platform) -> Result:
-            definition = defined(str(file), flags)
+        async def action(platform: Platform) -> Result:
+            definition = read_definition(str(file), flags)
             profile = definition.profile()
             version = await _objects(platform).create(profile.name, profile)
-            await _first_budget(platform, profile.name, definition.prepaid_tokens)
-            held = Held(value=profile, version=version)
-            return await _done(platform, held, "created", wait)
+            await _create_budget(platform, profile.name, definition.prepaid_tokens)
+            current = VersionedObject(value=profile, version=version)
+            return await _change_result(platform, current, "created", wait)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(name=str, customer=str, service=str, back_ends=str)
     def change(
@@ -151,13 +151,13 @@
             "ride_out_seconds": ride_out_seconds,
         }
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).change(
-                str(name), lambda profile: changed(profile, flags), version=version
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).change(
+                str(name), lambda profile: apply_flags(profile, flags), version=version
             )
-            return await _done(platform, held, "changed", wait)
+            return await _change_result(platform, current, "changed", wait)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(name=str, operation_id=str)
     def top_up(self, name, tokens, *, operation_id=""):
@@ -173,14 +173,14 @@
             Of an earlier try whose answer was lost; it never adds twice.
         """
 
-        async def scenario(platform: Platform) -> Result:
+        async def action(platform: Platform) -> Result:
             await _check_active(platform, name)
             changed = await Budgets(platform=platform).top_up(
-                name, _count(tokens), operation_id
+                name, _checked_tokens(tokens), operation_id
             )
             return budget_result(name, changed.ledger, changed.operation_id)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(name=str, operation_id=str)
     def lower(self, name, tokens, *, recall=False, operation_id=""):
@@ -198,18 +198,18 @@
             Of an earlier try whose answer was lost; it never takes off twice.
         """
 
-        async def scenario(platform: Platform) -> Result:
+        async def action(platform: Platform) -> Result:
             budgets = Budgets(platform=platform)
             ledger = await budgets.find(name)
             if ledger is None:
                 raise CommandError(f"no budget of {name}; see `profile list`")
             if recall:
-                to = ledger.prepaid - _count(tokens)
+                to = ledger.prepaid - _checked_tokens(tokens)
                 return budget_result(name, await budgets.recall(name, to), "")
-            changed = await budgets.lower(name, _count(tokens), operation_id)
+            changed = await budgets.lower(name, _checked_tokens(tokens), operation_id)
             return budget_result(name, changed.ledger, changed.operation_id)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(name=str)
     def retire(self, name, *, wait=0.0):
@@ -223,22 +223,22 @@
             Seconds to wait until that is in force everywhere.
         """
 
-        async def scenario(platform: Platform) -> Result:
+        async def action(platform: Platform) -> Result:
             objects = _objects(platform)
-            held = await objects.read(name)
-            if not held.value.retired:
-                held = await objects.change(
+            current = await objects.read(name)
+            if not current.value.retired:
+                current = await objects.change(
                     name, lambda one: msgspec.structs.replace(one, retired=True)
                 )
             budgets = Budgets(platform=platform)
-            await _after(
+            await _await_second_write(
                 budgets.retire(name),
                 f"profile {name} is retired, but its budget is still open: run "
                 "this again",
             )
-            return await _done(platform, held, "retired", wait)
+            return await _change_result(platform, current, "retired", wait)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(name=str)
     def show(self, name):
@@ -250,67 +250,69 @@
             The profile.
         """
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).read(name)
-            row = row_of_profile(held, await Budgets(platform=platform).find(name))
-            parts = [fields(held.value), f"version {held.version}"]
-            parts.append(fields(row.budget) if row.budget else "no budget")
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).read(name)
+            row = profile_row(current, await Budgets(platform=platform).find(name))
+            parts = [format_fields(current.value), f"version {current.version}"]
+            parts.append(format_fields(row.budget) if row.budget else "no budget")
             return Result(data=row, text="\n".join(parts))
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     def list(self):
         """List the profiles with their budgets."""
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).all()
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).all()
             ledgers = await Budgets(platform=platform).all()
             rows = [
-                row_of_profile(one, ledgers.get(name)) for name, one in held.items()
+                profile_row(one, ledgers.get(name)) for name, one in current.items()
             ]
             return Result(data=rows, text=profile_table(rows))
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
 
-async def _first_budget(platform: Platform, name: str, tokens: int) -> None:
-    operation_id = Ledger().operation_id(FIRST_OPERATION)
-    await _after(
+async def _create_budget(platform: Platform, name: str, tokens: int) -> None:
+    operation_id = Ledger().operation_id(CREATE_OPERATION)
+    await _await_second_write(
         Budgets(platform=platform).top_up(name, tokens, operation_id),
         f"profile {name} is created, but perhaps without its budget: run "
         f"`ragwortkeel profile top-up {name} {tokens} --operation-id {operation_id}`",
     )
 
 
-async def _after(second_step: Awaitable, text: str) -> None:
+async def _await_second_write(second_write: Awaitable, text: str) -> None:
     """Await the second of two writes; a failure must not deny the first."""
     try:
-        await second_step
+        await second_write
     except CommandError as exc:
         raise CommandUncertain(f"{text} ({exc})") from exc
 
 
 async def _check_active(platform: Platform, name: str) -> None:
-    held = await _objects(platform).read(name)
-    if held.value.retired:
+    current = await _objects(platform).read(name)
+    if current.value.retired:
         raise CommandError(f"profile {name} is retired for good; nothing was added")
 
 
-def _count(tokens: object) -> int:
+def _checked_tokens(tokens: object) -> int:
     if type(tokens) is not int or not 0 < tokens <= MAX_TOKENS:
         raise CommandError(f"tokens: found {tokens}; allowed: 1 to {MAX_TOKENS}")
     return tokens
 
 
-async def _done(
-    platform: Platform, held: Held[Profile], done: str, wait: float
+async def _change_result(
+    platform: Platform, current: VersionedObject[Profile], done: str, wait: float
 ) -> Result:
-    name = held.value.name
-    text = f"profile {name}: {done}, version {held.version}"
-    text += await note_in_force(
-        platform, kind=PROFILES, name=name, version=held.version, wait=wait
+    name = current.value.name
+    text = f"profile {name}: {done}, version {current.version}"
+    text += await in_force_note(
+        platform, kind=PROFILES, name=name, version=current.version, wait=wait
+    )
+    return Result(
+        data=ProfileRow(profile=current.value, version=current.version), text=text
     )
-    return Result(data=ProfileRow(profile=held.value, version=held.version), text=text)
 
 
 def _objects(platform: Platform) -> Objects[Profile]:
--- a/src/ragwortkeel/cli/report.py
+++ b/src/ragwortkeel/cli/report.py
@@ -6,31 +6,31 @@
 
 import msgspec
 
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.decision_lines import DecisionLine, read_lines
 from ragwortkeel.exceptions import CommandError
 
 SPAN_SECONDS = 2.0
 """Of a row of the table by time."""
 
-RETRY_SPANS = 5
+RETRY_WINDOW_SPANS = 5
 """Rows of that table in which retries of a service are counted together: ten seconds
 show whether they piled up at one service."""
 
-MOST_NAMES = 10_000
+MAX_NAMES = 10_000
 """Customers and services that are told apart; those that come later count as one."""
 
-SHOWN_CUSTOMERS = 10
+MAX_SHOWN_CUSTOMERS = 10
 
-MOST_REQUEST_LINES = 10_000
+MAX_REQUEST_LINES = 10_000
 """Of one request; a proper one leaves five."""
 
 OTHERS = "(others)"
 
-_SHORTEST_SECONDS = 0.001
+_FIRST_BUCKET_SECONDS = 0.001
 _BUCKET_FACTOR = 1.25
 
-CALLERS_OWN = frozenset({"unknown_key", "no_route", "bad_request"})
+CALLER_FAULT_REASONS = frozenset({"unknown_key", "no_route", "bad_request"})
 """Reasons of refusals that callers bring about."""
 
 
@@ -90,7 +90,7 @@
         self._count_by_bucket: Counter[int] = Counter()
 
     def add(self, seconds: float) -> None:
-        bucket, bound = 0, _SHORTEST_SECONDS
+        bucket, bound = 0, _FIRST_BUCKET_SECONDS
         while seconds > bound and bucket < 80:
             bucket, bound = bucket + 1, bound * _BUCKET_FACTOR
         self._count_by_bucket[bucket] += 1
@@ -108,7 +108,7 @@
         for bucket in sorted(self._count_by_bucket):
             seen += self._count_by_bucket[bucket]
             if seen >= wanted:
-                return round(_SHORTEST_SECONDS * _BUCKET_FACTOR**bucket, 4)
+                return round(_FIRST_BUCKET_SECONDS * _BUCKET_FACTOR**bucket, 4)
         return 0.0
 
 
@@ -122,7 +122,7 @@
     def add(self, line: DecisionLine) -> None:
         service = line.fields.get("service", "unknown")
         known = service in self._allowed_by_service
-        if not known and len(self._allowed_by_service) >= MOST_NAMES:
+        if not known and len(self._allowed_by_service) >= MAX_NAMES:
             service = OTHERS
         allowed_by_span = self._allowed_by_service.setdefault(service, Counter())
         if line.fields.get("allowed") != "true":
@@ -136,17 +136,17 @@
             service: Retries(
                 allowed=allowed_by_span.total(),
                 refused=self._refused[service],
-                most=_most_together(allowed_by_span),
+                most=_max_in_window(allowed_by_span),
             )
             for service, allowed_by_span in sorted(self._allowed_by_service.items())
         }
 
 
-def _most_together(count_by_span: Counter[int]) -> int:
+def _max_in_window(count_by_span: Counter[int]) -> int:
     """Return the most in so many spans in a row as retries are counted over."""
     return max(
         (
-            sum(count_by_span[span + later] for later in range(RETRY_SPANS))
+            sum(count_by_span[span + later] for later in range(RETRY_WINDOW_SPANS))
             for span in list(count_by_span)
         ),
         default=0,
@@ -213,7 +213,7 @@
     def report(self) -> Report:
         """Return what was added up."""
         first = self._first_at or 0.0
-        customers = self._lacks_by_customer.most_common(SHOWN_CUSTOMERS)
+        customers = self._lacks_by_customer.most_common(MAX_SHOWN_CUSTOMERS)
         return Report(
             lines=self._lines,
             unreadable_by_file=dict(self._unreadable),
@@ -250,16 +250,16 @@
         match line.event:
             case "refused":
                 self._refused[reason] += 1
-                if reason not in CALLERS_OWN:
+                if reason not in CALLER_FAULT_REASONS:
                     self._count(line, "refused")
             case "run_failed":
                 self._failed[reason] += 1
                 self._count(line, "failed")
             case "tokens_lacking":
-                self._lacks[cause_of_lack(line)] += 1
+                self._lacks[shortage_cause(line)] += 1
                 customer = line.fields.get("customer", "unknown")
                 known = customer in self._lacks_by_customer
-                if not known and len(self._lacks_by_customer) >= MOST_NAMES:
+                if not known and len(self._lacks_by_customer) >= MAX_NAMES:
                     customer = OTHERS
                 self._lacks_by_customer[customer] += 1
                 self._count(line, "lacked")
@@ -269,7 +269,7 @@
         self._counts_by_span.setdefault(span, Counter())[what] += 1
 
 
-def cause_of_lack(line: DecisionLine) -> str:
+def shortage_cause(line: DecisionLine) -> str:
     """Return why a process had no tokens for a request, from its `tokens_lacking`."""
     needed = line.number("needed")
     if line.fields.get("ledger_age") == "-":
@@ -293,12 +293,12 @@
     if not files:
         raise CommandError("which files? give log files, or - for standard input")
     if request:
-        return _story(files, request)
+        return _request_lines(files, request)
     collector = Collector()
     for file, line in _all_lines(files):
         collector.add(file, line)
     data = collector.report()
-    return Result(data=data, text=_text(data))
+    return Result(data=data, text=_report_text(data))
 
 
 def _all_lines(files: tuple[str, ...]) -> Iterator[tuple[str, DecisionLine | None]]:
@@ -310,7 +310,7 @@
             raise CommandError(f"cannot read {file}: {exc}") from exc
 
 
-def _story(files: tuple[str, ...], request: str) -> Result:
+def _request_lines(files: tuple[str, ...], request: str) -> Result:
     lines = [
         line
         for _, line in _all_lines(files)
@@ -321,10 +321,10 @@
     lines.sort(key=lambda line: line.at)
     rows = [
         (f"{line.at:.3f}", line.process, line.event, _pairs(line))
-        for line in lines[:MOST_REQUEST_LINES]
+        for line in lines[:MAX_REQUEST_LINES]
     ]
     data = [{"at": at, "process": p, "event": e, "fields": f} for at, p, e, f in rows]
-    return Result(data=data, text=table(("at", "process", "event", ""), rows))
+    return Result(data=data, text=format_table(("at", "process", "event", ""), rows))
 
 
 def _pairs(line: DecisionLine) -> str:
@@ -352,14 +352,14 @@
             counter[name] += int(number)
 
 
-def _text(data: Report) -> str:
+def _report_text(data: Report) -> str:
     unreadable = sum(data.unreadable_by_file.values())
     parts = [
         f"{data.lines} lines of {data.processes} processes over {data.seconds} s; "
         f"{unreadable} not readable, {data.dropped} dropped by their writers",
         f"served {data.served}; loops late {data.late_loops}",
-        _durations("waited for a place and tokens", data.waited),
-        _durations("first event", data.first_event),
+        _quantiles_text("waited for a place and tokens", data.waited),
+        _quantiles_text("first event", data.first_event),
     ]
     for heading, counts in (
         ("refused", data.refused_by_reason),
@@ -371,22 +371,22 @@
         ("not readable", data.unreadable_by_file),
     ):
         if counts:
-            parts.append(table((heading, "count"), list(counts.items())))
+            parts.append(format_table((heading, "count"), list(counts.items())))
     retries = [
         (service, found.allowed, found.refused, found.most)
         for service, found in data.retries_by_service.items()
     ]
     if retries:
         headings = ("retries at", "allowed", "refused", "most in ten seconds")
-        parts.append(table(headings, retries))
+        parts.append(format_table(headings, retries))
     spans = [(s.at, s.served, s.refused, s.failed, s.lacked) for s in data.spans]
     if spans:
         headings = ("second", "served", "refused", "runs failed", "lacked tokens")
-        parts.append(table(headings, spans))
+        parts.append(format_table(headings, spans))
     return "\n\n".join(parts)
 
 
-def _durations(what: str, found: Quantiles) -> str:
+def _quantiles_text(what: str, found: Quantiles) -> str:
     return (
         f"{what}, s: half within {found.half}, nine tenths {found.nine_tenths}, "
         f"all but one in 100 {found.all_but_one_in_100} ({found.count})"
--- a/src/ragwortkeel/cli/reports.py
+++ b/src/ragwortkeel/cli/reports.py
@@ -2,16 +2,21 @@
 
 import msgspec
 
-from ragwortkeel.cli.fleet import NodeState, registered, spans, states
+from ragwortkeel.cli.fleet import (
+    ProcessState,
+    fetch_spans,
+    fetch_states,
+    list_registered,
+)
 from ragwortkeel.cli.objects import Objects
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.configuration import PROFILES, UPSTREAMS, Profile, Upstream
 from ragwortkeel.exceptions import CommandError
 from ragwortkeel.platform import Platform
 from ragwortkeel.traces import SpanRecord
 
 
-class NodeRow(msgspec.Struct, frozen=True, kw_only=True):
+class ProcessRow(msgspec.Struct, frozen=True, kw_only=True):
     """A registered node; `revision` is None where it did not answer.
 
     `listed` says whether the platform's list shows it, None where that list
@@ -31,7 +36,7 @@
 class Status(msgspec.Struct, frozen=True, kw_only=True):
     """The fleet at a glance."""
 
-    nodes: list[NodeRow]
+    nodes: list[ProcessRow]
     profiles: int
     retired_profiles: int
     upstreams: int
@@ -40,7 +45,7 @@
 
 async def status(platform: Platform) -> Result:
     """Return nodes, profiles and upstreams."""
-    found = await states(platform, await registered(platform))
+    found = await fetch_states(platform, await list_registered(platform))
     profiles = await Objects(
         platform=platform, kind=PROFILES, cls=Profile, noun="profile"
     ).all()
@@ -61,7 +66,7 @@
 
 async def trace(platform: Platform, trace_id: str) -> Result:
     """Return the spans of one request from all nodes."""
-    found = await spans(platform, trace_id)
+    found = await fetch_spans(platform, trace_id)
     if not found:
         raise CommandError(
             f"no node holds spans of trace {trace_id}; nodes keep the latest only, "
@@ -92,9 +97,9 @@
     return lines
 
 
-def _node_row(state: NodeState) -> NodeRow:
+def _node_row(state: ProcessState) -> ProcessRow:
     node = state.node
-    return NodeRow(
+    return ProcessRow(
         name=node.incarnation,
         role=node.role,
         zone=node.zone,
@@ -124,4 +129,4 @@
         f"{data.profiles} profiles ({data.retired_profiles} retired), "
         f"{data.upstreams} upstreams ({data.draining_upstreams} draining)"
     )
-    return f"{table(headings, rows)}\n{summary}"
+    return f"{format_table(headings, rows)}\n{summary}"
--- a/src/ragwortkeel/cli/runs.py
+++ b/src/ragwortkeel/cli/runs.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from ragwortkeel.cli.objects import Objects, list_kind, unavailable
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.objects import Objects, list_kind, unavailable_error
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.configuration import INTENTS, NODES
 from ragwortkeel.exceptions import CommandError, PlatformUnavailable, RunError
 from ragwortkeel.platform import Platform
@@ -11,7 +11,7 @@
 
 BY_OPERATOR = "operator"
 
-_VERDICT_BY_WORD = {"ran": Verdict.RAN, "not-run": Verdict.NOT_RUN}
+_VERDICT_BY_ANSWER = {"ran": Verdict.RAN, "not-run": Verdict.NOT_RUN}
 
 
 class UnresolvedRow(msgspec.Struct, frozen=True, kw_only=True):
@@ -49,36 +49,36 @@
     word : str
         ``ran``, or ``not-run``, which frees the key for another attempt.
     """
-    verdict = _VERDICT_BY_WORD.get(word)
+    verdict = _VERDICT_BY_ANSWER.get(word)
     if verdict is None:
         raise CommandError(f"found {word}; allowed: ran or not-run")
     objects = Objects(platform=platform, kind=INTENTS, cls=Intent, noun="request")
     name = object_name(profile, request_id)
-    held = await objects.find(name)
-    if held is None or not _is_unresolved(held.value):
+    current = await objects.find(name)
+    if current is None or not _is_unresolved(current.value):
         raise CommandError(
             f"request {request_id} of {profile} is not unresolved; see "
             "`ragwortkeel unresolved`"
         )
     if verdict is Verdict.NOT_RUN:
-        await _check_sidecar_gone(platform, held.value.sidecar)
+        await _check_sidecar_deregistered(platform, current.value.sidecar)
     outcome = Outcome(verdict=verdict, reason=BY_OPERATOR)
     await objects.change(
         name,
         lambda intent: msgspec.structs.replace(intent, outcome=outcome),
-        version=held.version,
+        version=current.version,
     )
-    row = msgspec.structs.replace(_unresolved_row(held.value), reason=word)
+    row = msgspec.structs.replace(_unresolved_row(current.value), reason=word)
     return Result(data=row, text=f"request {request_id} of {profile}: {word}")
 
 
-async def _check_sidecar_gone(platform: Platform, sidecar: str) -> None:
+async def _check_sidecar_deregistered(platform: Platform, sidecar: str) -> None:
     # A sidecar that was only cut off may have run it, or hold it still; freeing
     # the key would let it run twice.  Its registration is the last to go.
     try:
         registered = await platform.get(NODES, sidecar)
     except PlatformUnavailable as exc:
-        raise unavailable(exc) from exc
+        raise unavailable_error(exc) from exc
     if registered is not None:
         raise CommandError(
             f"sidecar {sidecar} is still registered and may have run it; stop it "
@@ -106,4 +106,4 @@
     if not rows:
         return "nothing unresolved"
     cells = [[r.profile, r.request_id, r.upstream, r.sidecar, r.reason] for r in rows]
-    return table(("profile", "request", "upstream", "sidecar", "reason"), cells)
+    return format_table(("profile", "request", "upstream", "sidecar", "reason"), cells)
--- a/src/ragwortkeel/cli/upstreams.py
+++ b/src/ragwortkeel/cli/upstreams.py
@@ -3,9 +3,9 @@
 import msgspec
 from fire.decorators import SetParseFns
 
-from ragwortkeel.cli.fleet import note_in_force
-from ragwortkeel.cli.objects import Held, Objects
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.fleet import in_force_note
+from ragwortkeel.cli.objects import Objects, VersionedObject
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.cli.plan import Plan, Session
 from ragwortkeel.configuration import UPSTREAMS, Upstream, UpstreamState
 from ragwortkeel.exceptions import CommandError
@@ -66,13 +66,13 @@
             "resumes": resumes,
         }
 
-        async def scenario(platform: Platform) -> Result:
+        async def action(platform: Platform) -> Result:
             upstream = decode(msgspec.json.encode(raw), Upstream)
             version = await _objects(platform).create(upstream.name, upstream)
-            held = Held(value=upstream, version=version)
-            return await _done(platform, held, "in service", wait)
+            current = VersionedObject(value=upstream, version=version)
+            return await _change_result(platform, current, "in service", wait)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(name=str)
     def drain(self, name, *, wait=0.0):
@@ -85,7 +85,7 @@
         wait
             Seconds to wait until the change is in force everywhere.
         """
-        return self._move(str(name), UpstreamState.DRAINING, "draining", wait)
+        return self._set_state(str(name), UpstreamState.DRAINING, "draining", wait)
 
     @SetParseFns(name=str)
     def put_back(self, name, *, wait=0.0):
@@ -98,7 +98,7 @@
         wait
             Seconds to wait until the change is in force everywhere.
         """
-        return self._move(str(name), UpstreamState.SERVING, "in service", wait)
+        return self._set_state(str(name), UpstreamState.SERVING, "in service", wait)
 
     @SetParseFns(name=str)
     def retire(self, name, *, wait=0.0):
@@ -112,26 +112,26 @@
             Seconds to wait until the change is in force everywhere.
         """
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).change(
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).change(
                 str(name), lambda one: msgspec.structs.replace(one, retired=True)
             )
-            return await _done(platform, held, "retired", wait)
+            return await _change_result(platform, current, "retired", wait)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     def list(self):
         """List the upstreams with state and zone."""
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).all()
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).all()
             rows = [
                 UpstreamRow(upstream=one.value, version=one.version)
-                for one in held.values()
+                for one in current.values()
             ]
             return Result(data=rows, text=_table(rows))
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(name=str)
     def show(self, name):
@@ -143,24 +143,26 @@
             Name of the upstream.
         """
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).read(str(name))
-            row = UpstreamRow(upstream=held.value, version=held.version)
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).read(str(name))
+            row = UpstreamRow(upstream=current.value, version=current.version)
             return Result(data=row, text=_table([row]))
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
-    def _move(self, name: str, state: UpstreamState, done: str, wait: float) -> Plan:
-        def moved(one: Upstream) -> Upstream:
+    def _set_state(
+        self, name: str, state: UpstreamState, done: str, wait: float
+    ) -> Plan:
+        def with_state(one: Upstream) -> Upstream:
             if one.retired:
                 raise CommandError(f"upstream {name} is retired for good; add another")
             return msgspec.structs.replace(one, state=state)
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).change(name, moved)
-            return await _done(platform, held, done, wait)
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).change(name, with_state)
+            return await _change_result(platform, current, done, wait)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
 
 # The word that operators know is one that Python keeps for itself.
@@ -168,16 +170,16 @@
 del UpstreamCommands.put_back
 
 
-async def _done(
-    platform: Platform, held: Held[Upstream], done: str, wait: float
+async def _change_result(
+    platform: Platform, current: VersionedObject[Upstream], done: str, wait: float
 ) -> Result:
-    name = held.value.name
-    text = f"upstream {name}: {done}, version {held.version}"
-    text += await note_in_force(
-        platform, kind=UPSTREAMS, name=name, version=held.version, wait=wait
+    name = current.value.name
+    text = f"upstream {name}: {done}, version {current.version}"
+    text += await in_force_note(
+        platform, kind=UPSTREAMS, name=name, version=current.version, wait=wait
     )
     return Result(
-        data=UpstreamRow(upstream=held.value, version=held.version), text=text
+        data=UpstreamRow(upstream=current.value, version=current.version), text=text
     )
 
 
@@ -199,4 +201,4 @@
         for row in rows
     ]
     headings = ("name", "back end", "kind", "zone", "state", "sidecar", "version")
-    return table(headings, cells)
+    return format_table(headings, cells)
--- a/tests/cli/test_cli_definition.py
+++ b/tests/cli/test_cli_definition.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ragwortkeel.cli.definition import changed, defined
+from ragwortkeel.cli.definition import apply_flags, read_definition
 from ragwortkeel.configuration import Profile, ServiceClass
 from ragwortkeel.exceptions import CommandError, SettingsError
 from ragwortkeel.settings import (
@@ -36,7 +36,7 @@
 
     @pytest.mark.parametrize("path", PROFILES, ids=lambda path: path.stem)
     def test_profile(self, path):
-        definition = defined(str(path), {})
+        definition = read_definition(str(path), {})
         assert definition.name == path.stem and definition.prepaid_tokens > 0
 
     @pytest.mark.parametrize("path", SETTINGS, ids=lambda path: path.stem)
@@ -47,7 +47,7 @@
 class TestDefinition:
     def test_flags_go_before_the_file(self):
         flags = {"spread": "wide", "customer": None, "back_ends": "a, b,"}
-        definition = defined(str(PROFILES[0]), flags)
+        definition = read_definition(str(PROFILES[0]), flags)
         assert definition.spread == "wide" and definition.back_ends == ("a", "b")
         assert definition.customer == "sathorn-solicitors"
         assert type(definition.profile()) is Profile
@@ -65,7 +65,7 @@
         file = tmp_path / "p.json"
         file.write_text(text)
         with pytest.raises(SettingsError) as caught:
-            defined(str(file), {})
+            read_definition(str(file), {})
         assert caught.value.path == path
 
     @pytest.mark.parametrize("retired", [False, True])
@@ -81,7 +81,7 @@
         )
         if retired:
             with pytest.raises(CommandError):
-                changed(before, {"spread": "narrow"})
+                apply_flags(before, {"spread": "narrow"})
         else:
-            assert changed(before, {"spread": "narrow"}).spread == "narrow"
-            assert changed(before, {"spread": None}) == before
+            assert apply_flags(before, {"spread": "narrow"}).spread == "narrow"
+            assert apply_flags(before, {"spread": None}) == before
--- a/tests/cli/test_cli_fleet.py
+++ b/tests/cli/test_cli_fleet.py
@@ -6,9 +6,9 @@
 
 from ragwortkeel.cli.fleet import (
     InForce,
-    NodeState,
-    concerned,
-    lagging_nodes,
+    ProcessState,
+    lagging_processes,
+    processes_to_update,
     wait_in_force,
 )
 from ragwortkeel.cli.reports import span_lines
@@ -43,7 +43,7 @@
         ],
     )
     def test_nodes(self, kind, name, expected):
-        found = concerned(NODES, kind=kind, name=name)
+        found = processes_to_update(NODES, kind=kind, name=name)
         assert [one.incarnation for one in found] == expected
 
 
@@ -62,8 +62,8 @@
         ],
     )
     def test_table(self, answer, listed, lags):
-        state = NodeState(node=node("r1"), in_force=answer, listed=listed)
-        assert bool(lagging_nodes([state], 5)) == lags
+        state = ProcessState(node=node("r1"), in_force=answer, listed=listed)
+        assert bool(lagging_processes([state], 5)) == lags
 
 
 class TestSpans:
--- a/tests/cli/test_cli_report.py
+++ b/tests/cli/test_cli_report.py
@@ -5,11 +5,11 @@
 import pytest
 
 from ragwortkeel.cli.report import (
-    MOST_NAMES,
+    MAX_NAMES,
     OTHERS,
     Collector,
-    cause_of_lack,
     report,
+    shortage_cause,
 )
 from ragwortkeel.decision_lines import DecisionLine, parse_line
 
@@ -98,14 +98,14 @@
 def test_the_cause_of_a_lack_is_told_by_its_figures(fields, cause):
     here = lack(**fields, ledger_age=0.1, reachable="true")
     away = lack(**fields, ledger_age=3.1, reachable="false")
-    assert cause_of_lack(here) == cause
-    assert cause_of_lack(away) == f"{cause}, platform away"
-    assert cause_of_lack(lack(**fields, ledger_age="-")).startswith("not yet joined")
+    assert shortage_cause(here) == cause
+    assert shortage_cause(away) == f"{cause}, platform away"
+    assert shortage_cause(lack(**fields, ledger_age="-")).startswith("not yet joined")
 
 
 def test_memory_does_not_grow_with_the_customers():
     collector = Collector()
-    for number in range(MOST_NAMES + 5):
+    for number in range(MAX_NAMES + 5):
         fields = {"customer": f"c{number}", "needed": "1"}
         line = DecisionLine(at=1.0, process="p", event="tokens_lacking", fields=fields)
         collector.add("file", line)
