--- a/tests/site/store_standin.py
+++ b/tests/site/store_standin.py
@@ -19,8 +19,8 @@
 from ragwortkeel.httpio import HttpServer
 from ragwortkeel.standins.local_platform import LocalPlatform
 
-PAGE = 2
-STATUS = {
+PAGE_ITEMS = 2
+STATUS_BY_ERROR = {
     AlreadyExists: 409,
     VersionConflict: 409,
     ObjectNotFound: 404,
@@ -67,9 +67,9 @@
             await responder.abort()
             return
         except VersionConflict as exc:
-            status, body = 409, shown(exc.current)
-        except tuple(STATUS) as exc:
-            status, body = STATUS[type(exc)], {}
+            status, body = 409, to_document(exc.current)
+        except tuple(STATUS_BY_ERROR) as exc:
+            status, body = STATUS_BY_ERROR[type(exc)], {}
         await responder.respond(status, msgspec.json.encode(body))
 
     async def answer(self, request):
@@ -81,18 +81,18 @@
                 return await self.list(kind, request.query.get("afterRev", ""))
             case "GET", ["ragwortkeel", "objects", kind, name]:
                 stored = await self.local.get(kind, name)
-                return (200, shown(stored)) if stored else (404, {})
+                return (200, to_document(stored)) if stored else (404, {})
             case "POST", ["ragwortkeel", "objects", kind]:
                 sent = msgspec.json.decode(request.body)
                 name = sent["metadata"]["name"]
                 await self.local.create(kind, name, msgspec.json.encode(sent["spec"]))
-                return 200, shown(self.local.peek(kind, name))
+                return 200, to_document(self.local.peek(kind, name))
             case "PUT", ["ragwortkeel", "objects", kind, name]:
                 sent = msgspec.json.decode(request.body)
                 revision = sent["metadata"]["revision"]
                 value = msgspec.json.encode(sent["spec"])
                 await self.local.update(kind, name, value, revision)
-                return 200, shown(self.local.peek(kind, name))
+                return 200, to_document(self.local.peek(kind, name))
             case "DELETE", ["ragwortkeel", "objects", kind, name]:
                 revision = int(request.query["revision"])
                 await self.local.delete(kind, name, revision)
@@ -102,8 +102,8 @@
     async def list(self, kind, after):
         listing = await self.local.list(kind)
         names = sorted(name for name in listing.by_name if name > after)
-        items = [shown(listing.by_name[name]) for name in names[:PAGE]]
-        more = len(names) > PAGE
+        items = [to_document(listing.by_name[name]) for name in names[:PAGE_ITEMS]]
+        more = len(names) > PAGE_ITEMS
         return 200, {"items": items, "hasMore": more, "at": listing.revision}
 
     async def watch(self, kind, query):
@@ -114,7 +114,7 @@
         events = [
             {
                 "deleted": change.stored is None,
-                "object": shown(change.stored)
+                "object": to_document(change.stored)
                 if change.stored
                 else {"metadata": {"name": change.name, "revision": change.version}},
             }
@@ -123,7 +123,7 @@
         return 200, {"events": events, "at": changes.revision}
 
 
-def shown(stored):
+def to_document(stored):
     return {
         "metadata": {
             "name": stored.name,
--- a/tests/site/test_site_objects.py
+++ b/tests/site/test_site_objects.py
@@ -92,7 +92,7 @@
 }
 
 
-def against_store(scenario):
+def run_with_store(scenario):
     async def main():
         async with StoreStandin() as store:
             client = ObjectStore(address=store.address, timeout=0.5)
@@ -121,7 +121,7 @@
             with pytest.raises(ObjectNotFound):
                 await client.update(KIND, "a b/c", b"{}", second)
 
-        against_store(scenario)
+        run_with_store(scenario)
 
     def test_a_list_is_read_to_its_last_page(self):
         async def scenario(client, store):
@@ -131,7 +131,7 @@
             assert sorted(listing.by_name) == [f"n{i}" for i in range(5)]
             assert listing.revision == store.local.revision
 
-        against_store(scenario)
+        run_with_store(scenario)
 
     def test_a_watch_shows_changes_and_deletions(self):
         async def scenario(client, store):
@@ -139,17 +139,20 @@
             version = await client.create(KIND, "n", b"{}")
             await client.delete(KIND, "n", version)
             changes = await client.watch(KIND, start, 0.2)
-            assert [one.stored is None for one in changes.changes] == [False, True]
+            assert [change.stored is None for change in changes.changes] == [
+                False,
+                True,
+            ]
             assert changes.revision == store.local.revision
 
-        against_store(scenario)
+        run_with_store(scenario)
 
     def test_history_that_is_gone_is_a_gap(self):
         async def scenario(client, store):
             store.lost_history = True
             assert (await client.watch(KIND, 1, 0.1)).gap
 
-        against_store(scenario)
+        run_with_store(scenario)
 
 
 class TestFailures:
@@ -160,7 +163,7 @@
             with pytest.raises(PlatformUnavailable):
                 await client.get(KIND, "n")
 
-        against_store(scenario)
+        run_with_store(scenario)
 
     @pytest.mark.parametrize("status", [429, 503])
     def test_a_refused_write_changed_nothing(self, status):
@@ -169,7 +172,7 @@
             with pytest.raises(PlatformUnavailable):
                 await client.create(KIND, "n", b"{}")
 
-        against_store(scenario)
+        run_with_store(scenario)
 
     def test_a_write_without_an_answer_may_have_been_done(self):
         """A budget is drawn twice: the answer to the first draw was lost."""
@@ -180,7 +183,7 @@
                 await client.create(KIND, "n", b"{}")
             assert await client.get(KIND, "n") is not None
 
-        against_store(scenario)
+        run_with_store(scenario)
 
 
 class TestTranslation:
@@ -190,7 +193,7 @@
             listing = await client.list(UPSTREAMS_KIND)
             return decode_value(listing.by_name["i-1"].value, Upstream)
 
-        assert against_store(scenario) == Upstream(
+        assert run_with_store(scenario) == Upstream(
             name="i-1",
             service="huvo11a",
             host="10.128.0.9",
@@ -213,14 +216,14 @@
             listing = await client.list(UPSTREAMS_KIND)
             return decode_value(listing.by_name["i-1"].value, Upstream)
 
-        assert against_store(scenario).cold_seconds == seconds
+        assert run_with_store(scenario).cold_seconds == seconds
 
     def test_an_evacuation_is_the_name_of_its_zone(self):
         async def scenario(client, store):
             await store.put("evacuations", "maule-b", None)
             return (await client.list(EVACUATIONS_KIND)).by_name
 
-        assert set(against_store(scenario)) == {"maule-b"}
+        assert set(run_with_store(scenario)) == {"maule-b"}
 
     @pytest.mark.parametrize(
         "spec",
@@ -241,9 +244,9 @@
             await store.put("servers", "i-0", spec)
             await store.put("servers", "i-1", SERVER)
             listing = await client.list(UPSTREAMS_KIND)
-            return {name: one.value for name, one in listing.by_name.items()}
+            return {name: stored.value for name, stored in listing.by_name.items()}
 
-        values = against_store(scenario)
+        values = run_with_store(scenario)
         assert values["i-0"] == b"null"
         assert decode_value(values["i-1"], Upstream).name == "i-1"
 
@@ -253,7 +256,7 @@
             stored = await client.get(CONFIGURATION_KIND, CONFIGURATION_NAME)
             return decode_value(stored.value, IngressConfiguration)
 
-        found = against_store(scenario)
+        found = run_with_store(scenario)
         assert found.revision == 7
         first, second = found.routes
         assert [split.weight for split in first.splits] == [90, 10]
@@ -276,4 +279,4 @@
             await store.put("config", CONFIGURATION_NAME, spec)
             return await client.get(CONFIGURATION_KIND, CONFIGURATION_NAME)
 
-        assert against_store(scenario).value == b"null"
+        assert run_with_store(scenario).value == b"null"
