--- a/tests/site/store_standin.py
+++ b/tests/site/store_standin.py
@@ -1,7 +1,7 @@
-"""A stand-in for the users' object store: their wire over a `LocalPlatform`.
+"""A stand-in for the users' object store: their HTTP API over a `LocalPlatform`.
 
-Its switches are the `LocalPlatform`'s; `refuse_with` answers every call with a
-status, `unreadable` are names whose entries are shown with another shape.
+Faults are set on the `LocalPlatform`. In addition, `refuse_with` is a status that
+answers every call, and `lost_history` answers every watch with 410.
 """
 
 from urllib.parse import unquote
@@ -49,7 +49,7 @@
         return f"127.0.0.1:{self.server.port}"
 
     async def put(self, kind, name, spec):
-        """Write as the operator or a server does, over any version."""
+        """Write an object whatever its version, like an operator or a server."""
         value = msgspec.json.encode(spec)
         stored = self.local.peek(kind, name)
         if stored is None:
--- a/tests/site/test_site_objects.py
+++ b/tests/site/test_site_objects.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' object store, over HTTP against a stand-in."""
+"""Tests of the adapter to the users' object store, over HTTP with a stand-in."""
 
 import curio
 import msgspec
@@ -105,7 +105,7 @@
 
 
 class TestObjects:
-    def test_writes_are_conditional_and_versions_rise(self):
+    def test_writes_are_conditional_and_versions_increase(self):
         async def scenario(client, store):
             first = await client.create(KIND, "a b/c", b'{"n":1}')
             second = await client.update(KIND, "a b/c", b'{"n":2}', first)
@@ -123,7 +123,7 @@
 
         run_with_store(scenario)
 
-    def test_a_list_is_read_to_its_last_page(self):
+    def test_list_reads_all_pages(self):
         async def scenario(client, store):
             for i in range(5):
                 await client.create(KIND, f"n{i}", b"{}")
@@ -133,7 +133,7 @@
 
         run_with_store(scenario)
 
-    def test_a_watch_shows_changes_and_deletions(self):
+    def test_watch_reports_changes_and_deletions(self):
         async def scenario(client, store):
             start = (await client.list(KIND)).revision
             version = await client.create(KIND, "n", b"{}")
@@ -147,7 +147,7 @@
 
         run_with_store(scenario)
 
-    def test_history_that_is_gone_is_a_gap(self):
+    def test_watch_of_discarded_history_reports_a_gap(self):
         async def scenario(client, store):
             store.lost_history = True
             assert (await client.watch(KIND, 1, 0.1)).gap
@@ -157,7 +157,7 @@
 
 class TestFailures:
     @pytest.mark.parametrize("status", [429, 503, 500])
-    def test_a_refused_read_is_no_answer(self, status):
+    def test_refused_read_raises_platform_unavailable(self, status):
         async def scenario(client, store):
             store.refuse_with = status
             with pytest.raises(PlatformUnavailable):
@@ -166,7 +166,7 @@
         run_with_store(scenario)
 
     @pytest.mark.parametrize("status", [429, 503])
-    def test_a_refused_write_changed_nothing(self, status):
+    def test_refused_write_raises_platform_unavailable(self, status):
         async def scenario(client, store):
             store.refuse_with = status
             with pytest.raises(PlatformUnavailable):
@@ -174,8 +174,8 @@
 
         run_with_store(scenario)
 
-    def test_a_write_without_an_answer_may_have_been_done(self):
-        """A budget is drawn twice: the answer to the first draw was lost."""
+    def test_write_without_answer_raises_outcome_unknown(self):
+        """Guards against drawing a budget twice after the first answer was lost."""
 
         async def scenario(client, store):
             store.local.switches.lost_answers = 1
@@ -187,7 +187,7 @@
 
 
 class TestTranslation:
-    def test_a_server_is_an_upstream(self):
+    def test_server_becomes_an_upstream(self):
         async def scenario(client, store):
             await store.put("servers", "i-1", SERVER)
             listing = await client.list(UPSTREAMS_KIND)
@@ -207,8 +207,8 @@
     @pytest.mark.parametrize(
         ("milliseconds", "seconds"), [(2500, 2.5), (-3, 0.0), (1e15, 1e12)]
     )
-    def test_a_servers_cold_time_is_taken_over(self, milliseconds, seconds):
-        """Guards against an entry that is lost for an odd cold time."""
+    def test_cold_time_is_converted_to_seconds(self, milliseconds, seconds):
+        """Guards against dropping a server for a negative or huge cold time."""
 
         async def scenario(client, store):
             entry = SERVER | {"coldRemainingMs": milliseconds}
@@ -218,7 +218,7 @@
 
         assert run_with_store(scenario).cold_seconds == seconds
 
-    def test_an_evacuation_is_the_name_of_its_zone(self):
+    def test_evacuation_is_named_after_its_zone(self):
         async def scenario(client, store):
             await store.put("evacuations", "maule-b", None)
             return (await client.list(EVACUATIONS_KIND)).by_name
@@ -239,7 +239,7 @@
             {"service": "huvo11a"},
         ],
     )
-    def test_an_entry_of_another_shape_names_no_upstream_and_harms_no_other(self, spec):
+    def test_invalid_server_becomes_null_and_the_others_are_decoded(self, spec):
         async def scenario(client, store):
             await store.put("servers", "i-0", spec)
             await store.put("servers", "i-1", SERVER)
@@ -250,7 +250,7 @@
         assert values["i-0"] == b"null"
         assert decode_value(values["i-1"], Upstream).name == "i-1"
 
-    def test_the_configuration_is_taken_over_whole(self):
+    def test_configuration_is_converted_completely(self):
         async def scenario(client, store):
             await store.put("config", CONFIGURATION_NAME, CONFIG)
             stored = await client.get(CONFIGURATION_KIND, CONFIGURATION_NAME)
@@ -272,7 +272,7 @@
         assert found.services[0].cold_per_second == 10.0
         assert found.services[1].cold_per_second == 0.0
 
-    def test_a_configuration_of_another_shape_is_no_configuration(self):
+    def test_invalid_configuration_becomes_null(self):
         async def scenario(client, store):
             spec = msgspec.json.decode(msgspec.json.encode(CONFIG))
             spec["routes"][1].pop("service")
--- a/tests/site/test_site_settings.py
+++ b/tests/site/test_site_settings.py
@@ -1,4 +1,4 @@
-"""The users' settings file, and that their names stay in their folder."""
+"""Tests of the users' settings file and of the boundary of the adapter."""
 
 import platform
 import re
@@ -29,7 +29,7 @@
 
 
 class TestSettings:
-    def test_the_fields_become_the_products(self):
+    def test_fields_are_converted(self):
         found = ingress_settings(TEXT)
         assert found.name == "front-maule-a-1"
         assert found.http == "10.1.0.40:8227"
@@ -40,19 +40,19 @@
         assert found.stop_deadline_seconds == 7.5
         assert found.region_by_zone == {"maule-a": "maule"}
 
-    def test_no_seeds_are_no_peers(self):
+    def test_empty_seeds_give_no_peers(self):
         text = re.sub(r"seeds=.*", "seeds=", TEXT)
         assert ingress_settings(text).peers == ()
 
-    def test_a_relay_needs_no_address_for_callers(self):
+    def test_relay_needs_no_address_for_callers(self):
         text = re.sub(r"listen.*\n", "", TEXT)
         found = relay_settings(text)
         assert found.address == "10.1.0.40:7340"
         assert found.metrics == "10.1.0.40:7355"
 
     @pytest.mark.parametrize("key", ["nodeName", "ip", "listen.front", "portRange"])
-    def test_a_missing_field_is_named(self, key):
-        text = "\n".join(x for x in TEXT.splitlines() if not x.startswith(key))
+    def test_error_names_the_missing_field(self, key):
+        text = "\n".join(line for line in TEXT.splitlines() if not line.startswith(key))
         with pytest.raises(SettingsError, match=re.escape(key)):
             ingress_settings(text)
 
@@ -65,7 +65,7 @@
 
 
 class TestBoundary:
-    def test_the_users_names_stand_in_their_folder_only(self):
+    def test_users_names_occur_only_in_the_adapter(self):
         found = [
             str(path.relative_to(ROOT))
             for path in (ROOT / "src").rglob("*.py")
@@ -73,11 +73,11 @@
         ]
         assert found == []
 
-    def test_the_folder_does_not_hide_the_standard_module(self):
+    def test_folder_does_not_shadow_the_standard_module(self):
         assert Path(platform.__file__).name == "platform.py"
         assert hasattr(platform, "python_version")
 
-    def test_nor_for_the_program_that_starts_there(self):
+    def test_folder_does_not_shadow_it_for_a_program_started_there(self):
         code = "import platform; print(platform.python_version())"
         done = subprocess.run(
             [sys.executable, "-c", code],
