--- a/src/ragwortkeel/cli/__init__.py
+++ b/src/ragwortkeel/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command line: ``ragwortkeel``."""
+"""Provide ``ragwortkeel``, the operators' command line."""
 
 from ragwortkeel.cli.command import main
 
--- a/src/ragwortkeel/cli/bills.py
+++ b/src/ragwortkeel/cli/bills.py
@@ -1,4 +1,4 @@
-"""``ragwortkeel bill``: what callers owe, from the receipts in the platform."""
+"""Compute the bills of ``ragwortkeel bill`` from the receipts in the platform."""
 
 import msgspec
 
@@ -20,7 +20,7 @@
 
 
 class BillRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What one profile owes, in tokens; `absorbed` ran and is billed to nobody."""
+    """The tokens billed to one profile; `absorbed` tokens were used but not billed."""
 
     profile: str
     requests: int
@@ -29,22 +29,22 @@
 
 
 async def read_bill(platform: Platform) -> Bill:
-    """Return the bill over all receipts that are durable by now."""
+    """Return the bill over all receipts stored in the platform."""
     listing = await list_kind(platform, RECEIPTS)
     bill = Bill()
     for stored in listing.by_name.values():
         try:
             bill.add_segment(decode_segment(stored.value))
         except msgspec.DecodeError as exc:
-            # A bill that leaves receipts out in silence would be wrong.
+            # Skipping an unreadable receipt would make the bill too low.
             raise CommandError(
-                f"receipts {stored.name} cannot be read, so no bill: {exc}"
+                f"cannot compute the bill: receipts {stored.name} cannot be read: {exc}"
             ) from exc
     return bill
 
 
 async def bill(platform: Platform, profile: str) -> Result:
-    """Return the bill of all profiles, or the requests of one."""
+    """Return the bill of all profiles, or the billed requests of `profile`."""
     found = await read_bill(platform)
     if profile:
         rows = _request_rows(found, profile)
--- a/src/ragwortkeel/cli/budgets.py
+++ b/src/ragwortkeel/cli/budgets.py
@@ -1,8 +1,8 @@
-"""Budgets as operators change them: each operation takes effect once.
+"""Change budgets for operators, each operation exactly once.
 
-Routers change ledgers all the time, so a lost race is tried again here.  That
-is safe because an operation carries its id: one that took effect already, maybe
-with its answer lost, changes nothing the second time.
+Routers update ledgers continuously, so a write that meets a version conflict is
+retried.  Retries are safe because each operation carries an id: an operation that
+already took effect changes nothing when it is applied again.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,8 @@
 from ragwortkeel.platform import Platform, Stored
 
 MAX_WRITE_ATTEMPTS = 30
-"""1,000 routers renew a busy slice some times a second; one of 30 gets in."""
+"""Bounds the attempts at one change.  Up to 1,000 routers write a busy ledger
+several times a second, so most attempts meet a version conflict."""
 
 Transition = Callable[[Ledger], Ledger]
 
@@ -37,7 +38,7 @@
 class BudgetRow(msgspec.Struct, frozen=True, kw_only=True):
     """A profile's budget in tokens.
 
-    `held` is spent or committed; `rest` may still be taken by routers.
+    `held` tokens are spent or committed; `rest` tokens can still be granted.
     """
 
     profile: str
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LedgerChange:
-    """A ledger after an operation, and the id that repeats it safely."""
+    """A ledger after an operation, and the id for repeating the operation safely."""
 
     ledger: Ledger
     operation_id: str
@@ -64,23 +65,23 @@
         self._platform = platform
 
     async def find(self, profile: str) -> Ledger | None:
-        """Return a profile's ledger, or None where it has none."""
+        """Return the ledger of `profile`, or None if there is none."""
         stored = await self._read(profile)
         return None if stored is None else _decode(stored)
 
     async def all(self) -> dict[str, Ledger]:
-        """Return all ledgers by profile."""
+        """Return all ledgers, by name of the profile."""
         listing = await list_kind(self._platform, LEDGERS)
-        return {name: _decode(one) for name, one in listing.by_name.items()}
+        return {name: _decode(stored) for name, stored in listing.by_name.items()}
 
     async def top_up(
         self, profile: str, tokens: int, operation_id: str = ""
     ) -> LedgerChange:
-        """Add prepaid tokens; makes the ledger where there is none."""
+        """Add prepaid tokens, and create the ledger if it does not exist."""
         operation_id = operation_id or await self._new_id(profile)
         ledger = await self._apply(
             profile,
-            lambda one: one.top_up(tokens=tokens, operation_id=operation_id),
+            lambda current: current.top_up(tokens=tokens, operation_id=operation_id),
             operation_id,
         )
         return LedgerChange(ledger=ledger, operation_id=operation_id)
@@ -88,22 +89,22 @@
     async def lower(
         self, profile: str, tokens: int, operation_id: str = ""
     ) -> LedgerChange:
-        """Take prepaid tokens off at once, or refuse."""
+        """Subtract uncommitted prepaid tokens, or raise `CommandError`."""
         operation_id = operation_id or await self._new_id(profile)
         ledger = await self._apply(
             profile,
-            lambda one: one.lower(tokens=tokens, operation_id=operation_id),
+            lambda current: current.lower(tokens=tokens, operation_id=operation_id),
             operation_id,
         )
         return LedgerChange(ledger=ledger, operation_id=operation_id)
 
     async def recall(self, profile: str, to: int) -> Ledger:
-        """Lower the prepaid tokens to `to` as slices come back."""
-        return await self._apply(profile, lambda one: one.recall(to=to), "")
+        """Lower the prepaid tokens to `to` as routers return their slices."""
+        return await self._apply(profile, lambda current: current.recall(to=to), "")
 
     async def retire(self, profile: str) -> Ledger:
-        """Let routers take nothing more."""
-        return await self._apply(profile, lambda one: one.retire(), "")
+        """Retire the ledger, so that routers get no further grants."""
+        return await self._apply(profile, lambda current: current.retire(), "")
 
     async def _new_id(self, profile: str) -> str:
         ledger = await self.find(profile) or Ledger()
@@ -119,8 +120,8 @@
             except (VersionConflict, AlreadyExists, ObjectNotFound):
                 continue
             except OutcomeUnknown:
-                # The operation's id in the ledger tells whether it took effect:
-                # the next round reads it and then changes nothing.
+                # The ledger records operation ids: the next attempt reads it and
+                # changes nothing if this write took effect.
                 maybe_written = True
             except PlatformUnavailable as exc:
                 if maybe_written:
@@ -131,7 +132,7 @@
         if maybe_written:
             raise _uncertain_error(profile, operation_id)
         raise CommandConflict(
-            f"the budget of {profile} changes too fast to get in; nothing was "
+            f"the budget of {profile} changes too often to update it; nothing was "
             "written: run this again"
         )
 
@@ -157,7 +158,7 @@
 
 
 def budget_row(profile: str, ledger: Ledger) -> BudgetRow:
-    """Return a ledger as operators read it."""
+    """Return the row that shows a ledger to operators."""
     return BudgetRow(
         profile=profile,
         prepaid=ledger.prepaid,
@@ -174,7 +175,7 @@
         return decode_ledger(stored.value)
     except msgspec.DecodeError as exc:
         raise CommandError(
-            f"the budget of {stored.name} holds what this release cannot read: {exc}"
+            f"the budget of {stored.name} cannot be decoded by this release: {exc}"
         ) from exc
 
 
--- a/src/ragwortkeel/cli/command.py
+++ b/src/ragwortkeel/cli/command.py
@@ -1,4 +1,4 @@
-"""The command line's entry point: parsing by fire, errors on one line."""
+"""Parse the command line with fire and print errors on one line."""
 
 import sys
 
@@ -24,14 +24,14 @@
     Every command takes --platform ip:port or --settings file.json (or the
     environment's RAGWORTKEEL_PLATFORM), and --json for output to programs.
 
-    Exit codes: 0 done, 1 refused, 2 bad input, 3 changed by somebody else
-    meanwhile, 4 the platform does not answer, 5 outcome unknown, 6 accepted but
-    not yet in force everywhere.
+    Exit codes: 0 done, 1 refused, 2 bad input, 3 conflict with another write, 4 the
+    platform does not answer, 5 outcome unknown, 6 accepted but not yet in force
+    everywhere.
 
     Parameters
     ----------
     platform
-        Where the platform answers, as ip:port.
+        Address of the platform, as ip:port.
     settings
         A JSON file with platform and timeout_seconds.
     json
@@ -47,17 +47,17 @@
         self.ingress = IngressCommands(session=self._session)
 
     def status(self):
-        """Show nodes, what they have in force, and counts of objects."""
+        """Show processes, their configuration revision, and counts of objects."""
         return Plan(session=self._session, action=status)
 
     @SetParseFns(profile=str)
     def bill(self, profile=""):
-        """Show what each profile owes, or each billed request of one.
+        """Show the billed tokens of each profile, or each billed request of one.
 
         Parameters
         ----------
         profile
-            The profile; all of them without it.
+            Name of the profile; all profiles if omitted.
         """
 
         async def action(platform):
@@ -66,12 +66,14 @@
         return Plan(session=self._session, action=action)
 
     def unresolved(self):
-        """List runs that must not repeat and of which nobody knows if they ran."""
+        """List runs that must not repeat and whose outcome is unknown."""
         return Plan(session=self._session, action=unresolved)
 
     @SetParseFns(profile=str, request_id=str, word=str)
     def resolve(self, profile, request_id, word):
-        """Say whether an unresolved run ran, after looking where it would show.
+        """Record whether an unresolved run took effect.
+
+        Check first in the system that the run changes.
 
         Parameters
         ----------
@@ -80,7 +82,7 @@
         request_id
             The request, as `unresolved` lists it.
         word
-            ran, or not-run: then its caller may send it again.
+            ran, or not-run, which lets the caller send the request again.
         """
 
         async def action(platform):
@@ -90,7 +92,7 @@
 
     @SetParseFns(trace_id=str)
     def trace(self, trace_id):
-        """Show the spans of one request, from all nodes.
+        """Show the spans of one request, from all processes.
 
         Parameters
         ----------
@@ -105,14 +107,14 @@
 
     @SetParseFns(str, request=str)
     def report(self, *files, request=""):
-        """Say from log files where callers lost, and what the processes cost.
+        """Summarize failed requests and process costs from log files.
 
         Parameters
         ----------
         files
-            Logs of any processes, also as .gz; - for standard input.
+            Log files of any processes, plain or .gz; - for standard input.
         request
-            Show just the lines of this request, in order.
+            Show only the lines of this request, in order of time.
         """
 
         async def action(platform):
--- a/src/ragwortkeel/cli/definition.py
+++ b/src/ragwortkeel/cli/definition.py
@@ -1,4 +1,4 @@
-"""Profiles as operators write them: in a file, by flags, or both."""
+"""Read profile definitions from files and command line flags."""
 
 from pathlib import Path
 from typing import Annotated
@@ -11,7 +11,7 @@
 
 
 class Definition(Profile, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A profile and the prepaid tokens that its budget starts with."""
+    """A profile and the prepaid tokens of its initial budget."""
 
     prepaid_tokens: Annotated[Tokens, msgspec.Meta(le=10**15)] = 0
 
@@ -23,19 +23,19 @@
 
 
 def read_definition(file: str, flags: dict[str, object]) -> Definition:
-    """Return the definition in `file`, with `flags` before it.
+    """Return the definition in `file`, with the fields in `flags` replaced.
 
     Raises
     ------
     SettingsError
-        Names the field, what was found and what is allowed.
+        If a field has a value that is not allowed.
     """
     raw: dict[str, object] = _read(file) if file else {}
     return decode(msgspec.json.encode(raw | given_flags(flags)), Definition)
 
 
 def apply_flags(profile: Profile, flags: dict[str, object]) -> Profile:
-    """Return the profile with the fields that `flags` give."""
+    """Return the profile with the fields in `flags` replaced."""
     if profile.retired:
         raise CommandError(
             f"profile {profile.name} is retired for good; create another"
@@ -45,8 +45,8 @@
 
 
 def given_flags(flags: dict[str, object]) -> dict[str, object]:
-    """Return the flags that were given, as JSON would hold them."""
-    values = {key: one for key, one in flags.items() if one is not None}
+    """Return the flags that were given, converted to JSON types."""
+    values = {key: value for key, value in flags.items() if value is not None}
     if "back_ends" in values:
         values["back_ends"] = _names(values["back_ends"])
     return values
@@ -54,9 +54,9 @@
 
 def _names(value: object) -> list[str]:
     if isinstance(value, str):
-        return [part.strip() for part in value.split(",") if part.strip()]
+        return [name.strip() for name in value.split(",") if name.strip()]
     if isinstance(value, list | tuple):
-        return [str(part) for part in value]
+        return [str(name) for name in value]
     return [str(value)]
 
 
--- a/src/ragwortkeel/cli/fleet.py
+++ b/src/ragwortkeel/cli/fleet.py
@@ -1,7 +1,7 @@
-"""Asking the nodes themselves, over their metrics ports.
+"""Query the processes of the fleet over their metrics ports.
 
-Only nodes know what is in force on them; asking them costs the platform one
-list of nodes, whatever the size of the fleet.
+Only a process knows which configuration it has in force.  Querying all processes
+costs the platform one list call, whatever the size of the fleet.
 """
 
 from collections.abc import Iterable
@@ -30,7 +30,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProcessState:
-    """A registered node and what it answered; None where it did not."""
+    """A registered process and its answer.
+
+    `in_force` is None if the process did not answer, `listed` is None if the
+    platform's list of instances could not be read.
+    """
 
     node: Node
     in_force: InForce | None
@@ -38,14 +42,14 @@
 
 
 async def list_registered(platform: Platform) -> list[Node]:
-    """Return the registered nodes in order of role and name."""
+    """Return the registered processes in order of role, zone and name."""
     listing = await list_kind(platform, NODES)
     nodes = []
     for stored in listing.by_name.values():
         try:
             nodes.append(msgspec.json.decode(stored.value, type=Node))
         except msgspec.DecodeError:
-            # One odd registration must not hide all the others.
+            # An unreadable registration must not hide the others.
             continue
     return sorted(nodes, key=lambda node: (node.role, node.zone, node.incarnation))
 
@@ -53,7 +57,7 @@
 async def fetch_states(
     platform: Platform, nodes: Iterable[Node], *, kind: str = "", name: str = ""
 ) -> list[ProcessState]:
-    """Return what each node says of one object, or of itself."""
+    """Return what each process has in force, of one object if `kind` is given."""
     live = await _live_addresses(platform)
     target = f"/in-force?kind={kind}&name={name}"
     asked = await _ask_all(nodes, target, InForce)
@@ -70,12 +74,12 @@
 async def wait_in_force(
     platform: Platform, *, kind: str, name: str, version: int, seconds: float
 ) -> int:
-    """Return on how many nodes the version is in force, once on all.
+    """Wait until all processes have the version in force; return their number.
 
     Raises
     ------
     CommandLagging
-        Not on all within `seconds`; names those that lag.
+        If a process does not have it in force within `seconds`.
     """
     deadline = monotonic() + seconds
     while True:
@@ -95,10 +99,10 @@
 
 
 def processes_to_update(nodes: Iterable[Node], *, kind: str, name: str) -> list[Node]:
-    """Return the nodes on which a change has to be in force.
+    """Return the processes that have to apply a change.
 
-    Routers decide by every object.  Of sidecars only that of a changed upstream
-    holds its object; the versions of profiles reach sidecars with the work.
+    Routers use every profile and upstream.  A sidecar only uses the object of its
+    own upstream; it receives profile versions with the requests.
     """
     return [
         node
@@ -109,10 +113,10 @@
 
 
 def lagging_processes(found: Iterable[ProcessState], version: int) -> list[str]:
-    """Return the nodes where a version is not in force, as an operator reads them.
+    """Return descriptions of the processes where a version is not in force.
 
-    One that does not answer counts, unless the platform's list lacks it as
-    well: then it died without deregistering.
+    A process that does not answer counts as lagging, unless the platform's list of
+    instances lacks it too: then it stopped without deregistering.
     """
     lagging = []
     for state in found:
@@ -129,16 +133,18 @@
 
 
 async def fetch_spans(platform: Platform, trace_id: str) -> list[SpanRecord]:
-    """Return the spans of a trace from all nodes that answer, by start."""
+    """Return the spans of a trace from all processes that answer, by start."""
     nodes = await list_registered(platform)
     asked = await _ask_all(nodes, f"/traces/{trace_id}", TraceReport)
-    found = {span.span_id: span for _, one in asked if one for span in one.spans}
+    found = {
+        span.span_id: span for _, report in asked if report for span in report.spans
+    }
     return sorted(found.values(), key=lambda span: span.start_ns)
 
 
 async def _live_addresses(platform: Platform) -> set[str] | None:
     try:
-        return {one.address for one in (await platform.live()).values()}
+        return {instance.address for instance in (await platform.live()).values()}
     except PlatformError:
         return None
 
@@ -159,10 +165,10 @@
 
 async def _ask(node: Node, target: str, cls: type[Body]) -> Body | None:
     try:
-        where = Address.parse(node.http_address)
+        address = Address.parse(node.http_address)
     except ValueError:
         return None
-    client = HttpClient(host=where.host, port=where.port)
+    client = HttpClient(host=address.host, port=address.port)
     try:
         response = await client.request("GET", target, timeout=PROCESS_TIMEOUT_SECONDS)
         return msgspec.json.decode(response.body, type=cls)
@@ -175,7 +181,7 @@
 async def in_force_note(
     platform: Platform, *, kind: str, name: str, version: int, wait: float
 ) -> str:
-    """Return what to add to a command's text, after waiting where asked to."""
+    """Wait if `wait` is given; return the addition to the command's output."""
     if not wait:
         return ""
     count = await wait_in_force(
--- a/src/ragwortkeel/cli/ingress.py
+++ b/src/ragwortkeel/cli/ingress.py
@@ -1,4 +1,4 @@
-"""``ragwortkeel ingress``: routes, services, customers, budgets and evacuations."""
+"""Implement ``ragwortkeel ingress``: configuration, budgets and evacuations."""
 
 from pathlib import Path
 from time import time
@@ -28,7 +28,7 @@
 
 
 class ApplySummary(msgspec.Struct, frozen=True, kw_only=True):
-    """What a command did to the configuration."""
+    """The revision of the applied configuration and the numbers of its entries."""
 
     revision: int
     routes: int
@@ -37,7 +37,7 @@
 
 
 class BudgetRow(msgspec.Struct, frozen=True, kw_only=True):
-    """One customer's budget as its ledger shows it, in tokens."""
+    """The budget in one customer's ledger, in tokens."""
 
     customer: str
     prepaid: int
@@ -47,33 +47,33 @@
 
 
 class Evacuation(msgspec.Struct, frozen=True, kw_only=True):
-    """The entry of an evacuated zone; `since` is a time of day in seconds."""
+    """The stored entry of an evacuated zone; `since` is in seconds of Unix time."""
 
     since: float = 0.0
 
 
 class EvacuationRow(msgspec.Struct, frozen=True, kw_only=True):
-    """One evacuated zone; `since` is None where its entry can't be read."""
+    """One evacuated zone; `since` is None if its entry has no readable time."""
 
     zone: str
     since: float | None
 
 
 class IngressCommands:
-    """Operate the ingress: what it routes, and what customers have left."""
+    """Operate the ingress: configuration, customer budgets and evacuations."""
 
     def __init__(self, *, session: Session) -> None:
         self._session = session
 
     @SetParseFns(file=str)
     def apply(self, file):
-        """Put a whole configuration in force, in place of the one before.
+        """Replace the ingress configuration.
 
         Parameters
         ----------
         file
             JSON with routes, services, customers and limits; see
-            docs/CONFIGURATION.md.  Its revision is set here.
+            docs/CONFIGURATION.md.  The command sets the revision.
         """
         wanted = decode(_read(file), IngressConfiguration)
 
@@ -94,12 +94,12 @@
 
     @SetParseFns(zone=str)
     def evacuate(self, zone):
-        """Send nothing new to the upstreams of an availability zone.
+        """Stop sending new requests to the upstreams of an availability zone.
 
         Parameters
         ----------
         zone
-            Its name, as the upstreams' entries spell it.
+            Name of the zone, as in the entries of the upstreams.
         """
 
         async def action(platform):
@@ -110,7 +110,7 @@
 
     @SetParseFns(zone=str)
     def take_back(self, zone):
-        """Let the upstreams of an evacuated availability zone serve again."""
+        """End the evacuation of an availability zone."""
 
         async def action(platform):
             await _evacuations(platform).remove(zone)
@@ -123,7 +123,7 @@
         return Plan(session=self._session, action=_evacuated_rows)
 
     def budgets(self):
-        """Show what each customer has paid for, spent, and has left."""
+        """Show each customer's prepaid, spent and remaining tokens."""
         return Plan(session=self._session, action=_budgets)
 
 
@@ -156,7 +156,9 @@
     try:
         ledgers = decode_shard(stored.value).ledger_by_customer
     except LedgerUnreadable as exc:
-        raise CommandError(f"the ledgers can't be read: {exc}") from exc
+        raise CommandError(
+            f"cannot decode the ledgers of the customers: {exc}"
+        ) from exc
     rows = [
         BudgetRow(
             customer=name,
@@ -188,7 +190,7 @@
     try:
         return msgspec.json.decode(value, type=Evacuation).since or None
     except msgspec.DecodeError:
-        # An entry counts by its name, whatever its writer put into it.
+        # The name of an entry is enough to evacuate the zone.
         return None
 
 
--- a/src/ragwortkeel/cli/objects.py
+++ b/src/ragwortkeel/cli/objects.py
@@ -1,7 +1,7 @@
-"""Reading and writing operators' objects so that nobody's change is lost.
+"""Read and write operators' objects without losing concurrent changes.
 
-Every write names the version it was made from.  A lost answer is settled by
-reading again: the value there tells whether the write took effect.
+Every write names the version that it is based on.  After a lost answer, the object is
+read again: its value shows whether the write took effect.
 """
 
 from collections.abc import Callable
@@ -25,15 +25,15 @@
 from ragwortkeel.platform import Listing, Platform, Stored
 
 MAX_WRITE_ATTEMPTS = 4
-"""Tries of one write whose answers are lost; each is conditional, so repeats
-are harmless."""
+"""Bounds the attempts at one write whose answers are lost.  Repeats are harmless
+because each write is conditional."""
 
 Value = TypeVar("Value", bound=msgspec.Struct)
 
 
 @dataclass(frozen=True, kw_only=True)
 class VersionedObject(Generic[Value]):
-    """An object as read, with the version that a change of it has to name."""
+    """An object, and the version that the next change has to name."""
 
     value: Value
     version: int
@@ -45,11 +45,11 @@
     Parameters
     ----------
     kind : str
-        Kind in the platform.
+        Kind of the objects in the platform.
     cls : type
-        What a value decodes to.
+        Type that the stored values decode to.
     noun : str
-        What operators call one, for messages.
+        Name of the kind in messages to operators.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._decoder = msgspec.json.Decoder(cls)
 
     async def read(self, name: str) -> VersionedObject[Value]:
-        """Return the object; `CommandError` where there is none."""
+        """Return the object, or raise `CommandError` if there is none."""
         current = await self.find(name)
         if current is None:
             raise CommandError(
@@ -70,7 +70,7 @@
         return current
 
     async def find(self, name: str) -> VersionedObject[Value] | None:
-        """Return the object or None."""
+        """Return the object, or None if there is none."""
         try:
             stored = await self._platform.get(self._kind, name)
         except PlatformUnavailable as exc:
@@ -90,8 +90,8 @@
             return await self._write_with_retries(name, data, None)
         except AlreadyExists as exc:
             raise CommandConflict(
-                f"{self._noun} {name} exists already; choose another name, for "
-                "names of retired ones are not used again"
+                f"{self._noun} {name} exists already; choose another name: "
+                "names of retired objects are not used again"
             ) from exc
 
     async def change(
@@ -101,12 +101,12 @@
         *,
         version: int | None = None,
     ) -> VersionedObject[Value]:
-        """Replace the object by what `transition` makes of it.
+        """Replace the object by the result of `transition`.
 
         Parameters
         ----------
         version : int, optional
-            The version that the operator looked at; another one is a conflict.
+            Version that the change is based on; any other version is a conflict.
         """
         current = await self.read(name)
         if version is not None and current.version != version:
@@ -122,7 +122,7 @@
         return VersionedObject(value=value, version=changed)
 
     async def remove(self, name: str) -> None:
-        """Delete the object as it is now; `CommandError` where there is none."""
+        """Delete the current version, or raise `CommandError` if there is none."""
         try:
             stored = await self._platform.get(self._kind, name)
             if stored is None:
@@ -142,9 +142,9 @@
             try:
                 return await self._write(name, data, version)
             except OutcomeUnknown:
-                # The write may have been done before its answer was lost.  The
-                # same bytes at another version are this write or one like it;
-                # the old version says it was not done and may be sent again.
+                # The write may have taken effect.  The same bytes at another
+                # version come from this write or an equal one.  The old version
+                # shows that the write did not take effect and can be repeated.
                 found = await self._read_again(name)
                 if found is not None and found.version != version:
                     if found.value == data:
@@ -153,7 +153,9 @@
             except PlatformUnavailable as exc:
                 raise unavailable_error(exc) from exc
             except ValueRefused as exc:
-                raise CommandError(f"the platform refuses it: {exc}") from exc
+                raise CommandError(
+                    f"the platform refused to store the object: {exc}"
+                ) from exc
         raise self._uncertain_error(name)
 
     async def _write(self, name: str, data: bytes, version: int | None) -> int:
@@ -172,7 +174,7 @@
             value = self._decoder.decode(stored.value)
         except msgspec.DecodeError as exc:
             raise CommandError(
-                f"{self._noun} {stored.name} holds what this release cannot read: {exc}"
+                f"{self._noun} {stored.name} cannot be decoded by this release: {exc}"
             ) from exc
         return VersionedObject(value=value, version=stored.version)
 
@@ -193,7 +195,7 @@
 
 
 async def list_kind(platform: Platform, kind: str, prefix: str = "") -> Listing:
-    """Return a whole kind, or say that the platform does not answer."""
+    """Return all objects of a kind, or raise `CommandUnavailable`."""
     try:
         return await platform.list(kind, prefix)
     except PlatformUnavailable as exc:
@@ -201,7 +203,7 @@
 
 
 def unavailable_error(exc: Exception) -> CommandUnavailable:
-    """Return what to tell an operator when the platform does not answer."""
+    """Return the error for a platform that does not answer."""
     return CommandUnavailable(
         f"the platform does not answer ({exc}); nothing was changed: check "
         "--platform or run this again once it is back"
--- a/src/ragwortkeel/cli/output.py
+++ b/src/ragwortkeel/cli/output.py
@@ -1,4 +1,4 @@
-"""How results are shown: as a table for people, as JSON for programs."""
+"""Format results as tables for people or as JSON for programs."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,28 +8,28 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Result:
-    """What a command found or did.
+    """The result of a command.
 
     Attributes
     ----------
     data : struct or list of structs
-        What ``--json`` prints.
+        Printed with ``--json``.
     text : str
-        What is printed otherwise.
+        Printed without ``--json``.
     """
 
     data: object
     text: str
 
     def render(self, *, as_json: bool) -> str:
-        """Return what to print."""
+        """Return the text to print."""
         if as_json:
             return msgspec.json.encode(self.data).decode()
         return self.text
 
 
 def format_table(headings: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Return rows under headings, in columns as wide as they need."""
+    """Return a text table with columns as wide as their longest cell."""
     cells = [[str(cell) for cell in row] for row in [headings, *rows]]
     widths = [max(len(row[i]) for row in cells) for i in range(len(headings))]
     lines = []
@@ -39,9 +39,9 @@
     return "\n".join(lines)
 
 
-def format_fields(one: msgspec.Struct) -> str:
-    """Return a struct as one ``key: value`` a line."""
-    values = msgspec.to_builtins(one)
+def format_fields(struct: msgspec.Struct) -> str:
+    """Return the fields of a struct, one line with name and value for each."""
+    values = msgspec.to_builtins(struct)
     width = max(len(key) for key in values)
     return "\n".join(
         f"{key.ljust(width)}  {_format_value(v)}" for key, v in values.items()
@@ -50,5 +50,5 @@
 
 def _format_value(value: object) -> str:
     if isinstance(value, list | tuple):
-        return ", ".join(str(one) for one in value)
+        return ", ".join(str(item) for item in value)
     return str(value)
--- a/src/ragwortkeel/cli/plan.py
+++ b/src/ragwortkeel/cli/plan.py
@@ -1,8 +1,7 @@
-"""A command as parsed, run only once its run_and_close command line made sense.
+"""Defer the action of a command until its command line is fully parsed.
 
-`fire` calls a command before it looks at the arguments left over; were the
-command to act at once, a misspelt flag would change the platform and only then
-be reported.
+`fire` calls a command before it checks for unused arguments.  A command that acted
+immediately would change the platform before a misspelt flag is reported.
 """
 
 import os
@@ -24,21 +23,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Session:
-    """Which platform a command works on, and how its result is shown."""
+    """The platform that a command uses, and its output format."""
 
     settings: str
     platform: str
     as_json: bool
 
     def connect(self) -> HttpPlatform:
-        """Return the platform that flags, settings or environment name."""
+        """Return a client for the platform in the settings, flags or environment."""
         if self.settings:
             read = load(self.settings, CommandSettings)
             return HttpPlatform(address=read.platform, timeout=read.timeout_seconds)
         address = self.platform or os.environ.get(PLATFORM_VARIABLE, "")
         if not address:
             raise CommandError(
-                "which platform? give --platform ip:port or --settings file.json, "
+                "no platform given; add --platform ip:port or --settings file.json, "
                 f"or set {PLATFORM_VARIABLE}"
             )
         try:
@@ -48,16 +47,16 @@
 
 
 class Plan:
-    """What a command will do.
+    """The deferred action of a command.
 
     Parameters
     ----------
     session : Session
-        Which platform it works on, and how its result is shown.
+        Platform and output format.
     action : callable
-        Does it.
+        Performs the command on a platform and returns its result.
     needs_platform : bool
-        Whether it works on a platform at all; the action gets None where not.
+        Whether the action uses a platform; otherwise it gets None.
     """
 
     __slots__ = ("_needs_platform", "_action", "_session")
@@ -71,7 +70,7 @@
 
 
 def run_plan(plan: Plan) -> str:
-    """Run a plan and return what to print."""
+    """Run a plan and return the text to print."""
     if not plan._needs_platform:
         result = curio.run(plan._action, None)
         return result.render(as_json=plan._session.as_json)
--- a/src/ragwortkeel/cli/profile_rows.py
+++ b/src/ragwortkeel/cli/profile_rows.py
@@ -1,4 +1,4 @@
-"""Profiles and budgets as operators read them."""
+"""Format profiles and budgets for operators."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class ProfileRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A profile as listed; without a budget its callers are refused."""
+    """A listed profile; callers of a profile without a budget are refused."""
 
     profile: Profile
     version: int
@@ -18,14 +18,14 @@
 
 
 class BudgetChange(msgspec.Struct, frozen=True, kw_only=True):
-    """A changed budget, and the id under which the change can be repeated."""
+    """A changed budget, and the id for repeating the change safely."""
 
     budget: BudgetRow
     operation_id: str
 
 
 def budget_result(name: str, ledger: Ledger, operation_id: str) -> Result:
-    """Return what to show of a changed budget."""
+    """Return the result of a command that changed a budget."""
     row = budget_row(name, ledger)
     text = (
         f"budget of {name}: {row.prepaid} prepaid, {row.spent} spent, {row.rest} free"
@@ -37,7 +37,7 @@
 
 
 def profile_row(current: VersionedObject[Profile], ledger: Ledger | None) -> ProfileRow:
-    """Return a profile with its budget, where it has one."""
+    """Return the row of a profile, with its budget if there is a ledger."""
     name = current.value.name
     budget = None if ledger is None else budget_row(name, ledger)
     return ProfileRow(profile=current.value, version=current.version, budget=budget)
--- a/src/ragwortkeel/cli/profiles.py
+++ b/src/ragwortkeel/cli/profiles.py
@@ -1,4 +1,4 @@
-"""``ragwortkeel profile``: creating, changing and retiring profiles."""
+"""Implement ``ragwortkeel profile``: create, change and retire profiles."""
 
 from collections.abc import Awaitable
 
@@ -23,7 +23,8 @@
 from ragwortkeel.platform import Platform
 
 CREATE_OPERATION = "create"
-"""The same for every try to create a profile, so that none adds twice."""
+"""Operation id of the initial top-up.  It is the same for all attempts to create a
+profile, so that a repeated attempt does not add tokens twice."""
 
 MAX_TOKENS = 10**15
 
@@ -57,31 +58,31 @@
         Parameters
         ----------
         name
-            What callers will pick it by.
+            Name by which callers select the profile.
         file
-            A JSON file with any of the fields below; flags go before it.
+            A JSON file with any of the fields below; flags take precedence.
         customer
-            Whose it is.
+            Customer that owns the profile.
         service
             interactive, batch or must_not_repeat.
         deadline_seconds
-            Within how many seconds the whole answer is due.
+            Seconds until the complete answer is due.
         first_token_seconds
-            Within how many seconds the first token is due.
+            Seconds until the first token is due.
         back_ends
-            The back ends that it may run on, separated by commas.
+            The back ends that may run its requests, separated by commas.
         max_output_tokens
-            The most tokens that one answer may have.
+            Maximum number of tokens in one answer.
         call_tokens
-            What one call of a plain service costs.
+            Tokens charged for one call of a plain service.
         spread
             wide (fewer false refusals) or narrow (less outstanding).
         ride_out_seconds
-            How long an outage the routers' slices should last.
+            Seconds of platform outage that the routers' slices should cover.
         prepaid_tokens
-            The budget it starts with.
+            Tokens of the initial budget.
         wait
-            Seconds to wait until it is in force everywhere.
+            Seconds to wait until the profile is in force everywhere.
         """
         flags = {
             "name": None if name is None else str(name),
@@ -124,14 +125,14 @@
         ride_out_seconds=None,
         wait=0.0,
     ):
-        """Change fields of a profile; those not given stay as they are.
+        """Change the given fields of a profile.
 
         Parameters
         ----------
         name
             The profile.
         version
-            The version you looked at: refuse if it was changed since.
+            Version that the change is based on; any other version is refused.
         customer, service, deadline_seconds, first_token_seconds, back_ends
             As for create.
         max_output_tokens, call_tokens, spread, ride_out_seconds
@@ -168,9 +169,10 @@
         name
             The profile.
         tokens
-            How many to add.
+            Number of tokens to add.
         operation_id
-            Of an earlier try whose answer was lost; it never adds twice.
+            Id of an earlier attempt whose answer was lost; the tokens are added
+            only once.
         """
 
         async def action(platform: Platform) -> Result:
@@ -184,18 +186,19 @@
 
     @SetParseFns(name=str, operation_id=str)
     def lower(self, name, tokens, *, recall=False, operation_id=""):
-        """Take tokens off a profile's prepaid budget.
+        """Subtract tokens from a profile's prepaid budget.
 
         Parameters
         ----------
         name
             The profile.
         tokens
-            How many to take off.
+            Number of tokens to subtract.
         recall
-            Where they are committed to routers: take them as they come back.
+            Subtract committed tokens too, as routers return them.
         operation_id
-            Of an earlier try whose answer was lost; it never takes off twice.
+            Id of an earlier attempt whose answer was lost; the tokens are
+            subtracted only once.
         """
 
         async def action(platform: Platform) -> Result:
@@ -220,7 +223,7 @@
         name
             The profile; its name is not used again.
         wait
-            Seconds to wait until that is in force everywhere.
+            Seconds to wait until the change is in force everywhere.
         """
 
         async def action(platform: Platform) -> Result:
@@ -228,7 +231,7 @@
             current = await objects.read(name)
             if not current.value.retired:
                 current = await objects.change(
-                    name, lambda one: msgspec.structs.replace(one, retired=True)
+                    name, lambda profile: msgspec.structs.replace(profile, retired=True)
                 )
             budgets = Budgets(platform=platform)
             await _await_second_write(
@@ -253,9 +256,9 @@
         async def action(platform: Platform) -> Result:
             current = await _objects(platform).read(name)
             row = profile_row(current, await Budgets(platform=platform).find(name))
-            parts = [format_fields(current.value), f"version {current.version}"]
-            parts.append(format_fields(row.budget) if row.budget else "no budget")
-            return Result(data=row, text="\n".join(parts))
+            blocks = [format_fields(current.value), f"version {current.version}"]
+            blocks.append(format_fields(row.budget) if row.budget else "no budget")
+            return Result(data=row, text="\n".join(blocks))
 
         return Plan(session=self._session, action=action)
 
@@ -283,7 +286,7 @@
 
 
 async def _await_second_write(second_write: Awaitable, text: str) -> None:
-    """Await the second of two writes; a failure must not deny the first."""
+    """Await the second of two writes; the error has to report the first."""
     try:
         await second_write
     except CommandError as exc:
@@ -293,7 +296,7 @@
 async def _check_active(platform: Platform, name: str) -> None:
     current = await _objects(platform).read(name)
     if current.value.retired:
-        raise CommandError(f"profile {name} is retired for good; nothing was added")
+        raise CommandError(f"profile {name} is retired for good; no tokens were added")
 
 
 def _checked_tokens(tokens: object) -> int:
--- a/src/ragwortkeel/cli/report.py
+++ b/src/ragwortkeel/cli/report.py
@@ -1,4 +1,4 @@
-"""``ragwortkeel report``: from the lines of all processes to where callers lost."""
+"""Summarize failed requests from the log lines of all processes."""
 
 import zlib
 from collections import Counter
@@ -11,19 +11,20 @@
 from ragwortkeel.exceptions import CommandError
 
 SPAN_SECONDS = 2.0
-"""Of a row of the table by time."""
+"""Duration of one row in the table by time."""
 
 RETRY_WINDOW_SPANS = 5
-"""Rows of that table in which retries of a service are counted together: ten seconds
-show whether they piled up at one service."""
+"""Consecutive spans over which the retries of a service are added up.  A window of
+ten seconds shows whether retries accumulated at one service."""
 
 MAX_NAMES = 10_000
-"""Customers and services that are told apart; those that come later count as one."""
+"""Maximum number of customers, and of services, that are counted separately.  All
+further names are counted under `OTHERS`."""
 
 MAX_SHOWN_CUSTOMERS = 10
 
 MAX_REQUEST_LINES = 10_000
-"""Of one request; a proper one leaves five."""
+"""Maximum number of lines shown for one request; a normal request has five."""
 
 OTHERS = "(others)"
 
@@ -31,11 +32,11 @@
 _BUCKET_FACTOR = 1.25
 
 CALLER_FAULT_REASONS = frozenset({"unknown_key", "no_route", "bad_request"})
-"""Reasons of refusals that callers bring about."""
+"""Refusal reasons caused by the caller."""
 
 
 class Quantiles(msgspec.Struct, frozen=True, kw_only=True):
-    """Upper bounds in seconds, a quarter too high at the most."""
+    """Quantiles as upper bounds in seconds, at most 25% too high."""
 
     count: int
     half: float
@@ -44,7 +45,7 @@
 
 
 class Retries(msgspec.Struct, frozen=True, kw_only=True):
-    """Decisions on another attempt at one service, `most` in any ten seconds."""
+    """Retry decisions at one service; `most` is the maximum in any ten seconds."""
 
     allowed: int
     refused: int
@@ -52,7 +53,7 @@
 
 
 class Span(msgspec.Struct, frozen=True, kw_only=True):
-    """What happened in some seconds, `at` of which the first is."""
+    """Counts of events in one span that begins at second `at` of the report."""
 
     at: float
     served: int
@@ -62,7 +63,7 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """Where callers lost, and what the processes cost."""
+    """Counts of served and failed requests, and the costs of the processes."""
 
     lines: int
     unreadable_by_file: dict[str, int]
@@ -84,7 +85,7 @@
 
 
 class _Durations:
-    """Counts durations in buckets, so that memory doesn't grow with them."""
+    """Counts durations in buckets, in memory independent of their number."""
 
     def __init__(self) -> None:
         self._count_by_bucket: Counter[int] = Counter()
@@ -103,8 +104,8 @@
             all_but_one_in_100=self._at(0.99),
         )
 
-    def _at(self, share: float) -> float:
-        wanted, seen = share * self._count_by_bucket.total(), 0
+    def _at(self, fraction: float) -> float:
+        wanted, seen = fraction * self._count_by_bucket.total(), 0
         for bucket in sorted(self._count_by_bucket):
             seen += self._count_by_bucket[bucket]
             if seen >= wanted:
@@ -113,7 +114,7 @@
 
 
 class _RetryCounts:
-    """Counts decisions on another attempt, by service."""
+    """Counts retry decisions by service."""
 
     def __init__(self) -> None:
         self._refused: Counter[str] = Counter()
@@ -128,7 +129,7 @@
         if line.fields.get("allowed") != "true":
             self._refused[service] += 1
         elif line.fields.get("charged") == "true":
-            # What is not charged reached no upstream.
+            # A retry that is not charged reached no upstream.
             allowed_by_span[int(line.at // SPAN_SECONDS)] += 1
 
     def by_service(self) -> dict[str, Retries]:
@@ -143,7 +144,7 @@
 
 
 def _max_in_window(count_by_span: Counter[int]) -> int:
-    """Return the most in so many spans in a row as retries are counted over."""
+    """Return the maximum sum over `RETRY_WINDOW_SPANS` consecutive spans."""
     return max(
         (
             sum(count_by_span[span + later] for later in range(RETRY_WINDOW_SPANS))
@@ -154,7 +155,7 @@
 
 
 class Collector:
-    """Adds up lines, in memory that does not grow with their number.
+    """Aggregates log lines, in memory independent of their number.
 
     Examples
     --------
@@ -185,7 +186,7 @@
         self._first_event = _Durations()
 
     def add(self, file: str, line: DecisionLine | None) -> None:
-        """Add one line of a file, or one that can't be read."""
+        """Add one line of a file; None stands for an unreadable line."""
         if line is None:
             self._unreadable[file] += 1
             return
@@ -211,7 +212,7 @@
                 self._dropped += int(line.number("count"))
 
     def report(self) -> Report:
-        """Return what was added up."""
+        """Return the report on all lines added."""
         first = self._first_at or 0.0
         customers = self._lacks_by_customer.most_common(MAX_SHOWN_CUSTOMERS)
         return Report(
@@ -270,16 +271,16 @@
 
 
 def shortage_cause(line: DecisionLine) -> str:
-    """Return why a process had no tokens for a request, from its `tokens_lacking`."""
+    """Return why a process lacked tokens, from its `tokens_lacking` line."""
     needed = line.number("needed")
     if line.fields.get("ledger_age") == "-":
         return "not yet joined the ledgers"
-    away = "" if line.fields.get("reachable") == "true" else ", platform away"
+    suffix = "" if line.fields.get("reachable") == "true" else ", platform away"
     if line.number("unspent") < needed:
-        return f"budget spent{away}"
+        return f"budget spent{suffix}"
     if line.number("free") < needed:
-        return f"tokens with other processes{away}"
-    return f"cap reached{away}"
+        return f"tokens with other processes{suffix}"
+    return f"cap reached{suffix}"
 
 
 def report(files: tuple[str, ...], request: str) -> Result:
@@ -288,10 +289,12 @@
     Raises
     ------
     CommandError
-        A file can't be read, or no line names the request.
+        If a file cannot be read, or no line names the request.
     """
     if not files:
-        raise CommandError("which files? give log files, or - for standard input")
+        raise CommandError(
+            "which files to read? give log files, or - for standard input"
+        )
     if request:
         return _request_lines(files, request)
     collector = Collector()
@@ -345,7 +348,7 @@
 
 
 def _add_counts(counter: Counter[str], text: str) -> None:
-    """Add counts from ``name:number,name:number``; what is no such pair is left out."""
+    """Add counts from ``name:number,name:number``; other pairs are ignored."""
     for pair in filter(None, text.split(",")):
         name, _, number = pair.rpartition(":")
         if number.isdecimal():
@@ -354,7 +357,7 @@
 
 def _report_text(data: Report) -> str:
     unreadable = sum(data.unreadable_by_file.values())
-    parts = [
+    blocks = [
         f"{data.lines} lines of {data.processes} processes over {data.seconds} s; "
         f"{unreadable} not readable, {data.dropped} dropped by their writers",
         f"served {data.served}; loops late {data.late_loops}",
@@ -371,19 +374,19 @@
         ("not readable", data.unreadable_by_file),
     ):
         if counts:
-            parts.append(format_table((heading, "count"), list(counts.items())))
+            blocks.append(format_table((heading, "count"), list(counts.items())))
     retries = [
         (service, found.allowed, found.refused, found.most)
         for service, found in data.retries_by_service.items()
     ]
     if retries:
         headings = ("retries at", "allowed", "refused", "most in ten seconds")
-        parts.append(format_table(headings, retries))
+        blocks.append(format_table(headings, retries))
     spans = [(s.at, s.served, s.refused, s.failed, s.lacked) for s in data.spans]
     if spans:
         headings = ("second", "served", "refused", "runs failed", "lacked tokens")
-        parts.append(format_table(headings, spans))
-    return "\n\n".join(parts)
+        blocks.append(format_table(headings, spans))
+    return "\n\n".join(blocks)
 
 
 def _quantiles_text(what: str, found: Quantiles) -> str:
--- a/src/ragwortkeel/cli/reports.py
+++ b/src/ragwortkeel/cli/reports.py
@@ -1,4 +1,4 @@
-"""What the fleet looks like: status and traces."""
+"""Report the status of the fleet and the traces of requests."""
 
 import msgspec
 
@@ -17,10 +17,10 @@
 
 
 class ProcessRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A registered node; `revision` is None where it did not answer.
+    """A registered process; `revision` is None if the process did not answer.
 
-    `listed` says whether the platform's list shows it, None where that list
-    could not be read.
+    `listed` is whether the platform's list of instances contains the process, or
+    None if that list could not be read.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 
 class Status(msgspec.Struct, frozen=True, kw_only=True):
-    """The fleet at a glance."""
+    """The processes of the fleet, and counts of profiles and upstreams."""
 
     nodes: list[ProcessRow]
     profiles: int
@@ -44,7 +44,7 @@
 
 
 async def status(platform: Platform) -> Result:
-    """Return nodes, profiles and upstreams."""
+    """Return the processes and the numbers of profiles and upstreams."""
     found = await fetch_states(platform, await list_registered(platform))
     profiles = await Objects(
         platform=platform, kind=PROFILES, cls=Profile, noun="profile"
@@ -65,12 +65,12 @@
 
 
 async def trace(platform: Platform, trace_id: str) -> Result:
-    """Return the spans of one request from all nodes."""
+    """Return the spans of one request from all processes."""
     found = await fetch_spans(platform, trace_id)
     if not found:
         raise CommandError(
-            f"no node holds spans of trace {trace_id}; nodes keep the latest only, "
-            "and a stopped node takes its own along"
+            f"no process holds spans of trace {trace_id}; processes only keep recent "
+            "spans, and lose them when they stop"
         )
     return Result(data=found, text="\n".join(span_lines(found)))
 
--- a/src/ragwortkeel/cli/runs.py
+++ b/src/ragwortkeel/cli/runs.py
@@ -1,4 +1,4 @@
-"""Runs that must not repeat and of which nobody knows whether they ran."""
+"""List and resolve runs that must not repeat and whose outcome is unknown."""
 
 import msgspec
 
@@ -15,7 +15,7 @@
 
 
 class UnresolvedRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A run that must not repeat, of which nobody knows whether it ran."""
+    """A run that must not repeat and whose outcome is unknown."""
 
     profile: str
     request_id: str
@@ -26,7 +26,7 @@
 
 
 async def unresolved(platform: Platform) -> Result:
-    """Return the runs that wait for an operator's word."""
+    """Return the runs that an operator has to resolve."""
     listing = await list_kind(platform, INTENTS)
     rows = []
     for name in sorted(listing.by_name):
@@ -42,7 +42,7 @@
 async def resolve(
     platform: Platform, profile: str, request_id: str, word: str
 ) -> Result:
-    """Write down an operator's word on an unresolved run.
+    """Record an operator's verdict on an unresolved run.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
     """
     verdict = _VERDICT_BY_ANSWER.get(word)
     if verdict is None:
-        raise CommandError(f"found {word}; allowed: ran or not-run")
+        raise CommandError(f"cannot resolve a run as {word}; allowed: ran or not-run")
     objects = Objects(platform=platform, kind=INTENTS, cls=Intent, noun="request")
     name = object_name(profile, request_id)
     current = await objects.find(name)
@@ -73,16 +73,16 @@
 
 
 async def _check_sidecar_deregistered(platform: Platform, sidecar: str) -> None:
-    # A sidecar that was only cut off may have run it, or hold it still; freeing
-    # the key would let it run twice.  Its registration is the last to go.
+    # A disconnected sidecar may have run the request, or still do so; releasing the
+    # key would allow a second run.  A sidecar deregisters last when it stops.
     try:
         registered = await platform.get(NODES, sidecar)
     except PlatformUnavailable as exc:
         raise unavailable_error(exc) from exc
     if registered is not None:
         raise CommandError(
-            f"sidecar {sidecar} is still registered and may have run it; stop it "
-            "first, or let the caller's retry ask it"
+            f"sidecar {sidecar} is still registered and may have run the request; "
+            "stop the sidecar first, or let the caller's retry query it"
         )
 
 
--- a/src/ragwortkeel/cli/upstreams.py
+++ b/src/ragwortkeel/cli/upstreams.py
@@ -1,4 +1,4 @@
-"""``ragwortkeel upstream``: moving upstreams in and out of service."""
+"""Implement ``ragwortkeel upstream``: put upstreams in and out of service."""
 
 import msgspec
 from fire.decorators import SetParseFns
@@ -14,14 +14,14 @@
 
 
 class UpstreamRow(msgspec.Struct, frozen=True, kw_only=True):
-    """An upstream as listed."""
+    """A listed upstream."""
 
     upstream: Upstream
     version: int
 
 
 class UpstreamCommands:
-    """Move upstreams in and out of service."""
+    """Put upstreams in and out of service."""
 
     def __init__(self, *, session: Session) -> None:
         self._session = session
@@ -43,17 +43,17 @@
         Parameters
         ----------
         name
-            Name of the upstream, as its sidecar's settings give it.
+            Name of the upstream, as in the settings of its sidecar.
         back_end
-            The back end that it is an instance of.
+            The back end that the upstream is an instance of.
         kind
             model or service.
         sidecar_address
-            ip:port of the sidecar beside it.
+            Address of its sidecar, as ip:port.
         zone
-            Its availability zone.
+            Availability zone of the upstream.
         resumes
-            Its engine can go on after tokens already produced.
+            The engine can continue an answer after given tokens.
         wait
             Seconds to wait until the change is in force everywhere.
         """
@@ -76,7 +76,7 @@
 
     @SetParseFns(name=str)
     def drain(self, name, *, wait=0.0):
-        """Give an upstream no new work; what it has is finished.
+        """Stop sending new requests to an upstream; running requests finish.
 
         Parameters
         ----------
@@ -89,7 +89,7 @@
 
     @SetParseFns(name=str)
     def put_back(self, name, *, wait=0.0):
-        """Give a drained upstream work again.
+        """Send requests to a drained upstream again.
 
         Parameters
         ----------
@@ -102,7 +102,7 @@
 
     @SetParseFns(name=str)
     def retire(self, name, *, wait=0.0):
-        """Take an upstream out for good; its name is not used again.
+        """Retire an upstream permanently; its name is not used again.
 
         Parameters
         ----------
@@ -114,7 +114,8 @@
 
         async def action(platform: Platform) -> Result:
             current = await _objects(platform).change(
-                str(name), lambda one: msgspec.structs.replace(one, retired=True)
+                str(name),
+                lambda upstream: msgspec.structs.replace(upstream, retired=True),
             )
             return await _change_result(platform, current, "retired", wait)
 
@@ -153,10 +154,10 @@
     def _set_state(
         self, name: str, state: UpstreamState, done: str, wait: float
     ) -> Plan:
-        def with_state(one: Upstream) -> Upstream:
-            if one.retired:
+        def with_state(upstream: Upstream) -> Upstream:
+            if upstream.retired:
                 raise CommandError(f"upstream {name} is retired for good; add another")
-            return msgspec.structs.replace(one, state=state)
+            return msgspec.structs.replace(upstream, state=state)
 
         async def action(platform: Platform) -> Result:
             current = await _objects(platform).change(name, with_state)
@@ -165,7 +166,7 @@
         return Plan(session=self._session, action=action)
 
 
-# The word that operators know is one that Python keeps for itself.
+# The command is named "return", which is a reserved word in Python.
 setattr(UpstreamCommands, "return", UpstreamCommands.put_back)
 del UpstreamCommands.put_back
 
