--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -1,4 +1,4 @@
-"""A terminal on the command line, with an in-memory platform behind it."""
+"""A fixture that runs command lines against an in-memory platform."""
 
 import pytest
 
@@ -12,7 +12,7 @@
         self._capsys = capsys
 
     def __call__(self, line):
-        """Return exit code, output and the lines of the error."""
+        """Run a command; return exit code, output and the lines of standard error."""
         code = 0
         try:
             main(line.split())
--- a/tests/cli/test_cli_budgets.py
+++ b/tests/cli/test_cli_budgets.py
@@ -1,4 +1,4 @@
-"""Top-ups, lowerings and the bill on the command line."""
+"""Tests of budget changes and bills on the command line."""
 
 from pathlib import Path
 
@@ -27,23 +27,23 @@
 
 
 def grant(terminal, tokens):
-    """Let a router take a slice."""
+    """Grant a slice to a router."""
     renewal = Renewal(router="r1", nonce="n", first=True, settled={}, want=tokens)
     taken = ledger(terminal).renew(renewal)
     terminal.platform.put(LEDGERS, "chat", encode_ledger(taken))
 
 
 class TestTopUp:
-    def test_adds(self, terminal):
+    def test_tokens_are_added(self, terminal):
         code, out, _ = terminal("profile top-up chat 500 --json")
         assert code == 0 and ledger(terminal).prepaid == 1500
         assert msgspec.json.decode(out)["budget"]["rest"] == 1500
 
-    def test_repeated_under_its_id_adds_once(self, terminal):
-        """The answer to a top-up is lost and the platform goes down.
+    def test_repeated_operation_id_adds_once(self, terminal):
+        """Guards against a repeated top-up that adds its tokens twice.
 
-        The operator is given the operation's id and runs the command again once
-        the platform is back; the customer's budget must not get it twice.
+        The answer to a top-up is lost and the platform goes down.  The operator
+        repeats the command with the printed operation id.
         """
         update = terminal.platform.update
 
@@ -57,16 +57,16 @@
         terminal.platform.update = lose_and_go_down
         code, _, err = terminal("profile top-up chat 500")
         assert code == 5
-        again = err[0].split("--operation-id ")[1].split(",")[0]
+        repeated_id = err[0].split("--operation-id ")[1].split(",")[0]
         terminal.platform.update = update
         terminal.platform.switches.down = False
         for _ in range(2):
-            line = f"profile top-up chat 500 --operation-id {again}"
+            line = f"profile top-up chat 500 --operation-id {repeated_id}"
             assert terminal(line)[0] == 0
         assert ledger(terminal).prepaid == 1500
 
-    def test_races_with_routers_and_operators_lose_nothing(self, terminal):
-        """A router takes a slice and another operator tops up meanwhile."""
+    def test_concurrent_writes_are_preserved(self, terminal):
+        """Guards against lost top-ups when the ledger changes during a write."""
         update = terminal.platform.update
         races = [1, 2, 3]
 
@@ -85,7 +85,7 @@
         assert ledger(terminal).prepaid == 1000 + 3 * 7 + 500
 
     @pytest.mark.parametrize(
-        ("line", "code", "said"),
+        ("line", "code", "message"),
         [
             ("profile top-up chat 0", 1, "allowed: 1 to"),
             ("profile top-up chat -- -5", 2, ""),
@@ -95,12 +95,12 @@
             ("profile lower none 5", 1, "no budget of none"),
         ],
     )
-    def test_bad_input(self, terminal, line, code, said):
+    def test_bad_input(self, terminal, line, code, message):
         found, _, err = terminal(line)
-        assert found == code and any(said in one for one in err)
+        assert found == code and any(message in error for error in err)
         assert ledger(terminal).prepaid == 1000
 
-    def test_retired_is_not_topped_up(self, terminal):
+    def test_retired_profile_is_refused(self, terminal):
         terminal("profile retire chat")
         assert ledger(terminal).retired
         code, _, err = terminal("profile top-up chat 5")
@@ -108,7 +108,7 @@
 
 
 class TestLower:
-    def test_at_once_or_not_at_all(self, terminal):
+    def test_committed_tokens_are_refused(self, terminal):
         grant(terminal, 600)
         code, _, err = terminal("profile lower chat 500")
         assert code == 1 and "at most 400" in err[0] and "--recall" in err[0]
@@ -123,8 +123,8 @@
 
 
 class TestCreation:
-    def test_budget_not_written(self, terminal):
-        """The platform goes down between a profile and its budget."""
+    def test_platform_down_before_budget_write(self, terminal):
+        """The platform goes down between the writes of a profile and its budget."""
         create = terminal.platform.create
 
         async def profile_only(kind, *arguments):
@@ -155,10 +155,10 @@
             billable=billable,
         )
 
-    def test_one_charge_for_each_request(self, terminal):
-        one, other = self.receipt("a", "n1", 10), self.receipt("b", "n2", 5)
+    def test_each_request_is_charged_once(self, terminal):
+        first, second = self.receipt("a", "n1", 10), self.receipt("b", "n2", 5)
         rerun = self.receipt("a", "n3", 12)
-        for writer, receipts in (("r1", (one, other)), ("s1", (one, rerun))):
+        for writer, receipts in (("r1", (first, second)), ("s1", (first, rerun))):
             segment = Segment(writer=writer, receipts=receipts)
             terminal.platform.put(RECEIPTS, segment.name, encode_segment(segment))
         rows = msgspec.json.decode(terminal("bill --json")[1])
@@ -168,7 +168,7 @@
         rows = msgspec.json.decode(terminal("bill chat --json")[1])
         assert [row["request_id"] for row in rows] == ["a", "b"]
 
-    def test_unreadable_receipts_make_no_bill(self, terminal):
+    def test_unreadable_receipts_are_an_error(self, terminal):
         terminal.platform.put(RECEIPTS, "odd", b"\xff")
         code, out, err = terminal("bill")
         assert (code, out) == (1, "") and "odd" in err[0]
--- a/tests/cli/test_cli_commands.py
+++ b/tests/cli/test_cli_commands.py
@@ -1,4 +1,4 @@
-"""The command line against an in-memory platform: results, errors, exit codes."""
+"""Tests of results, errors and exit codes against an in-memory platform."""
 
 import msgspec
 import pytest
@@ -22,7 +22,7 @@
 
 
 class TestProfiles:
-    def test_life_of_a_profile(self, terminal):
+    def test_create_change_show_and_retire(self, terminal):
         assert terminal(CREATE)[0] == 0
         assert terminal("profile change chat --deadline-seconds 9")[0] == 0
         profile = stored(terminal, "profiles", "chat", Profile)
@@ -33,7 +33,7 @@
         assert terminal("profile retire chat")[0] == 0
         assert stored(terminal, "profiles", "chat", Profile).retired
 
-    def test_file_and_flags(self, terminal, tmp_path):
+    def test_flags_override_file(self, terminal, tmp_path):
         path = tmp_path / "chat.json"
         path.write_text(
             '{"name":"chat","customer":"007","service":"batch","deadline_seconds":9,'
@@ -44,7 +44,7 @@
         assert (profile.customer, profile.service) == ("008", "batch")
 
     @pytest.mark.parametrize(
-        ("line", "code", "said"),
+        ("line", "code", "message"),
         [
             ("profile create chat --customer c", 2, "$.service: found nothing"),
             (CREATE.replace("interactive", "fast"), 2, "one of interactive, batch"),
@@ -58,24 +58,24 @@
             ("nonsense", 2, "nonsense"),
         ],
     )
-    def test_bad_input_changes_nothing(self, terminal, line, code, said):
+    def test_bad_input_changes_nothing(self, terminal, line, code, message):
         found, out, err = terminal(line)
         assert found == code
-        assert any(said in line for line in err)
+        assert any(message in line for line in err)
         assert terminal.platform.revision == 0
 
-    def test_misspelt_flag_is_seen_before_anything_is_done(self, terminal):
-        """An operator misspells a flag of a change.
+    def test_misspelt_flag_changes_nothing(self, terminal):
+        """Guards against a rejected command that changed the platform.
 
-        fire calls the command before it finds the argument left over; a command
-        that acted at once would have changed the platform and then said no.
+        fire calls the command before it checks for unused arguments, so a command
+        must not act when it is called.
         """
         terminal(CREATE)
         revision = terminal.platform.revision
         assert terminal("profile change chat --spread narrow --dedline 3")[0] == 2
         assert terminal.platform.revision == revision
 
-    def test_retired_stays_retired(self, terminal):
+    def test_retired_profile_cannot_change(self, terminal):
         terminal(CREATE)
         terminal("profile retire chat")
         code, _, err = terminal("profile change chat --spread narrow")
@@ -84,29 +84,29 @@
 
 
 class TestRaces:
-    def test_lost_race_is_a_conflict_and_nothing_is_lost(self, terminal):
-        """Two operators change one profile at the same time.
+    def test_concurrent_change_is_a_conflict(self, terminal):
+        """Guards against a change that overwrites a concurrent one.
 
-        Both read it, the first writes; the second must be told, and the first's
-        change must stay, although the second named another field.
+        Two operators read one profile and the first writes.  The second, who
+        changes another field, must get a conflict.
         """
         terminal(CREATE)
         get = terminal.platform.get
 
-        async def read_then_lose(kind, name):
-            held = await get(kind, name)
+        async def read_before_another_write(kind, name):
+            stored = await get(kind, name)
             terminal.platform.get = get
-            value = held.value.replace(b'"wide"', b'"narrow"')
-            await terminal.platform.update(kind, name, value, held.version)
-            return held
+            value = stored.value.replace(b'"wide"', b'"narrow"')
+            await terminal.platform.update(kind, name, value, stored.version)
+            return stored
 
-        terminal.platform.get = read_then_lose
+        terminal.platform.get = read_before_another_write
         code, _, err = terminal("profile change chat --deadline-seconds 9")
         assert code == 3 and "somebody else" in err[0] and len(err) == 1
         profile = stored(terminal, "profiles", "chat", Profile)
         assert profile.spread == "narrow" and profile.deadline_seconds == 20
 
-    def test_version_looked_at(self, terminal):
+    def test_change_of_another_version_is_refused(self, terminal):
         terminal(CREATE)
         change = "profile change chat --spread narrow --version {}"
         assert terminal(change.format(7))[0] == 3
@@ -117,7 +117,7 @@
     @pytest.mark.parametrize(
         "line", ["profile list", CREATE, "upstream drain u1", "status", "unresolved"]
     )
-    def test_down(self, terminal, line):
+    def test_platform_down(self, terminal, line):
         terminal.platform.switches.down = True
         code, out, err = terminal(line)
         assert (code, out, len(err)) == (4, "", 1)
@@ -133,7 +133,7 @@
         ],
     )
     @pytest.mark.parametrize("lost", [0, 1, 2])
-    def test_lost_answer_is_settled_by_reading(self, terminal, line, writes, lost):
+    def test_lost_answer_is_resolved_by_reading(self, terminal, line, writes, lost):
         if line != CREATE:
             terminal(CREATE)
         terminal.platform.switches.lost_answers = lost
@@ -141,7 +141,7 @@
         assert terminal(line)[0] == 0
         assert terminal.platform.revision == before + writes
 
-    def test_answer_lost_and_down_since(self, terminal):
+    def test_lost_answer_and_platform_down(self, terminal):
         terminal(CREATE)
         update = terminal.platform.update
 
@@ -158,7 +158,7 @@
 
 
 class TestUpstreams:
-    def test_out_of_service_and_back(self, terminal):
+    def test_drain_return_and_retire(self, terminal):
         terminal(ADD)
         terminal("upstream drain u1")
         assert "draining" in terminal("upstream list")[1]
@@ -171,7 +171,7 @@
 
 class TestUnresolved:
     @pytest.fixture
-    def three(self, terminal):
+    def three_runs(self, terminal):
         for request_id, verdict in (
             ("open", None),
             ("done", Verdict.RAN),
@@ -191,21 +191,21 @@
             terminal.platform.put(INTENTS, name, encode(intent))
         return terminal
 
-    def test_listed(self, three):
-        rows = msgspec.json.decode(three("unresolved --json")[1])
+    def test_only_unresolved_runs_are_listed(self, three_runs):
+        rows = msgspec.json.decode(three_runs("unresolved --json")[1])
         assert [row["request_id"] for row in rows] == ["who-knows"]
 
     @pytest.mark.parametrize(
         ("word", "verdict"), [("ran", Verdict.RAN), ("not-run", Verdict.NOT_RUN)]
     )
-    def test_resolved(self, three, word, verdict):
-        assert three(f"resolve filing who-knows {word}")[0] == 0
-        intent = stored(three, INTENTS, object_name("filing", "who-knows"), Intent)
+    def test_verdict_is_stored(self, three_runs, word, verdict):
+        assert three_runs(f"resolve filing who-knows {word}")[0] == 0
+        intent = stored(three_runs, INTENTS, object_name("filing", "who-knows"), Intent)
         assert intent.outcome.verdict is verdict
-        assert "nothing unresolved" in three("unresolved")[1]
+        assert "nothing unresolved" in three_runs("unresolved")[1]
 
     @pytest.mark.parametrize(
-        ("line", "said"),
+        ("line", "message"),
         [
             ("open ran", "not unresolved"),
             ("done not-run", "not unresolved"),
@@ -213,26 +213,26 @@
             ("who-knows maybe", "ran or not-run"),
         ],
     )
-    def test_refused(self, three, line, said):
-        revision = three.platform.revision
-        code, _, err = three(f"resolve filing {line}")
-        assert code == 1 and said in err[0]
-        assert three.platform.revision == revision
+    def test_bad_input_changes_nothing(self, three_runs, line, message):
+        revision = three_runs.platform.revision
+        code, _, err = three_runs(f"resolve filing {line}")
+        assert code == 1 and message in err[0]
+        assert three_runs.platform.revision == revision
 
-    def test_not_run_waits_for_the_sidecar_to_be_gone(self, three):
-        """A sidecar is cut off while it runs a claim filing.
+    def test_not_run_requires_a_deregistered_sidecar(self, three_runs):
+        """Guards against a claim that is filed twice.
 
-        An operator sees the filing unresolved and frees its key; the caller
-        sends it again and it runs elsewhere: the claim is filed twice.
+        A sidecar is partitioned while it runs a filing.  If an operator resolves
+        the filing as not run, the caller's retry runs at another sidecar.
         """
-        three.platform.put(NODES, "s-1", b"{}")
-        code, _, err = three("resolve filing who-knows not-run")
+        three_runs.platform.put(NODES, "s-1", b"{}")
+        code, _, err = three_runs("resolve filing who-knows not-run")
         assert code == 1 and "still registered" in err[0]
-        assert three("resolve filing who-knows ran")[0] == 0
+        assert three_runs("resolve filing who-knows ran")[0] == 0
 
 
 class TestReports:
-    def test_wait_names_the_nodes_that_lag(self, terminal):
+    def test_wait_names_lagging_processes(self, terminal):
         node = Node(
             incarnation="r1-x",
             role="router",
--- a/tests/cli/test_cli_definition.py
+++ b/tests/cli/test_cli_definition.py
@@ -1,4 +1,4 @@
-"""Profile definitions from files and flags, and the examples that ship."""
+"""Tests of profile definitions, and of the example profiles and settings."""
 
 from pathlib import Path
 
@@ -29,10 +29,10 @@
 
 
 class TestExamples:
-    def test_both_deployments_are_there(self):
+    def test_both_deployments_have_examples(self):
         for deployment in ("surco", "chaophraya"):
-            assert sum(one.name.startswith(deployment) for one in PROFILES) == 5
-            assert sum(one.name.startswith(deployment) for one in SETTINGS) == 8
+            assert sum(path.name.startswith(deployment) for path in PROFILES) == 5
+            assert sum(path.name.startswith(deployment) for path in SETTINGS) == 8
 
     @pytest.mark.parametrize("path", PROFILES, ids=lambda path: path.stem)
     def test_profile(self, path):
@@ -45,7 +45,7 @@
 
 
 class TestDefinition:
-    def test_flags_go_before_the_file(self):
+    def test_flags_override_file(self):
         flags = {"spread": "wide", "customer": None, "back_ends": "a, b,"}
         definition = read_definition(str(PROFILES[0]), flags)
         assert definition.spread == "wide" and definition.back_ends == ("a", "b")
--- a/tests/cli/test_cli_fleet.py
+++ b/tests/cli/test_cli_fleet.py
@@ -1,4 +1,4 @@
-"""Which nodes a change must reach, and which of them lag."""
+"""Tests of the processes that a change must reach, and of those that lag."""
 
 import curio
 import msgspec
@@ -33,7 +33,7 @@
 NODES = [node("r1"), node("s1", "sidecar", "u1"), node("s2", "sidecar", "u2")]
 
 
-class TestConcerned:
+class TestProcessesToUpdate:
     @pytest.mark.parametrize(
         ("kind", "name", "expected"),
         [
@@ -42,9 +42,9 @@
             ("upstreams", "u9", ["r1"]),
         ],
     )
-    def test_nodes(self, kind, name, expected):
+    def test_processes_by_kind(self, kind, name, expected):
         found = processes_to_update(NODES, kind=kind, name=name)
-        assert [one.incarnation for one in found] == expected
+        assert [process.incarnation for process in found] == expected
 
 
 class TestLagging:
@@ -61,13 +61,13 @@
             (None, False, False),
         ],
     )
-    def test_table(self, answer, listed, lags):
+    def test_lag_by_answer_and_listing(self, answer, listed, lags):
         state = ProcessState(node=node("r1"), in_force=answer, listed=listed)
         assert bool(lagging_processes([state], 5)) == lags
 
 
 class TestSpans:
-    def test_children_stand_under_their_parents(self):
+    def test_children_are_indented_under_their_parents(self):
         def span(span_id, parent, start):
             return SpanRecord(
                 node="n",
@@ -93,13 +93,13 @@
 
 class TestWait:
     @pytest.mark.parametrize("behind", [False, True])
-    def test_asks_the_nodes_over_http(self, behind):
+    def test_processes_are_queried_over_http(self, behind):
         async def main():
-            asked = []
+            queries = []
 
             async def handler(request, responder):
-                asked.append(request.query)
-                version = 4 if behind else 4 + len(asked)
+                queries.append(request.query)
+                version = 4 if behind else 4 + len(queries)
                 body = msgspec.json.encode(InForce(revision=9, version=version))
                 await responder.respond(200, body)
 
@@ -116,7 +116,7 @@
             platform = LocalPlatform()
             platform.put("nodes", "r1-x", msgspec.json.encode(one))
             try:
-                return asked, await wait_in_force(
+                return queries, await wait_in_force(
                     platform, kind="profiles", name="chat", version=6, seconds=1.0
                 )
             finally:
@@ -126,6 +126,6 @@
             with pytest.raises(CommandLagging, match=r"r1-x \(4\)"):
                 curio.run(main)
             return
-        asked, count = curio.run(main)
-        assert count == 1 and len(asked) == 2
-        assert asked[0] == {"kind": "profiles", "name": "chat"}
+        queries, count = curio.run(main)
+        assert count == 1 and len(queries) == 2
+        assert queries[0] == {"kind": "profiles", "name": "chat"}
--- a/tests/cli/test_cli_ingress.py
+++ b/tests/cli/test_cli_ingress.py
@@ -1,4 +1,4 @@
-"""``ragwortkeel ingress`` against an in-memory platform."""
+"""Tests of ``ragwortkeel ingress`` against an in-memory platform."""
 
 from pathlib import Path
 
@@ -33,7 +33,7 @@
         assert "advisor-chat" in terminal("ingress show")[1]
 
     @pytest.mark.parametrize(
-        ("text", "code", "said"),
+        ("text", "code", "message"),
         [
             ("[]", 1, "holds no configuration"),
             ("{", 1, "cannot read"),
@@ -41,22 +41,24 @@
             ('{"customers": [{"name":"c","keys":[],"prepaid":-1}]}', 2, "prepaid"),
         ],
     )
-    def test_a_wrong_file_changes_nothing(self, terminal, tmp_path, text, code, said):
+    def test_invalid_file_changes_nothing(
+        self, terminal, tmp_path, text, code, message
+    ):
         file = tmp_path / "c.json"
         file.write_text(text)
         found, _, errors = terminal(f"ingress apply {file}")
         assert found == code
-        assert said in errors[0]
+        assert message in errors[0]
         assert terminal.platform.peek(CONFIGURATION_KIND, CONFIGURATION_NAME) is None
 
-    def test_show_without_one_says_so(self, terminal):
+    def test_show_without_configuration_is_an_error(self, terminal):
         code, _, errors = terminal("ingress show")
         assert code == 1
         assert "no ingress configuration" in errors[0]
 
 
 class TestBudgets:
-    def test_what_is_left_is_shown(self, terminal):
+    def test_remaining_tokens_are_shown(self, terminal):
         shard = Shard(ledger_by_customer={"coop": Ledger(prepaid=100, spent=30)})
         terminal.platform.put(SHARDS_KIND, SHARD_NAME, encode_shard(shard))
         rows = msgspec.json.decode(terminal("ingress budgets --json")[1])
@@ -67,7 +69,7 @@
 
 
 class TestEvacuations:
-    def test_a_zone_is_evacuated_and_taken_back(self, terminal):
+    def test_zone_is_evacuated_and_restored(self, terminal):
         assert terminal("ingress evacuations")[1].startswith("no zone")
         assert terminal("ingress evacuate zone-b")[0] == 0
         [row] = msgspec.json.decode(terminal("ingress evacuations --json")[1])
@@ -76,16 +78,16 @@
         assert terminal("ingress take_back zone-b")[0] == 0
         assert terminal.platform.peek(EVACUATIONS_KIND, "zone-b") is None
 
-    def test_a_zone_that_is_not_evacuated_can_not_be_taken_back(self, terminal):
+    def test_zone_without_evacuation_cannot_be_restored(self, terminal):
         code, _, errors = terminal("ingress take_back zone-b")
         assert code == 1
         assert "no evacuation zone-b" in errors[0]
 
-    def test_a_second_evacuation_is_a_conflict(self, terminal):
+    def test_second_evacuation_is_a_conflict(self, terminal):
         terminal("ingress evacuate zone-b")
         assert terminal("ingress evacuate zone-b")[0] != 0
 
-    def test_an_unreadable_entry_is_shown_and_taken_back(self, terminal):
+    def test_unreadable_entry_is_shown_and_removed(self, terminal):
         terminal.platform.put(EVACUATIONS_KIND, "zone-b", b"[1,")
         assert "unknown" in terminal("ingress evacuations")[1]
         assert terminal("ingress take_back zone-b")[0] == 0
--- a/tests/cli/test_cli_report.py
+++ b/tests/cli/test_cli_report.py
@@ -1,4 +1,4 @@
-"""``ragwortkeel report`` on lines of two processes."""
+"""Tests of ``ragwortkeel report`` on the log lines of two processes."""
 
 import json
 
@@ -28,10 +28,12 @@
 
 @pytest.fixture
 def logs(tmp_path):
-    one, other = tmp_path / "one.log", tmp_path / "other.log"
-    one.write_text(LINES)
-    other.write_text("timestamp=100.2 level=info event=run_failed request=a reason=x\n")
-    return one, other
+    first, second = tmp_path / "one.log", tmp_path / "other.log"
+    first.write_text(LINES)
+    second.write_text(
+        "timestamp=100.2 level=info event=run_failed request=a reason=x\n"
+    )
+    return first, second
 
 
 def lack(**fields):
@@ -39,7 +41,7 @@
     return parse_line(f"timestamp=1 event=tokens_lacking {pairs}", process="p")
 
 
-def test_it_adds_up_all_processes(terminal, logs):
+def test_counts_cover_all_processes(terminal, logs):
     code, out, _ = terminal(f"report {logs[0]} {logs[1]} --json")
     found = json.loads(out)
     assert code == 0
@@ -50,21 +52,21 @@
     assert found["platform_calls"] == {"watch/ingress/done": 3}
     assert found["bytes_sent_by_message"] == {"Heartbeat": 60, "IngressState": 9}
     assert found["unreadable_by_file"] == {str(logs[0]): 1}
-    # What callers bring about is no loss of theirs.
+    # Refusals that the caller caused are not counted.
     assert [(span["served"], span["refused"]) for span in found["spans"]] == [
         (1, 0),
         (0, 1),
     ]
 
 
-def test_it_is_readable_without_json(terminal, logs):
+def test_text_output(terminal, logs):
     code, out, _ = terminal(f"report {logs[0]}")
     assert code == 0
     assert "1 not readable" in out
     assert "budget_unreachable" in out
 
 
-def test_one_requests_story_comes_in_order(terminal, logs):
+def test_lines_of_a_request_are_in_order_of_time(terminal, logs):
     code, out, _ = terminal(f"report {logs[0]} {logs[1]} --request a")
     events = [row.split()[2] for row in out.splitlines()[1:]]
     assert code == 0
@@ -72,19 +74,19 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "message"),
     [
         ("report", "which files"),
         ("report /nowhere.log", "cannot read"),
         ("report {log} --request nobody", "no line names request nobody"),
     ],
 )
-def test_what_it_can_t_do_is_said_on_one_line(terminal, logs, line, said):
+def test_error_is_printed_on_one_line(terminal, logs, line, message):
     code, out, errors = terminal(line.format(log=logs[0]))
     assert code == 1
     assert out == ""
     assert len(errors) == 1
-    assert said in errors[0]
+    assert message in errors[0]
 
 
 @pytest.mark.parametrize(
@@ -95,15 +97,15 @@
         ({"needed": 50, "unspent": 99, "free": 60}, "cap reached"),
     ],
 )
-def test_the_cause_of_a_lack_is_told_by_its_figures(fields, cause):
-    here = lack(**fields, ledger_age=0.1, reachable="true")
-    away = lack(**fields, ledger_age=3.1, reachable="false")
-    assert shortage_cause(here) == cause
-    assert shortage_cause(away) == f"{cause}, platform away"
+def test_shortage_cause_follows_from_the_figures(fields, cause):
+    connected = lack(**fields, ledger_age=0.1, reachable="true")
+    disconnected = lack(**fields, ledger_age=3.1, reachable="false")
+    assert shortage_cause(connected) == cause
+    assert shortage_cause(disconnected) == f"{cause}, platform away"
     assert shortage_cause(lack(**fields, ledger_age="-")).startswith("not yet joined")
 
 
-def test_memory_does_not_grow_with_the_customers():
+def test_memory_is_bounded_with_many_customers():
     collector = Collector()
     for number in range(MAX_NAMES + 5):
         fields = {"customer": f"c{number}", "needed": "1"}
@@ -112,7 +114,7 @@
     assert collector.report().lacks_by_customer[OTHERS] == 5
 
 
-def test_a_file_that_is_no_gzip_is_said_so(tmp_path, terminal):
+def test_invalid_gzip_file_is_an_error(tmp_path, terminal):
     file = tmp_path / "broken.gz"
     file.write_bytes(b"no gzip")
     code, _, errors = terminal(f"report {file}")
@@ -120,7 +122,7 @@
     assert "cannot read" in errors[0]
 
 
-def test_it_is_usable_without_a_command_line(logs):
+def test_report_is_callable_without_a_command_line(logs):
     assert report((str(logs[0]),), "").data.served == 1
 
 
@@ -133,8 +135,8 @@
     return DecisionLine(at=at, process="p", event="retry_decided", fields=fields)
 
 
-def test_retries_that_pile_up_at_one_service_are_seen():
-    """Guards against a report in which a service's repeats vanish in the fleet's."""
+def test_retries_are_counted_by_service():
+    """Guards against a report that hides retries accumulating at one service."""
     collector = Collector()
     for at in (100.0, 101.0, 109.0, 130.0):
         collector.add("file", retry(at))
@@ -146,7 +148,7 @@
     assert (found["pool"].allowed, found["pool"].most) == (1, 1)
 
 
-def test_retries_are_in_the_text(terminal, logs):
+def test_text_output_contains_retries(terminal, logs):
     line = "timestamp=101 event=retry_decided service=app allowed=true charged=true\n"
     logs[1].write_text(line)
     code, out, _ = terminal(f"report {logs[1]}")
