--- a/src/ragwortkeel/standins/engine.py
+++ b/src/ragwortkeel/standins/engine.py
@@ -28,7 +28,7 @@
 OVERRUN_FACTOR = 4
 """How far past its limit the engine runs that ignores limits."""
 
-CRASH_EXIT = 70
+CRASH_EXIT_CODE = 70
 JSON_TYPE = {"content-type": "application/json"}
 STREAM_TYPE = {"content-type": "text/event-stream"}
 CHAT_PATH = "/v1/chat/completions"
@@ -88,7 +88,7 @@
             case "GET", "/switches":
                 await _reply(responder, 200, self.switches)
             case "POST", "/switches":
-                self.switches = changed_switches(self.switches, request.body)
+                self.switches = update_switches(self.switches, request.body)
                 self.batch.slowdown = self.switches.slow
                 await _reply(responder, 200, self.switches)
             case "GET", path if path.startswith(TRACES_PREFIX):
@@ -109,7 +109,7 @@
         await _reply(responder, 200 if generations else 404, {})
 
     async def _complete(self, request: Request, responder: Responder) -> None:
-        if self._is_stale(request.headers.get("x-fencing-number", "")):
+        if self._check_stale(request.headers.get("x-fencing-number", "")):
             await _refuse(responder, 409, "stale_fencing_number")
             return
         try:
@@ -123,7 +123,7 @@
         if self.switches.silent:
             await responder.disconnected.wait()
             return
-        start, end = self._range_of(chat)
+        start, end = self._token_range(chat)
         generation = Generation(
             request_id=request_id,
             remaining=end - start,
@@ -138,19 +138,19 @@
         self, answer: "_Answer", generation: Generation, responder: Responder
     ) -> None:
         self._running_by_id.setdefault(generation.request_id, []).append(generation)
-        watcher = await curio.spawn(_cancel_when_gone, responder, generation)
+        watcher = await curio.spawn(_cancel_on_disconnect, responder, generation)
         try:
             await self.batch.submit(generation)
             if answer.chat.stream:
                 await self._stream(answer, generation, responder)
             else:
-                await self._answer_whole(answer, generation, responder)
+                await self._send_completion(answer, generation, responder)
         finally:
             generation.cancelled = True
-            self._forget(generation)
+            self._remove(generation)
             await watcher.cancel()
 
-    def _is_stale(self, number: str) -> bool:
+    def _check_stale(self, number: str) -> bool:
         """Note an order number; whether it is older than one seen before."""
         if not number.isdigit():
             return False
@@ -161,9 +161,9 @@
     def _crash_on_marker(self, body: bytes) -> None:
         marker = self.switches.crash_on.encode()
         if marker and marker in body:
-            os._exit(CRASH_EXIT)
+            os._exit(CRASH_EXIT_CODE)
 
-    def _range_of(self, chat: ChatRequest) -> tuple[int, int]:
+    def _token_range(self, chat: ChatRequest) -> tuple[int, int]:
         """Return from which token to which the answer runs."""
         end = min(natural_length(chat.prompt), chat.max_tokens)
         if self.switches.ignore_max_tokens:
@@ -171,7 +171,7 @@
         start = chat.resume_from_tokens if self.switches.can_resume else 0
         return min(start, end), end
 
-    def _forget(self, generation: Generation) -> None:
+    def _remove(self, generation: Generation) -> None:
         generations = self._running_by_id[generation.request_id]
         generations.remove(generation)
         if not generations:
@@ -188,7 +188,7 @@
             sent += 1
             await responder.send(answer.event(token))
             if sent == self.switches.die_after_tokens:
-                os._exit(CRASH_EXIT)
+                os._exit(CRASH_EXIT_CODE)
             if sent == self.switches.truncate:
                 await responder.finish()
                 return
@@ -196,7 +196,7 @@
         await responder.send(b"data: [DONE]\n\n")
         await responder.finish()
 
-    async def _answer_whole(
+    async def _send_completion(
         self, answer: "_Answer", generation: Generation, responder: Responder
     ) -> None:
         tokens = []
@@ -205,8 +205,8 @@
                 break
             tokens.append(token)
             if len(tokens) == self.switches.die_after_tokens:
-                os._exit(CRASH_EXIT)
-        body = answer.whole("".join(tokens), len(tokens), generation.cancelled)
+                os._exit(CRASH_EXIT_CODE)
+        body = answer.completion("".join(tokens), len(tokens), generation.cancelled)
         await responder.respond(200, body, JSON_TYPE)
 
 
@@ -231,7 +231,7 @@
         usage = usage_of(self.chat.prompt, self.start + sent)
         return _event(frame | {"usage": usage})
 
-    def whole(self, text: str, sent: int, cancelled: bool) -> bytes:
+    def completion(self, text: str, sent: int, cancelled: bool) -> bytes:
         """Return the whole answer as one JSON document."""
         message = {"role": "assistant", "content": text}
         reason = self._finish_reason(cancelled)
@@ -254,13 +254,13 @@
         return "stop" if self.end == natural_length(self.chat.prompt) else "length"
 
 
-def changed_switches(switches: msgspec.Struct, body: bytes) -> msgspec.Struct:
+def update_switches(switches: msgspec.Struct, body: bytes) -> msgspec.Struct:
     """Return switches with the fields of a JSON object replaced."""
     fields = msgspec.structs.asdict(switches) | msgspec.json.decode(body, type=dict)
     return msgspec.convert(fields, type=type(switches))
 
 
-async def _cancel_when_gone(responder: Responder, generation: Generation) -> None:
+async def _cancel_on_disconnect(responder: Responder, generation: Generation) -> None:
     await responder.disconnected.wait()
     generation.cancelled = True
 
--- a/src/ragwortkeel/standins/engine_batch.py
+++ b/src/ragwortkeel/standins/engine_batch.py
@@ -71,15 +71,15 @@
     async def run(self) -> None:
         """Step for ever, sleeping while there is nothing to do."""
         while True:
-            await self._take_arrivals()
-            self._fill()
-            pause = self.speed.step_seconds(len(self._running), self.slowdown)
-            await curio.sleep(pause)
+            await self._queue_arrivals()
+            self._start_waiting()
+            duration = self.speed.step_seconds(len(self._running), self.slowdown)
+            await curio.sleep(duration)
             for generation in self._running:
                 await self._step(generation)
             self._running = [g for g in self._running if g.remaining > 0]
 
-    async def _take_arrivals(self) -> None:
+    async def _queue_arrivals(self) -> None:
         idle = not self._running and not self._waiting
         while idle or not self._arrivals.empty():
             generation = await self._arrivals.get()
@@ -87,7 +87,7 @@
             heapq.heappush(self._waiting, entry)
             idle = False
 
-    def _fill(self) -> None:
+    def _start_waiting(self) -> None:
         while self._waiting and len(self._running) < self.speed.max_running:
             *_, generation = heapq.heappop(self._waiting)
             self._running.append(generation)
--- a/src/ragwortkeel/standins/local_platform.py
+++ b/src/ragwortkeel/standins/local_platform.py
@@ -21,7 +21,7 @@
 )
 from ragwortkeel.platform import Change, Changes, Instance, Listing, Stored
 
-HISTORY_LIMIT = 10_000
+HISTORY_LIMIT_CHANGES = 10_000
 """Changes kept for watches; a third of a day at the size to design for."""
 
 
@@ -83,17 +83,17 @@
         What the platform would count against the caller's rate.
     """
 
-    def __init__(self, *, history_limit: int = HISTORY_LIMIT) -> None:
+    def __init__(self, *, history_limit: int = HISTORY_LIMIT_CHANGES) -> None:
         self.switches = Switches()
         self.counts = Counts()
         self.revision = 0
         self._by_name_by_kind: dict[str, dict[str, Stored]] = {}
         self._history: deque[_Event] = deque()
         self._history_limit = history_limit
-        self._forgotten = 0
-        self._changed = curio.Condition()
+        self._last_dropped_revision = 0
+        self._change_condition = curio.Condition()
         self._instances_by_name: dict[str, Instance] = {}
-        self._shown_by_name: dict[str, Instance] = {}
+        self._listed_by_name: dict[str, Instance] = {}
 
     async def get(self, kind: str, name: str, *, stale: bool = False) -> Stored | None:
         """Return the object, or None where there is none.
@@ -151,7 +151,7 @@
             if self.switches.watch_late_seconds:
                 await curio.sleep(self.switches.watch_late_seconds)
             # An outage that began while the watch waited breaks it off.
-            self._refuse_if_down()
+            self._raise_if_down()
             return self._changes(kind, revision)
         finally:
             self.counts.open_watches -= 1
@@ -161,14 +161,14 @@
         self.counts.reads += 1
         await self._call()
         if not self.switches.live_frozen:
-            self._shown_by_name = dict(self._instances_by_name)
-        return dict(self._shown_by_name)
+            self._listed_by_name = dict(self._instances_by_name)
+        return dict(self._listed_by_name)
 
     def set_live(self, instances: Iterable[Instance]) -> None:
         """Replace what the list will show, unless it is frozen."""
-        self._instances_by_name = {one.name: one for one in instances}
+        self._instances_by_name = {instance.name: instance for instance in instances}
         if not self.switches.live_frozen:
-            self._shown_by_name = self._instances_by_name
+            self._listed_by_name = self._instances_by_name
 
     def peek(self, kind: str, name: str) -> Stored | None:
         """Return an object without a call, whatever the switches."""
@@ -187,9 +187,9 @@
     async def _call(self) -> None:
         if self.switches.slow_seconds:
             await curio.sleep(self.switches.slow_seconds)
-        self._refuse_if_down()
+        self._raise_if_down()
 
-    def _refuse_if_down(self) -> None:
+    def _raise_if_down(self) -> None:
         if self.switches.down:
             raise PlatformUnavailable("the platform is down")
 
@@ -218,27 +218,27 @@
             _Event(revision=self.revision, kind=kind, change=change, hidden=hidden)
         )
         if len(self._history) > self._history_limit:
-            self._forgotten = self._history.popleft().revision
+            self._last_dropped_revision = self._history.popleft().revision
         lost = self.switches.lost_answers > 0
         if lost:
             self.switches.lost_answers -= 1
-        async with self._changed:
-            await self._changed.notify_all()
+        async with self._change_condition:
+            await self._change_condition.notify_all()
         if lost:
             raise OutcomeUnknown("the answer was lost")
 
     async def _wait(self, kind: str, revision: int) -> None:
-        async with self._changed:
+        async with self._change_condition:
             while not self._changes(kind, revision).changes:
-                if self._gap(revision):
+                if self._has_gap(revision):
                     return
-                await self._changed.wait()
+                await self._change_condition.wait()
 
-    def _gap(self, revision: int) -> bool:
-        return self.switches.watch_gaps or revision < self._forgotten
+    def _has_gap(self, revision: int) -> bool:
+        return self.switches.watch_gaps or revision < self._last_dropped_revision
 
     def _changes(self, kind: str, revision: int) -> Changes:
-        if self._gap(revision):
+        if self._has_gap(revision):
             return Changes(changes=(), revision=self.revision, gap=True)
         seen = tuple(
             event.change
--- a/src/ragwortkeel/standins/platform.py
+++ b/src/ragwortkeel/standins/platform.py
@@ -103,7 +103,9 @@
         after = request.query.get("after", "")
         limit = int(request.query.get("limit", PAGE_LIMIT))
         names = sorted(name for name in listing.by_name if name > after)
-        objects = tuple(ObjectBody.of(listing.by_name[one]) for one in names[:limit])
+        objects = tuple(
+            ObjectBody.of(listing.by_name[object_name]) for object_name in names[:limit]
+        )
         page = ListPage(
             objects=objects, revision=listing.revision, more=len(names) > limit
         )
--- a/src/ragwortkeel/standins/service.py
+++ b/src/ragwortkeel/standins/service.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ragwortkeel.httpio import HttpServer, Request, Responder
-from ragwortkeel.standins.engine import JSON_TYPE, changed_switches
+from ragwortkeel.standins.engine import JSON_TYPE, update_switches
 
 
 class ServiceSwitches(msgspec.Struct, frozen=True, kw_only=True):
@@ -68,7 +68,7 @@
             case "GET", "/switches":
                 await _reply(responder, 200, self.switches)
             case "POST", "/switches":
-                self.switches = changed_switches(self.switches, request.body)
+                self.switches = update_switches(self.switches, request.body)
                 await _reply(responder, 200, self.switches)
             case _:
                 await _reply(responder, 404, {"error": "not_found"})
--- a/tests/ingress/test_configuration_in_force.py
+++ b/tests/ingress/test_configuration_in_force.py
@@ -73,7 +73,7 @@
             platform = fleet.platform
             platform.switches.watch_skips = 1
             await fleet.configure()
-            platform._forgotten = platform.revision
+            platform._last_dropped_revision = platform.revision
             await fleet.write("others", "one", b"{}")
             return await wait_for_revision(fleet.workers[0], 2)
 
