--- a/src/ragwortkeel/standins/__init__.py
+++ b/src/ragwortkeel/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems around the fleet, for tests, demo and benchmarks."""
+"""Stand-ins for external systems, for tests, demo and benchmarks."""
--- a/src/ragwortkeel/standins/command.py
+++ b/src/ragwortkeel/standins/command.py
@@ -1,6 +1,6 @@
-"""The entry point of the stand-ins: ``ragwortkeel-standin engine|service|platform``.
+"""Run ``ragwortkeel-standin engine|service|platform``.
 
-TERM ends a stand-in at once; it keeps nothing and drains nothing.
+SIGTERM ends a stand-in immediately, without storing state or finishing requests.
 """
 
 import os
@@ -39,7 +39,7 @@
 
 
 def platform(host: str = "127.0.0.1", port: int = 9300) -> None:
-    """Run the platform's object API and live list."""
+    """Run the platform's object service and list of instances."""
     _run(serve_platform(host, port))
 
 
--- a/src/ragwortkeel/standins/engine.py
+++ b/src/ragwortkeel/standins/engine.py
@@ -1,9 +1,9 @@
 """A stand-in for a model engine: chat completions over HTTP, with fault switches.
 
-``POST /v1/chat/completions`` answers whole or as server-sent events, one token
-an event; ``POST /v1/cancel/{request id}`` stops a run; ``GET /load`` reports
-the load with a lag; ``GET`` and ``POST /switches`` show and set the faults;
-``GET /executions`` counts the runs begun, by request id; ``GET /traces/{trace
+``POST /v1/chat/completions`` answers with one JSON document or with server-sent
+events, one token in each; ``POST /v1/cancel/{request id}`` stops a run; ``GET /load``
+reports the load with a delay; ``GET`` and ``POST /switches`` show and set the faults;
+``GET /executions`` counts the runs started, by request id; ``GET /traces/{trace
 id}`` shows the engine's spans.
 """
 
@@ -26,7 +26,7 @@
 
 LOAD_LAG_SECONDS = 0.5
 OVERRUN_FACTOR = 4
-"""How far past its limit the engine runs that ignores limits."""
+"""Factor by which the engine exceeds `max_tokens` with `ignore_max_tokens`."""
 
 CRASH_EXIT_CODE = 70
 JSON_TYPE = {"content-type": "application/json"}
@@ -39,10 +39,10 @@
 class EngineSwitches(msgspec.Struct, frozen=True, kw_only=True):
     """Faults that a test can switch on.
 
-    `crash_on` is a text that kills the process where a body holds it; `slow`
-    a factor on the time of a step; `silent` takes requests and never answers;
-    `die_after_tokens` kills the process once a stream has so many tokens;
-    `truncate` ends a stream early as if it were whole, without usage or end.
+    The process exits when a request body contains `crash_on`, or when an answer
+    has `die_after_tokens` tokens.  `slow` multiplies the duration of a batch step.
+    With `silent`, requests are accepted and never answered.  A stream ends after
+    `truncate` tokens, without usage and end marker.
     """
 
     crash_on: str = ""
@@ -56,7 +56,7 @@
 
 
 class Engine:
-    """One engine: a batch, its switches and what it has executed."""
+    """One engine: a batch, its switches and counts of its executions."""
 
     def __init__(self, *, speed: BatchSpeed, load_lag: float = LOAD_LAG_SECONDS):
         self.batch = Batch(speed=speed)
@@ -69,7 +69,7 @@
         self._tracing = Tracing(node="engine")
 
     async def run(self) -> None:
-        """Step the batch and refresh the lagging load report, for ever."""
+        """Run the batch and refresh the delayed load report until cancelled."""
         async with curio.TaskGroup() as group:
             await group.spawn(self.batch.run)
             await group.spawn(self._report_load)
@@ -151,7 +151,7 @@
             await watcher.cancel()
 
     def _check_stale(self, number: str) -> bool:
-        """Note an order number; whether it is older than one seen before."""
+        """Record a fencing number; return whether to reject it as stale."""
         if not number.isdigit():
             return False
         stale = int(number) < self._highest_fencing_number
@@ -164,7 +164,7 @@
             os._exit(CRASH_EXIT_CODE)
 
     def _token_range(self, chat: ChatRequest) -> tuple[int, int]:
-        """Return from which token to which the answer runs."""
+        """Return the first token of the answer and the end of its range."""
         end = min(natural_length(chat.prompt), chat.max_tokens)
         if self.switches.ignore_max_tokens:
             end = chat.max_tokens * OVERRUN_FACTOR
@@ -232,7 +232,7 @@
         return _event(frame | {"usage": usage})
 
     def completion(self, text: str, sent: int, cancelled: bool) -> bytes:
-        """Return the whole answer as one JSON document."""
+        """Return the complete answer as one JSON document."""
         message = {"role": "assistant", "content": text}
         reason = self._finish_reason(cancelled)
         choice = {"index": 0, "message": message, "finish_reason": reason}
@@ -255,7 +255,7 @@
 
 
 def update_switches(switches: msgspec.Struct, body: bytes) -> msgspec.Struct:
-    """Return switches with the fields of a JSON object replaced."""
+    """Return switches with the fields in a JSON object replaced."""
     fields = msgspec.structs.asdict(switches) | msgspec.json.decode(body, type=dict)
     return msgspec.convert(fields, type=type(switches))
 
--- a/src/ragwortkeel/standins/engine_answers.py
+++ b/src/ragwortkeel/standins/engine_answers.py
@@ -1,7 +1,7 @@
-"""What the engine stand-in answers: a function of the prompt alone.
+"""Answers of the engine stand-in, which only depend on the prompt.
 
-A test can therefore check that a caller got the whole answer to its own
-request, and an answer resumed elsewhere continues the one that broke off.
+A test can therefore check that a caller received the complete answer to its own
+request, and an answer resumed at another engine continues the interrupted one.
 """
 
 import re
@@ -12,7 +12,7 @@
 import msgspec
 
 TOKEN_BYTES = 4
-"""Every token of an answer is four ASCII characters."""
+"""Bytes of each token of an answer; all characters are ASCII."""
 
 MIN_ANSWER_TOKENS = 16
 ANSWER_TOKENS_SPAN = 32
@@ -28,7 +28,7 @@
 
 
 class ChatRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """The fields of a chat completion request that the engine heeds."""
+    """The fields of a chat completion request that the engine uses."""
 
     messages: list[ChatMessage]
     model: str = ""
@@ -38,12 +38,12 @@
 
     @property
     def prompt(self) -> str:
-        """The messages' text, a line each."""
+        """Contents of the messages, joined by line breaks."""
         return "\n".join(message.content for message in self.messages)
 
 
 class Usage(msgspec.Struct, frozen=True, kw_only=True):
-    """What a completion cost, in tokens."""
+    """The cost of a completion, in tokens."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -51,12 +51,12 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return the tokens of a text: its UTF-8 bytes over four, rounded up."""
+    """Return the number of tokens: the UTF-8 bytes divided by four, rounded up."""
     return -(-len(text.encode()) // TOKEN_BYTES)
 
 
 def usage_of(prompt: str, completion_tokens: int) -> Usage:
-    """Return what a completion of that many tokens cost."""
+    """Return the usage of a completion with that many tokens."""
     prompt_tokens = count_tokens(prompt)
     return Usage(
         prompt_tokens=prompt_tokens,
@@ -66,7 +66,7 @@
 
 
 def natural_length(prompt: str) -> int:
-    """Return how many tokens the answer has when nothing limits it.
+    """Return the number of tokens of the answer without a limit.
 
     A prompt that holds ``answer_tokens=N`` is answered with N tokens.
     """
@@ -82,12 +82,12 @@
 
 
 def answer_tokens(prompt: str, start: int, end: int) -> Iterator[str]:
-    """Yield the tokens of the answer from `start` up to `end`."""
+    """Return an iterator over the tokens from `start` up to `end`."""
     seed = crc32(prompt.encode())
     return (token_at(seed, position) for position in range(start, end))
 
 
 def expected_answer(prompt: str, max_tokens: int = 1024) -> str:
-    """Return the whole answer to a prompt under a limit."""
+    """Return the complete answer to a prompt, up to `max_tokens`."""
     length = min(natural_length(prompt), max_tokens)
     return "".join(answer_tokens(prompt, 0, length))
--- a/src/ragwortkeel/standins/engine_batch.py
+++ b/src/ragwortkeel/standins/engine_batch.py
@@ -1,7 +1,7 @@
-"""The engine stand-in's continuous batch: one task steps all running streams.
+"""The continuous batch of the engine stand-in: one task steps all running streams.
 
-A step yields one token to each stream of the batch and takes longer the more
-streams there are; what does not fit waits, highest priority first.
+A step produces one token for each running stream; its duration grows with their
+number.  Further generations are queued, highest priority first.
 """
 
 import heapq
@@ -13,20 +13,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BatchSpeed:
-    """How fast a batch steps and how many streams it holds."""
+    """Duration of the steps of a batch, and its maximum number of streams."""
 
     token_seconds: float = 0.002
     growth: float = 0.05
     max_running: int = 32
 
     def step_seconds(self, running: int, slowdown: float) -> float:
-        """Return how long a step takes with so many streams."""
+        """Return the duration of a step with `running` streams."""
         return self.token_seconds * (1.0 + self.growth * running) * slowdown
 
 
 @dataclass(kw_only=True, eq=False)
 class Generation:
-    """One stream through the batch; `ready` holds a true for each token due."""
+    """One stream in the batch.
+
+    `ready` receives True for each token, and False if the stream is cancelled.
+    """
 
     request_id: str
     remaining: int
@@ -37,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Load:
-    """How full a batch was when last looked at."""
+    """Numbers of running and waiting generations, and the maximum running."""
 
     running: int = 0
     waiting: int = 0
@@ -45,7 +48,7 @@
 
 
 class Batch:
-    """Steps generations; its state belongs to the task that runs `run`."""
+    """Steps generations; only the task that runs `run` changes its state."""
 
     def __init__(self, *, speed: BatchSpeed) -> None:
         self.speed = speed
@@ -57,7 +60,7 @@
 
     @property
     def load(self) -> Load:
-        """The load right now."""
+        """The current load."""
         return Load(
             running=len(self._running),
             waiting=len(self._waiting) + self._arrivals.qsize(),
@@ -69,7 +72,7 @@
         await self._arrivals.put(generation)
 
     async def run(self) -> None:
-        """Step for ever, sleeping while there is nothing to do."""
+        """Step the batch until cancelled; wait while there is no generation."""
         while True:
             await self._queue_arrivals()
             self._start_waiting()
--- a/src/ragwortkeel/standins/local_platform.py
+++ b/src/ragwortkeel/standins/local_platform.py
@@ -1,8 +1,8 @@
 """The platform's object service in memory, with switches for its failures.
 
-It keeps what the interface promises and nothing more: one revision counts all
-writes, an object's version is the revision of its last write, and the history
-for watches is bounded, so that a watcher too far behind is told of a gap.
+It guarantees no more than the interface: one revision counts all writes, the version
+of an object is the revision of its last write, and the history for watches is bounded,
+so that a watch from an older revision reports a gap.
 """
 
 from collections import deque
@@ -22,28 +22,28 @@
 from ragwortkeel.platform import Change, Changes, Instance, Listing, Stored
 
 HISTORY_LIMIT_CHANGES = 10_000
-"""Changes kept for watches; a third of a day at the size to design for."""
+"""Changes stored for watches: those of a third of a day at the design size."""
 
 
 class Switches(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The failures a test can turn on; all off by default.
+    """Failures that a test can switch on; all are off by default.
 
     Attributes
     ----------
     down : bool
-        Refuse every call.
+        Fail every call.
     slow_seconds : float
-        Delay before each call is looked at.
+        Delay before each call is processed, in seconds.
     lost_answers : int
-        So many of the next writes take effect and lose their answer.
+        Number of next writes that take effect and lose their answer.
     watch_late_seconds : float
-        Delay before a watch reports what it saw.
+        Delay before a watch reports its changes, in seconds.
     watch_skips : int
-        So many of the next changes are never shown to a watch.
+        Number of next changes that no watch reports.
     watch_gaps : bool
         Every watch reports a gap.
     live_frozen : bool
-        The list of instances stays as it is.
+        The list of instances does not change.
     """
 
     down: bool = False
@@ -56,7 +56,7 @@
 
 
 class Counts(msgspec.Struct, kw_only=True):
-    """Calls so far, and the watches waiting now."""
+    """Numbers of calls, and of watches that are open now."""
 
     reads: int = 0
     writes: int = 0
@@ -73,14 +73,14 @@
 
 
 class LocalPlatform:
-    """A `Platform` in one process; shared by the tasks of a test.
+    """A `Platform` in memory, shared by the tasks of a test.
 
     Attributes
     ----------
     switches : Switches
-        Assign or change at any moment.
+        Failures in effect; can be changed at any time.
     counts : Counts
-        What the platform would count against the caller's rate.
+        Calls that the platform would count towards the caller's rate limit.
     """
 
     def __init__(self, *, history_limit: int = HISTORY_LIMIT_CHANGES) -> None:
@@ -96,10 +96,10 @@
         self._listed_by_name: dict[str, Instance] = {}
 
     async def get(self, kind: str, name: str, *, stale: bool = False) -> Stored | None:
-        """Return the object, or None where there is none.
+        """Return the object, or None if there is none.
 
-        With `stale` it may be some seconds old, which costs the platform less: for
-        readers whose conditional write finds that out.
+        The interface allows an object some seconds old with `stale`, which costs the
+        platform less; this stand-in always returns the current one.
         """
         self.counts.reads += 1
         await self._call()
@@ -117,7 +117,7 @@
         return Listing(by_name=by_name, revision=self.revision)
 
     async def create(self, kind: str, name: str, value: bytes) -> int:
-        """Create the object and return its version; else `AlreadyExists`."""
+        """Create the object and return its version, or raise `AlreadyExists`."""
         self.counts.writes += 1
         await self._call()
         if name in self._objects(kind):
@@ -125,14 +125,14 @@
         return await self._store(kind, name, value)
 
     async def update(self, kind: str, name: str, value: bytes, version: int) -> int:
-        """Replace the object at `version`; else `VersionConflict`."""
+        """Replace the object at `version`, or raise `VersionConflict`."""
         self.counts.writes += 1
         await self._call()
         self._check(kind, name, version)
         return await self._store(kind, name, value)
 
     async def delete(self, kind: str, name: str, version: int) -> None:
-        """Delete the object at `version`; else `VersionConflict`."""
+        """Delete the object at `version`, or raise `VersionConflict`."""
         self.counts.writes += 1
         await self._call()
         self._check(kind, name, version)
@@ -150,14 +150,14 @@
                     await self._wait(kind, revision)
             if self.switches.watch_late_seconds:
                 await curio.sleep(self.switches.watch_late_seconds)
-            # An outage that began while the watch waited breaks it off.
+            # An outage that began during the wait ends the watch.
             self._raise_if_down()
             return self._changes(kind, revision)
         finally:
             self.counts.open_watches -= 1
 
     async def live(self) -> dict[str, Instance]:
-        """Return the lagging list of live and leaving instances, by name."""
+        """Return the listed instances by name; a frozen list does not change."""
         self.counts.reads += 1
         await self._call()
         if not self.switches.live_frozen:
@@ -165,17 +165,17 @@
         return dict(self._listed_by_name)
 
     def set_live(self, instances: Iterable[Instance]) -> None:
-        """Replace what the list will show, unless it is frozen."""
+        """Set the instances; a frozen list shows them once it is unfrozen."""
         self._instances_by_name = {instance.name: instance for instance in instances}
         if not self.switches.live_frozen:
             self._listed_by_name = self._instances_by_name
 
     def peek(self, kind: str, name: str) -> Stored | None:
-        """Return an object without a call, whatever the switches."""
+        """Return an object without counting a call or applying switches."""
         return self._objects(kind).get(name)
 
     def put(self, kind: str, name: str, value: bytes) -> None:
-        """Store an object without a call and without telling watches."""
+        """Store an object without counting a call or notifying watches."""
         self.revision += 1
         self._objects(kind)[name] = Stored(
             kind=kind, name=name, value=value, version=self.revision
--- a/src/ragwortkeel/standins/platform.py
+++ b/src/ragwortkeel/standins/platform.py
@@ -1,6 +1,6 @@
-"""The stand-in platform as an HTTP server, for processes of their own.
+"""Serve the stand-in platform over HTTP to separate processes.
 
-Beside the object service it takes ``POST /switches`` (failures, as JSON),
+In addition to the object service it accepts ``POST /switches`` (failures, as JSON),
 ``POST /live`` (what the list of instances shows) and ``GET /counts``.
 """
 
@@ -42,7 +42,7 @@
 
 
 class PlatformServer:
-    """Turns requests into calls of a `LocalPlatform`."""
+    """Translates HTTP requests to calls of a `LocalPlatform`."""
 
     def __init__(self, *, platform: LocalPlatform) -> None:
         self.platform = platform
@@ -155,6 +155,6 @@
 
 
 async def serve(host: str, port: int) -> None:
-    """Serve a fresh platform until cancelled."""
+    """Serve an empty platform until cancelled."""
     _, task = await open_server(host=host, port=port, platform=LocalPlatform())
     await task.join()
--- a/src/ragwortkeel/standins/service.py
+++ b/src/ragwortkeel/standins/service.py
@@ -1,7 +1,7 @@
-"""A stand-in for a plain service, some of whose calls may not be repeated.
+"""A stand-in for a plain service, some of whose calls must not be repeated.
 
-``POST /calls`` executes once for each HTTP request, whatever it is named, and
-records it: a call that comes twice is seen twice at ``GET /executions``.
+``POST /calls`` executes and records each HTTP request, whatever its request id, so
+that ``GET /executions`` shows repeated calls.
 """
 
 import time
@@ -18,8 +18,8 @@
 class ServiceSwitches(msgspec.Struct, frozen=True, kw_only=True):
     """Faults that a test can switch on.
 
-    `slow` is in seconds for each call; `answer_lost` executes, then drops the
-    connection; `down` drops it before anything is executed.
+    `slow` delays each call by that many seconds.  `answer_lost` drops the connection
+    after the execution, `down` before it.
     """
 
     slow: float = 0.0
@@ -28,7 +28,7 @@
 
 
 class Execution(msgspec.Struct, frozen=True, kw_only=True):
-    """One call that took effect; `at` is on the monotonic clock."""
+    """One executed call; `at` is in seconds of the monotonic clock."""
 
     request_id: str
     number: int
@@ -37,7 +37,7 @@
 
 
 class Executions(msgspec.Struct, frozen=True, kw_only=True):
-    """All calls that took effect, and how often each request id did."""
+    """All executed calls, and their number by request id."""
 
     executions: list[Execution]
     count_by_request_id: dict[str, int]
@@ -52,7 +52,7 @@
 
 
 class Service:
-    """One service and what it has executed."""
+    """One service and its executed calls."""
 
     def __init__(self) -> None:
         self.switches = ServiceSwitches()
