--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,4 @@
-"""Contract of the engine stand-in: what a test may rely on."""
+"""Tests of the engine stand-in's contract."""
 
 import curio
 import msgspec
@@ -39,9 +39,9 @@
 
 
 async def complete(client, body, **headers):
-    named = {key.replace("_", "-"): value for key, value in headers.items()}
+    wire_headers = {key.replace("_", "-"): value for key, value in headers.items()}
     return await client.request(
-        "POST", "/v1/chat/completions", body=body, headers=named, timeout=10
+        "POST", "/v1/chat/completions", body=body, headers=wire_headers, timeout=10
     )
 
 
@@ -56,7 +56,7 @@
 
 
 class TestAnswers:
-    def test_whole_answer_carries_usage(self):
+    def test_complete_answer_contains_usage(self):
         async def scenario(client, _):
             return await complete(client, body_of("สวัสดี"))
 
@@ -66,7 +66,7 @@
         assert answer["usage"]["prompt_tokens"] == count_tokens("สวัสดี") == 5
         assert answer["usage"]["completion_tokens"] == len(text) // 4
 
-    def test_stream_is_one_token_an_event_then_usage_then_done(self):
+    def test_stream_has_one_token_per_event_then_usage_then_done(self):
         async def scenario(client, _):
             return await complete(client, body_of(stream=True, max_tokens=5))
 
@@ -78,7 +78,7 @@
         assert frame["usage"]["completion_tokens"] == 5
         assert frame["choices"][0]["finish_reason"] == "length"
 
-    def test_resumed_stream_continues_where_the_other_broke_off(self):
+    def test_resumed_stream_continues_at_the_given_token(self):
         async def scenario(client, _):
             return await complete(client, body_of(stream=True, resume_from_tokens=7))
 
@@ -95,7 +95,7 @@
         assert with_engine(scenario).status == 400
 
 
-class TestOrders:
+class TestControl:
     @pytest.mark.parametrize(("check", "status"), [(True, 409), (False, 200)])
     def test_older_fencing_number(self, check, status):
         async def scenario(client, _):
@@ -121,15 +121,15 @@
         assert frame["choices"][0]["finish_reason"] == "cancelled"
         assert frame["usage"]["completion_tokens"] < 100_000
 
-    def test_caller_that_leaves_frees_its_place(self):
+    def test_disconnected_caller_frees_its_slot(self):
         async def scenario(client, engine):
             body = body_of("answer_tokens=100000", stream=True, max_tokens=100_000)
             target = "/v1/chat/completions"
             async with (
                 client.stream("POST", target, body=body) as answer,
-                curio.meta.finalize(answer.chunks()) as pieces,
+                curio.meta.finalize(answer.chunks()) as chunks,
             ):
-                await anext(pieces)
+                await anext(chunks)
             async with curio.timeout_after(10):
                 while engine.batch.load.running:
                     await curio.sleep(0.001)
@@ -140,16 +140,16 @@
         async def scenario(client, engine):
             order = []
 
-            async def one(name, priority):
+            async def complete_and_record(name, priority):
                 await complete(client, body_of(name), x_priority=str(priority))
                 order.append(name)
 
             async with curio.TaskGroup() as group:
-                await group.spawn(one, "first", 0)
+                await group.spawn(complete_and_record, "first", 0)
                 while not engine.batch.load.running:
                     await curio.sleep(0.001)
                 for waiting, (name, priority) in enumerate((("low", 0), ("high", 5))):
-                    await group.spawn(one, name, priority)
+                    await group.spawn(complete_and_record, name, priority)
                     while engine.batch.load.waiting <= waiting:
                         await curio.sleep(0.0001)
             return order
@@ -173,7 +173,7 @@
         events = events_of(with_engine(scenario, truncate=2))
         assert len(events) == 2
 
-    def test_silent_engine_takes_the_request_and_never_answers(self):
+    def test_silent_engine_accepts_the_request_and_never_answers(self):
         async def scenario(client, _):
             target = "/v1/chat/completions"
             with pytest.raises(ExchangeBroken):
--- a/tests/standins/test_platform_server.py
+++ b/tests/standins/test_platform_server.py
@@ -1,4 +1,4 @@
-"""Contract of the stand-in platform's control calls."""
+"""Tests of the stand-in platform's control calls."""
 
 import curio
 import msgspec
@@ -37,7 +37,7 @@
         responses = _calls(
             platform, [("GET", "/v1/objects/k/n", b""), ("GET", "/counts", b"")]
         )
-        assert [one.status for one in responses] == [503, 200]
+        assert [response.status for response in responses] == [503, 200]
         assert msgspec.json.decode(responses[1].body, type=Counts).reads == 1
 
     @pytest.mark.parametrize(
--- a/tests/standins/test_service.py
+++ b/tests/standins/test_service.py
@@ -1,4 +1,4 @@
-"""Contract of the plain service stand-in."""
+"""Tests of the plain service stand-in's contract."""
 
 import curio
 import msgspec
