--- a/deployments/__init__.py
+++ b/deployments/__init__.py
@@ -1,1 +1,1 @@
-"""Whole deployments on loopback, for the demo, the benchmarks and the tests."""
+"""Deployments on loopback for the demo, the benchmarks and the tests."""
--- a/deployments/deployment.py
+++ b/deployments/deployment.py
@@ -1,4 +1,4 @@
-"""Whole deployments on loopback: platform, upstreams, sidecars, routers, profiles."""
+"""Starts complete deployments on loopback and sends requests to them."""
 
 from dataclasses import dataclass, field
 
@@ -20,7 +20,7 @@
 
 @dataclass(kw_only=True)
 class Deployment:
-    """The programs of one deployment, by name."""
+    """The processes of one deployment, by name."""
 
     fleet: Fleet
     platform: Program
@@ -29,34 +29,34 @@
     routers: dict[str, Program] = field(default_factory=dict)
 
     def chat(self, router, prompt, *, key="", traceparent="", **fields):
-        """Ask for a whole answer."""
+        """Send a chat request and return its complete answer."""
         headers = request_headers(key, traceparent)
         body = chat_body(prompt, **fields)
         return send_request(self.port(router), "POST", CHAT_PATH, body, headers)
 
     def stream(self, router, prompt, *, key="", traceparent="", **fields):
-        """Ask for a streamed answer."""
+        """Send a chat request and return its answer as a `Stream`."""
         headers = request_headers(key, traceparent)
         body = chat_body(prompt, stream=True, **fields)
         return Stream(self.port(router), CHAT_PATH, body, headers)
 
     def file(self, router, body, *, key="", profile=FILING_PROFILE):
-        """File a claim."""
+        """File a claim and return the answer."""
         headers = request_headers(key)
         path = f"/v1/profiles/{profile}/calls"
         return send_request(self.port(router), "POST", path, body, headers)
 
     def file_without_waiting(self, router, body, *, key, profile=FILING_PROFILE):
-        """File a claim without waiting for the answer; return the connection."""
+        """Send a claim filing and return its open connection."""
         path = f"/v1/profiles/{profile}/calls"
         return send_without_waiting(self.port(router), path, body, request_headers(key))
 
     def port(self, router):
-        """Return the port for callers of a router."""
+        """Return the port on which a router serves callers."""
         return self.routers[router].ports["http"]
 
     def run_counts(self):
-        """Return how often each request id began at any engine or service."""
+        """Return how many runs each request id started, over all upstreams."""
         counts = {}
         for upstream in self.upstreams.values():
             executions = self.fleet.executions(upstream)
@@ -66,14 +66,14 @@
         return counts
 
     def upstream_running(self, request_id):
-        """Return the name of the upstream that began the request."""
+        """Return the name of the upstream that started a run of the request."""
         for name, upstream in self.upstreams.items():
             if request_id in self.fleet.executions(upstream):
                 return name
         raise AssertionError(f"{request_id} runs nowhere")
 
     def wait_serving(self, router, profile=CHAT_PROFILE):
-        """Wait until a request through this router is answered."""
+        """Wait until the router answers a chat request with status 200."""
         wait_until(
             lambda: (
                 self.chat(router, "ready?", model=profile, max_tokens=1).status == 200
@@ -83,19 +83,19 @@
 
 
 def request_headers(key, traceparent=""):
-    """Return the headers that name a request and its trace."""
+    """Return the headers for an idempotency key and a trace, if given."""
     fields = {"idempotency-key": key, "traceparent": traceparent}
     return {name: value for name, value in fields.items() if value}
 
 
 def chat_body(prompt, *, model=CHAT_PROFILE, **fields):
-    """Return the body of a question."""
+    """Return the body of a chat request with one user message."""
     message = {"role": "user", "content": prompt}
     return {"model": model, "messages": [message]} | fields
 
 
 def chat_deployment(fleet, *, engines=1, routers=2, prepaid=PREPAID_TOKENS, **options):
-    """Start engines with their sidecars, and routers, with one chat profile."""
+    """Start engines with their sidecars and routers, and create a chat profile."""
     rv = Deployment(fleet=fleet, platform=fleet.platform())
     for number in range(1, engines + 1):
         add_upstream(rv, f"engine-{number}", "assistant", "model", **options)
@@ -107,7 +107,7 @@
 
 
 def filing_deployment(fleet, *, routers=2, prepaid=PREPAID_TOKENS):
-    """Start one service with its sidecar, and routers, with a filing profile."""
+    """Start a service with its sidecar and routers, and create a filing profile."""
     rv = Deployment(fleet=fleet, platform=fleet.platform())
     add_upstream(rv, "filings-1", "filings", "service")
     add_routers(rv, routers)
@@ -123,7 +123,7 @@
 def add_upstream(
     deployment, name, back_end, kind, *, forwarded=False, resumes=False, **options
 ):
-    """Start an upstream and its sidecar and put them into service."""
+    """Start an upstream and its sidecar, and add the upstream to the configuration."""
     fleet = deployment.fleet
     start = fleet.service if kind == "service" else fleet.engine
     upstream = start(f"{name}-program", **options)
@@ -144,7 +144,7 @@
 
 
 def add_routers(deployment, count):
-    """Start routers that know each other."""
+    """Start routers and wait until they are ready."""
     fleet = deployment.fleet
     for number in range(1, count + 1):
         name = f"router-{number}"
@@ -166,5 +166,5 @@
 
 
 def command_flags(values):
-    """Return command line flags for some values."""
+    """Return a command line flag for each value."""
     return [f"--{key}={value}" for key, value in values.items()]
--- a/deployments/fleet.py
+++ b/deployments/fleet.py
@@ -1,7 +1,7 @@
-"""Starts the programs as processes of their own on free loopback ports.
+"""Starts each program as a separate process on free loopback ports.
 
-No verdict hangs on speed: everything waits for a condition, with a bound that
-only a hang reaches.
+Tests don't depend on the speed of the machine: they wait for a condition, with a
+timeout that only a hung process reaches.
 """
 
 import http.client
@@ -26,7 +26,10 @@
 
 
 def wait_until(condition, description, timeout_seconds=TIMEOUT_SECONDS):
-    """Return the first true value of `condition`."""
+    """Poll `condition` until it returns a true value, and return that value.
+
+    Connection and HTTP errors count as false, because a process may not listen yet.
+    """
     end = time.monotonic() + timeout_seconds
     while time.monotonic() < end:
         try:
@@ -40,7 +43,7 @@
 
 @dataclass(kw_only=True)
 class Program:
-    """One process started here, and ended here by its own id."""
+    """A process that this module started, with its log file and ports."""
 
     name: str
     popen: subprocess.Popen
@@ -48,22 +51,22 @@
     ports: dict = field(default_factory=dict)
 
     def send(self, number):
-        """Send a signal."""
+        """Send a signal to the process."""
         self.popen.send_signal(number)
 
     def kill(self):
-        """Kill the process and wait until it is gone."""
+        """Kill the process and wait until it has exited."""
         self.popen.kill()
         self.popen.wait(TIMEOUT_SECONDS)
 
     def terminate(self):
-        """Stop gracefully and return the exit code."""
+        """Send SIGTERM, wait for the process and return its exit code."""
         self.popen.terminate()
         return self.popen.wait(TIMEOUT_SECONDS)
 
     @contextmanager
     def frozen(self):
-        """Stop the process for the length of a block."""
+        """Suspend the process during a ``with`` block."""
         self.send(signal.SIGSTOP)
         try:
             yield
@@ -71,7 +74,7 @@
             self.send(signal.SIGCONT)
 
     def log_tail(self):
-        """Return the end of the log."""
+        """Return the last bytes of the log."""
         with open(self.log, "rb") as file:
             file.seek(0, os.SEEK_END)
             file.seek(max(0, file.tell() - LOG_TAIL_BYTES))
@@ -80,7 +83,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Answer:
-    """A whole HTTP answer."""
+    """A complete HTTP answer."""
 
     status: int
     headers: dict
@@ -88,12 +91,12 @@
 
     @property
     def json(self):
-        """Return the decoded body."""
+        """The body, decoded from JSON."""
         return json.loads(self.body)
 
 
 def send_request(port, method, path, body=None, headers=None, timeout=TIMEOUT_SECONDS):
-    """Send one request and return its whole answer."""
+    """Send a request and return its complete answer."""
     connection = http.client.HTTPConnection(HOST, port, timeout=timeout)
     try:
         data = None if body is None else json.dumps(body).encode()
@@ -106,7 +109,7 @@
 
 
 class IncompleteAnswer(Exception):
-    """An answer ended without the end marker of its body."""
+    """Raised when an answer ends before the end marker of its body."""
 
 
 class Stream:
@@ -131,7 +134,7 @@
         return event
 
     def events(self):
-        """Yield events until the end; a body without its end marker raises."""
+        """Yield events until the end, or raise `IncompleteAnswer`."""
         buffer = b""
         try:
             while isinstance(event := self._next(), h11.Data):
@@ -149,7 +152,7 @@
 
 
 def send_without_waiting(port, path, body, headers):
-    """Send a request whose caller will not wait; return the open connection."""
+    """Send a request and return its open connection without reading the answer."""
     data = json.dumps(body).encode()
     fields = {"host": HOST, "content-length": str(len(data))} | headers
     head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
@@ -159,13 +162,13 @@
 
 
 def answer_text(events):
-    """Return the text that token events carry."""
+    """Return the text of an answer from its events."""
     frames = [json.loads(event) for event in events if event != "[DONE]"]
     return "".join(f["choices"][0]["delta"].get("content", "") for f in frames)
 
 
 class Fleet:
-    """The programs of one test."""
+    """The processes that one test or benchmark starts."""
 
     def __init__(self, directory):
         self._directory = directory
@@ -173,10 +176,10 @@
         self.platform_port = 0
 
     def start(self, name, module, *arguments, **ports):
-        """Start ``python -m module arguments``."""
+        """Start ``python -m module arguments`` and return its `Program`."""
         known = self.by_name.get(name)
         ended = known is None or known.popen.poll() is not None
-        assert ended, f"{name} would be left running"
+        assert ended, f"{name} is already running"
         log = str(self._directory / f"{name}.log")
         command = [sys.executable, "-m", module, *map(str, arguments)]
         with open(log, "ab") as file:
@@ -206,7 +209,7 @@
         return rv
 
     def sidecar(self, name, upstream, kind="model", **extra):
-        """Start the sidecar beside an engine or service."""
+        """Start the sidecar of an engine or service."""
         settings = {
             "upstream": name,
             "upstream_address": f"{HOST}:{upstream.ports['http']}",
@@ -219,7 +222,7 @@
         return self._daemon("router", name, {"http": f"{HOST}:{free_port()}"} | extra)
 
     def ingresses(self, count):
-        """Start ingress processes that know each other."""
+        """Start ingress processes, each with the others as peers."""
         addresses = [f"{HOST}:{free_port()}" for _ in range(count)]
         return [
             self._daemon(
@@ -250,7 +253,7 @@
         return self.start(name, "ragwortkeel.daemon", *arguments, **ports)
 
     def forwarder(self, name, target_port):
-        """Start a forwarder to a port."""
+        """Start a TCP forwarder to a loopback port."""
         port = free_port()
         module = "deployments.forwarder"
         rv = self.start(name, module, HOST, port, HOST, target_port, tcp=port)
@@ -258,23 +261,23 @@
         return rv
 
     def set_switches(self, program, **switches):
-        """Set fault switches of a stand-in."""
+        """Set the fault switches of a stand-in."""
         answer = send_request(program.ports["http"], "POST", "/switches", switches)
         assert answer.status == 200, answer.body
 
     def executions(self, program):
-        """Return what an upstream says that it ran."""
+        """Return the executions that an upstream reports."""
         return send_request(program.ports["http"], "GET", "/executions").json
 
     def command(self, *arguments):
-        """Run the operators' command line; return what it printed as JSON."""
+        """Run the operators' command line and return its decoded JSON output."""
         popen = self.start_command(*arguments)
         output, errors = popen.communicate(timeout=TIMEOUT_SECONDS)
         assert popen.returncode == 0, (arguments, errors.decode())
         return json.loads(output)
 
     def start_command(self, *arguments):
-        """Start the operators' command line."""
+        """Start the operators' command line without waiting for it."""
         command = [sys.executable, "-c", COMMAND_LINE]
         command += [f"--platform={HOST}:{self.platform_port}", "--json=True"]
         command += map(str, arguments)
@@ -282,12 +285,12 @@
         return subprocess.Popen(command, stdout=pipe, stderr=pipe)
 
     def wait_ready(self, *programs):
-        """Wait until daemons take work."""
+        """Wait until all the daemons are ready."""
         for program in programs:
             wait_until(lambda p=program: is_ready(p), f"{program.name} ready")
 
     def close(self):
-        """End everything this fleet started."""
+        """Kill all running processes of this fleet and wait for them."""
         for program in self.by_name.values():
             if program.popen.poll() is None:
                 program.send(signal.SIGCONT)
@@ -296,18 +299,18 @@
             program.popen.wait(TIMEOUT_SECONDS)
 
     def log_tails(self):
-        """Return the ends of all logs, for a failed test."""
+        """Return the ends of all logs, for the report of a failed test."""
         return "\n".join(f"== {p.name}\n{p.log_tail()}" for p in self.by_name.values())
 
 
 def accepts_connections(port):
-    """Return whether somebody listens on a port."""
+    """Return True if a process listens on a port, or raise `OSError`."""
     with socket.create_connection((HOST, port), 1):
         return True
 
 
 def is_ready(program):
-    """Return whether a daemon takes work."""
+    """Return whether a daemon reports that it is ready."""
     return (
         send_request(program.ports["metrics"], "GET", "/readyz", timeout=2).status
         == 200
--- a/deployments/forwarder.py
+++ b/deployments/forwarder.py
@@ -1,8 +1,8 @@
-"""A TCP forwarder in a process of its own, which tests can cut or silence.
+"""A TCP forwarder that runs as a separate process and simulates network faults.
 
-USR1 silences the connections that are open now: they stay open and carry
-nothing more, while new ones work.  USR2 cuts all and refuses new ones, and the
-next USR2 lets them through again.
+SIGUSR1 stalls all current connections: they stay open but no longer forward data,
+while new connections work. SIGUSR2 closes all connections and refuses new ones
+until the next SIGUSR2.
 """
 
 import selectors
@@ -14,7 +14,7 @@
 
 
 class Forwarder:
-    """Carries bytes between a listening port and a target."""
+    """Forwards bytes between a listening port and a target."""
 
     def __init__(self, *, listen, target):
         self.target = target
@@ -27,26 +27,26 @@
         self.selector.register(self.listener, selectors.EVENT_READ)
 
     def stall(self):
-        """Carry nothing more on the connections of this moment."""
+        """Stop forwarding on all current connections without closing them."""
         for sock in self.opposite_by_socket:
             if sock not in self.stalled:
                 self.stalled.add(sock)
                 self.selector.unregister(sock)
 
     def toggle_disconnected(self):
-        """End all connections and refuse new ones, or stop doing so."""
+        """Close all connections and refuse new ones, or accept them again."""
         self.is_disconnected = not self.is_disconnected
         if self.is_disconnected:
             for sock in list(self.opposite_by_socket):
                 self.close_pair(sock)
 
     def queue_signal(self, number, _frame):
-        """Note a signal for the next step."""
-        # Acted on between two steps of `run`: a handler may come in the middle.
+        """Queue a signal for the loop of `run`."""
+        # A signal may arrive while `run` changes the connections.
         self.pending_signals.append(number)
 
     def run(self):
-        """Forward until killed."""
+        """Forward until the process is killed."""
         while True:
             while self.pending_signals:
                 action_by_signal = {
@@ -61,7 +61,7 @@
                     self.forward(key.fileobj)
 
     def accept(self):
-        """Take a connection and open its opposite side."""
+        """Accept a connection and connect it to the target."""
         sock, _ = self.listener.accept()
         try:
             opposite = (
@@ -79,7 +79,7 @@
             self.selector.register(end, selectors.EVENT_READ)
 
     def forward(self, sock):
-        """Pass on what has come."""
+        """Forward the received bytes, or close both sockets at the end or an error."""
         try:
             data = sock.recv(CHUNK_BYTES)
             if data:
@@ -90,7 +90,7 @@
             self.close_pair(sock)
 
     def close_pair(self, sock):
-        """Close a connection and its opposite side."""
+        """Close a socket and the socket it forwards to."""
         opposite = self.opposite_by_socket.pop(sock, None)
         if sock in self.stalled:
             self.stalled.discard(sock)
@@ -102,7 +102,7 @@
 
 
 def main():
-    """Forward as the command line says."""
+    """Forward between the two addresses in the command line arguments."""
     host, port, target_host, target_port = sys.argv[1:]
     forwarder = Forwarder(
         listen=(host, int(port)), target=(target_host, int(target_port))
--- a/deployments/ports.py
+++ b/deployments/ports.py
@@ -1,9 +1,10 @@
-"""Ports for processes that are told theirs in advance.
+"""Chooses free ports for processes that get their port before they start.
 
-A port that the system picks for a moment may be taken by somebody's outgoing
-connection before its process binds it: seen as "Address already in use" with
-several suites on one machine.  So ports come from below the range that the
-system picks from, each process of tests beginning elsewhere, and none twice.
+Ports are below the system's ephemeral range. A port from that range can be used by
+an outgoing connection of another process before its own process binds it, which
+then fails with "Address already in use" when several test suites run on one
+machine. The first port depends on the process id, so that concurrent test
+processes start at different ports, and a process rarely reuses a port.
 """
 
 import os
@@ -19,7 +20,7 @@
 
 
 def free_port():
-    """Return a port that nobody listens on."""
+    """Return a port that no process is bound to."""
     for number in _numbers:
         port = FIRST_PORT + number % PORT_COUNT
         with socket.socket() as sock:
@@ -29,9 +30,9 @@
             except OSError:
                 continue
         return port
-    raise AssertionError("unreachable: the numbers do not end")
+    raise AssertionError("unreachable: the sequence of ports is endless")
 
 
 def free_address():
-    """Return a free ``ip:port``."""
+    """Return a loopback address with a free port, as ``ip:port``."""
     return f"{HOST}:{free_port()}"
