--- a/examples/demo.py
+++ b/examples/demo.py
@@ -26,19 +26,19 @@
 PROMPT = "How much diesel duty does a season of 900 litres bring back?"
 
 
-def step(text: str) -> None:
+def print_step(text: str) -> None:
     """Print what comes next."""
     print(f"\n== {text}", flush=True)
 
 
 def start(fleet: Fleet) -> Deployment:
     """Start every program and create the profiles."""
-    step("starting platform, engine, service, sidecars and two routers")
+    print_step("starting platform, engine, service, sidecars and two routers")
     rv = Deployment(fleet=fleet, platform=fleet.platform())
     add_upstream(rv, "assistant-1", "assistant", "model", token_seconds=0.01)
     add_upstream(rv, "filings-1", "filings", "service")
     add_routers(rv, 2)
-    step("ragwortkeel profile create")
+    print_step("ragwortkeel profile create")
     create_profile(fleet, CHAT_PROFILE, "interactive", "assistant", 50_000)
     create_profile(fleet, FILING_PROFILE, "must_not_repeat", "filings", 1_000)
     for name in rv.routers:
@@ -50,16 +50,16 @@
 
 def serve(deployment: Deployment) -> None:
     """Serve a streamed answer, a whole one and a claim filing."""
-    step(f"a streamed answer through router-1 ({CHAT_PROFILE})")
+    print_step(f"a streamed answer through router-1 ({CHAT_PROFILE})")
     stream = deployment.stream(
         "router-1", PROMPT, key="demo-stream", traceparent=TRACEPARENT, max_tokens=20
     )
     events = list(stream.events())
     print(f"status {stream.status}, {len(events)} events: {answer_text(events)}")
-    step("a whole answer through router-2")
+    print_step("a whole answer through router-2")
     answer = deployment.chat("router-2", PROMPT, key="demo-whole", max_tokens=20)
     print(f"status {answer.status}: {answer.body.decode()}")
-    step("a claim filing through router-1, then the same again through router-2")
+    print_step("a claim filing through router-1, then the same again through router-2")
     claim = {"claim": "2026-0042", "litres": 900}
     for router in ("router-1", "router-2"):
         filed = deployment.file(router, claim, key="claim-2026-0042")
@@ -67,15 +67,15 @@
     print(f"the service saw it {deployment.run_counts()['claim-2026-0042']} time(s)")
 
 
-def show(deployment: Deployment) -> None:
+def print_accounts(deployment: Deployment) -> None:
     """Show budget, bill and trace."""
     fleet = deployment.fleet
-    step("ragwortkeel profile show")
+    print_step("ragwortkeel profile show")
     print(json.dumps(fleet.command("profile", "show", CHAT_PROFILE), indent=2))
-    step("ragwortkeel bill")
+    print_step("ragwortkeel bill")
     wait_until(lambda: fleet.command("bill", CHAT_PROFILE), "the bill is written")
     print(json.dumps(fleet.command("bill", CHAT_PROFILE), indent=2))
-    step(f"the trace {TRACE_ID}, hop by hop")
+    print_step(f"the trace {TRACE_ID}, hop by hop")
     for span in spans_of(deployment):
         milliseconds = (span["end_ns"] - span["start_ns"]) / 1e6
         print(f"{span['node']:<24} {span['name']:<12} {milliseconds:8.2f} ms")
@@ -93,7 +93,7 @@
 
 def stop(deployment: Deployment) -> bool:
     """Stop gracefully in order; return whether all ended cleanly."""
-    step("TERM: routers first, then sidecars, then the stand-ins")
+    print_step("TERM: routers first, then sidecars, then the stand-ins")
     groups = (deployment.routers, deployment.sidecars, deployment.upstreams)
     programs = [program for group in groups for program in group.values()]
     clean = True
@@ -111,14 +111,14 @@
         try:
             deployment = start(fleet)
             serve(deployment)
-            show(deployment)
+            print_accounts(deployment)
             clean = stop(deployment)
         except BaseException:
             print(fleet.log_tails(), file=sys.stderr)
             raise
         finally:
             fleet.close()
-    step("done" if clean else "not every process ended cleanly")
+    print_step("done" if clean else "not every process ended cleanly")
     return 0 if clean else 1
 
 
