--- a/tests/sidecar/runs_world.py
+++ b/tests/sidecar/runs_world.py
@@ -1,7 +1,7 @@
-"""Platform, network, engines, sidecars and routers as plain state, for machines.
+"""Model of platform, network, engines, sidecars and routers for state machines.
 
-Nothing here decides: sidecars are `SidecarCore`, attempts are `Filing`.  The
-world only moves messages and bytes, and notes what really ran.
+The decisions are made by the real classes `SidecarCore` and `Filing`.  The model
+only transports messages and bytes, and records the runs.
 """
 
 from dataclasses import dataclass, field
@@ -55,7 +55,7 @@
 
 
 def answer_to(nonce):
-    """Return the bytes that the engine generates for a run, by piece."""
+    """Return the chunks of bytes that the engine generates for a run."""
     return [f"{nonce}:{index};".encode() for index in range(3)]
 
 
@@ -97,10 +97,10 @@
         self.engine_runs = []
         self.network = []
         self.attempts = []
-        self.dead_routers = set()
+        self.crashed_routers = set()
         self.receipts = []
         self.serial = 0
-        self.lies = []
+        self.false_reports = []
 
     def _core(self, slot, restart):
         admission = Admission(upstream=f"u{slot}")
@@ -126,7 +126,7 @@
     # Network
 
     def send(self, slot, attempt, message):
-        # A link reaches the slot's address, whichever incarnation answers there.
+        # A link connects to the slot's address, whatever incarnation runs there.
         self.network.append(("sidecar", slot, attempt, message))
 
     def apply(self, slot, effects):
@@ -148,15 +148,15 @@
 
     def deliver(self, index, *, keep):
         kind, slot, peer, message = self.network[index]
-        # The transport itself repeats no dispatch; only its router does.
+        # Only the router repeats a dispatch; the transport never does.
         if not keep or isinstance(message, Dispatch):
             del self.network[index]
         attempt = self.attempts[int(peer)]
         if kind == "sidecar":
             effects = self.cores[slot].on_message(peer, attempt.router, message, 0.0)
             self.apply(slot, effects)
-        elif attempt.router not in self.dead_routers and attempt.shown is None:
-            self.hear(attempt, message)
+        elif attempt.router not in self.crashed_routers and attempt.shown is None:
+            self.receive(attempt, message)
 
     # Attempts
 
@@ -187,18 +187,18 @@
         return [
             a
             for a in self.attempts
-            if a.shown is None and a.router not in self.dead_routers
+            if a.shown is None and a.router not in self.crashed_routers
         ]
 
-    def kill_router(self, router):
-        """Lose a router's open attempts; its name goes on as a new incarnation."""
+    def crash_router(self, router):
+        """Discard a router's open attempts; its name continues as a new incarnation."""
         for attempt in self.attempts:
             if attempt.router == router:
-                attempt.router = f"{router}-dead"
-        self.dead_routers.add(f"{router}-dead")
+                attempt.router = f"{router}-crashed"
+        self.crashed_routers.add(f"{router}-crashed")
 
     def step(self, attempt, mode):
-        """Carry out one step; `mode` is ok, lost (the answer) or down."""
+        """Execute one step; `mode` is ok, lost (the answer) or down."""
         filing = attempt.filing
         name = intents.object_name("claims", attempt.request_id)
         match filing.step:
@@ -238,7 +238,7 @@
         return WriteResult.WRITTEN, version
 
     def dispatch(self, attempt, intent):
-        """Send the dispatch of this nonce; a repeat is the same message."""
+        """Send the dispatch of this nonce; a repetition is the same message."""
         known = attempt.dispatch
         if known is None or known.nonce != intent.nonce:
             attempt.dispatch = Dispatch(
@@ -262,7 +262,7 @@
         attempt.filing.on_sent()
         self.send(int(intent.sidecar[1]), str(attempt.serial), attempt.dispatch)
 
-    def hear(self, attempt, message):
+    def receive(self, attempt, message):
         filing = attempt.filing
         step = filing.step
         match message:
@@ -271,13 +271,13 @@
                     filing.on_tombstone(state)
             case Refused(nonce=nonce, reason=reason):
                 if isinstance(step, DispatchRun) and step.intent.nonce == nonce:
-                    filing.on_refused(reason, self._other(attempt))
+                    filing.on_refused(reason, self._other_intent(attempt))
             case Chunk() | Finished() | Failed() if message.nonce == attempt.reading:
                 self._read_answer(attempt, message)
         self.conclude(attempt)
 
-    def _other(self, attempt):
-        """Return an intent for the other sidecar, for some attempts and once."""
+    def _other_intent(self, attempt):
+        """Return an intent for the other sidecar, once and for half of the attempts."""
         attempt.renewed += 1
         if attempt.renewed > 1 or attempt.serial % 2:
             return None
@@ -305,8 +305,8 @@
         )
         self.show(attempt, answered)
 
-    def lose(self, attempt, slot):
-        """Take it that the sidecar which was asked or told is silent."""
+    def disconnect(self, attempt, slot):
+        """Handle that the sidecar that received the last message is disconnected."""
         filing = attempt.filing
         if isinstance(filing.step, AskSidecar):
             filing.on_tombstone(None)
@@ -319,11 +319,11 @@
             self.show(attempt, self._unknown("sidecar_gone"))
         self.conclude(attempt)
 
-    def turn_away(self, attempt, mode):
+    def refuse_at_admission(self, attempt, mode):
         """Refuse at admission, as the router does before it writes an intent.
 
-        `NOT_RUN` goes over what was read, so that no other attempt of the key
-        can go on from there.
+        `NOT_RUN` replaces the intent that was read, so that no other attempt
+        of the key can continue from it.
         """
         filing = attempt.filing
         if not isinstance(filing.step, Create | TakeOver):
@@ -359,11 +359,11 @@
         attempt.shown = what
         ran = [r for r in self.engine_runs if r.request_id == attempt.request_id]
         if isinstance(what, Refuse) and what.outcome == "not_run" and ran:
-            self.lies.append(("not_run", attempt.request_id, ran[0].nonce))
+            self.false_reports.append(("not_run", attempt.request_id, ran[0].nonce))
         if isinstance(what, Outcome):
-            whole = b"".join(answer_to(ran[0].nonce))
-            if what.body != whole:
-                self.lies.append(("not whole", what.body, whole))
+            complete = b"".join(answer_to(ran[0].nonce))
+            if what.body != complete:
+                self.false_reports.append(("not complete", what.body, complete))
 
     # Engines and sidecars
 
@@ -394,7 +394,7 @@
         self.cores[slot] = self._core(slot, self.restarts[slot])
 
     def record(self, slot, mode):
-        """Let the sidecar do one due write, as its recorder would."""
+        """Execute one due write of the sidecar, as its recorder does."""
         core = self.cores[slot]
         match next_job(core, MUCH_LATER):
             case WriteReceipts(receipts=receipts):
--- a/tests/sidecar/sidecar_setup.py
+++ b/tests/sidecar/sidecar_setup.py
@@ -1,4 +1,4 @@
-"""A sidecar between a link and a small fake upstream, in one process."""
+"""A sidecar with a link and a fake upstream, in one process."""
 
 import json
 from contextlib import asynccontextmanager
@@ -32,7 +32,7 @@
 
 
 class Upstream:
-    """Answers each request as `behave(request, responder)` says; counts runs."""
+    """Answers each request by `behave(upstream, request, responder)`; records runs."""
 
     def __init__(self, behave=None):
         self.behave = behave or stream_whole
@@ -65,7 +65,7 @@
 
 
 class Router:
-    """The link side: sends messages and collects what comes back."""
+    """The router's end of a link: sends messages and collects the replies."""
 
     def __init__(self, *, address, incarnation="router-1"):
         self.inbox = curio.Queue()
@@ -95,7 +95,7 @@
             return message
 
     async def until(self, *kinds):
-        """Return what came up to the first message of these kinds."""
+        """Return the messages up to the first one of these kinds."""
         rv = []
         async with curio.timeout_after(10):
             while True:
--- a/tests/sidecar/test_core.py
+++ b/tests/sidecar/test_core.py
@@ -1,4 +1,4 @@
-"""The sidecar's decisions: what is refused, repeated, cancelled and sealed."""
+"""Decisions of the sidecar core on refusals, repetitions, cancellations and seals."""
 
 import msgspec
 import pytest
@@ -63,18 +63,18 @@
 
 
 class Bench:
-    """A core with one router at peer `p`; keeps the effects."""
+    """A core with one router at peer `p`; records the effects."""
 
     def __init__(self, *, admitted=True):
         self.core = SidecarCore(incarnation="s1-a", admission=Admission(upstream="u1"))
         self.core.admission.admitted = admitted
         self.effects = []
 
-    def hear(self, message, *, peer="p", sender="a"):
-        return self._note(self.core.on_message(peer, sender, message, 0.0))
+    def receive(self, message, *, peer="p", sender="a"):
+        return self._record(self.core.on_message(peer, sender, message, 0.0))
 
     def engine(self, event):
-        return self._note(self.core.on_upstream(event, 0.0))
+        return self._record(self.core.on_upstream(event, 0.0))
 
     def answer(self, nonce="n1", *, end=True):
         self.engine(AnswerStarted(nonce=nonce, status=200, content_type="t"))
@@ -83,7 +83,7 @@
         if end:
             self.engine(AnswerCompleted(nonce=nonce, tokens=5))
 
-    def _note(self, effects):
+    def _record(self, effects):
         self.effects += effects
         return [e.message if isinstance(e, Send) else e for e in effects]
 
@@ -115,7 +115,7 @@
 
 REFUSALS = [
     (lambda b: None, {"sidecar": "s1-0"}, RefusalReason.WRONG_INCARNATION),
-    (lambda b: b.hear(Seal(router="a")), {}, RefusalReason.SEALED),
+    (lambda b: b.receive(Seal(router="a")), {}, RefusalReason.SEALED),
     (aged, {}, RefusalReason.STALE_EPOCH),
     (lambda b: None, {"epoch": 0, "idempotent": False}, RefusalReason.STALE_EPOCH),
     (stale, {}, RefusalReason.STALE_CONFIGURATION),
@@ -132,12 +132,12 @@
         RefusalReason.OVERLOADED,
     ),
     (
-        lambda b: b.hear(Tombstone(nonce="n1", sidecar="s1-a")),
+        lambda b: b.receive(Tombstone(nonce="n1", sidecar="s1-a")),
         {},
         RefusalReason.TOMBSTONED,
     ),
     (
-        lambda b: b.hear(dispatch("n0", idempotent=False)),
+        lambda b: b.receive(dispatch("n0", idempotent=False)),
         {"idempotent": False},
         RefusalReason.DUPLICATE,
     ),
@@ -152,26 +152,26 @@
         given(bench)
         before = len(bench.starts)
         order = dispatch(**changes)
-        refused = bench.hear(order)[0]
+        refused = bench.receive(order)[0]
         assert isinstance(refused, Refused)
         assert refused.reason is reason
         vars(bench.core.admission).update(
             admitted=True, stopping=False, draining=False, max_running=9
         )
-        assert isinstance(bench.hear(order)[0], Refused)
+        assert isinstance(bench.receive(order)[0], Refused)
         assert len(bench.starts) == before
 
-    def test_newer_configuration_is_handed_over(self, bench):
+    def test_refusal_contains_newer_configuration(self, bench):
         stale(bench)
-        (refused,) = bench.hear(dispatch())
+        (refused,) = bench.receive(dispatch())
         assert [(o.name, o.version) for o in refused.newer] == [("chat", 9)]
 
-    def test_old_epoch_is_told_the_new_one(self, bench):
+    def test_refusal_of_a_stale_epoch_is_followed_by_the_current_epoch(self, bench):
         aged(bench)
-        _, heartbeat = bench.hear(dispatch())
+        _, heartbeat = bench.receive(dispatch())
         assert heartbeat.epoch == ACCEPTED_EPOCHS + 2
 
-    def test_returned_upstream_takes_work_again_older_news_changes_nothing(self, bench):
+    def test_returned_upstream_accepts_work_and_older_versions_are_ignored(self, bench):
         merge_object = bench.core.admission.merge_object
         assert merge_object(upstream_object(UpstreamState.DRAINING, version=2))
         assert bench.core.heartbeat().leaving
@@ -186,9 +186,9 @@
             VersionedObject(kind=UPSTREAMS, name="u1", version=3, value=b"damaged"),
         ],
     )
-    def test_removed_or_unreadable_upstream_takes_nothing_new(self, bench, last):
+    def test_removed_or_unreadable_upstream_accepts_no_new_work(self, bench, last):
         bench.core.admission.merge_object(last)
-        (refused,) = bench.hear(dispatch(upstream_version=3))
+        (refused,) = bench.receive(dispatch(upstream_version=3))
         assert refused.reason is RefusalReason.DRAINING
 
     def test_removal_is_not_undone_by_a_higher_version(self, bench):
@@ -202,9 +202,9 @@
 
 class TestRepeats:
     def test_repeated_dispatch_attaches_and_never_reruns(self, bench):
-        bench.hear(dispatch())
+        bench.receive(dispatch())
         bench.answer(end=False)
-        messages = bench.hear(dispatch(), peer="q")
+        messages = bench.receive(dispatch(), peer="q")
         assert [type(m) for m in messages] == [Started, Chunk]
         bench.engine(AnswerCompleted(nonce="n1", tokens=5))
         assert len(bench.starts) == 1
@@ -216,38 +216,38 @@
         assert ends == ["p", "q"]
 
     def test_retry_at_another_router_replays_from_its_offset(self, bench):
-        """A router dies in the middle of a stream; the caller retries at another.
+        """A router crashes during a stream, and the caller retries at another.
 
-        The retry finds the run, reads what it misses, and the engine runs once.
+        The retry has to find the run and read the missing bytes without a rerun.
         """
-        bench.hear(dispatch())
+        bench.receive(dispatch())
         bench.answer()
-        located = bench.hear(Locate(profile="chat", request_id="r1"), sender="b")[0]
+        located = bench.receive(Locate(profile="chat", request_id="r1"), sender="b")[0]
         assert (located.state, located.nonce) == (RunState.FINISHED, "n1")
-        messages = bench.hear(Resume(nonce="n1", offset=3), peer="q", sender="b")
+        messages = bench.receive(Resume(nonce="n1", offset=3), peer="q", sender="b")
         assert [type(m) for m in messages] == [Started, Chunk, Finished]
         assert (messages[1].offset, messages[1].data) == (3, b"de")
 
     @pytest.mark.parametrize("known", [False, True])
-    def test_lost_answer_is_said_to_be_lost(self, bench, known):
+    def test_lost_answer_is_reported_as_lost(self, bench, known):
         if known:
-            bench.hear(dispatch())
+            bench.receive(dispatch())
             bench.answer()
             bench.core.answer_streams.answers.remove("n1")
-        (failed,) = bench.hear(Resume(nonce="n1", offset=0))
+        (failed,) = bench.receive(Resume(nonce="n1", offset=0))
         assert failed.reason == FailureReason.ANSWER_LOST
         assert failed.may_have_run
 
-    def test_tombstone_for_a_predecessor_promises_nothing(self, bench):
-        (result,) = bench.hear(Tombstone(nonce="n1", sidecar="s1-0"))
+    def test_tombstone_for_a_predecessor_returns_unseen(self, bench):
+        (result,) = bench.receive(Tombstone(nonce="n1", sidecar="s1-0"))
         assert result == TombstoneResult(nonce="n1", state=RunState.UNSEEN)
 
 
 class TestEnds:
     def test_engine_past_its_reservation_is_stopped(self, bench):
-        bench.hear(dispatch(reservation=4))
+        bench.receive(dispatch(reservation=4))
         bench.answer(end=False)
-        failed, stop = bench._note(bench.effects)[-2:]
+        failed, stop = bench._record(bench.effects)[-2:]
         assert failed.reason == FailureReason.RESERVATION_OUTRUN
         assert failed.tokens == 4
         assert isinstance(stop, StopRun)
@@ -255,21 +255,21 @@
 
     @pytest.mark.parametrize(("idempotent", "cancelled"), [(True, 1), (False, 0)])
     def test_cancel_stops_a_run_but_never_a_filing(self, bench, idempotent, cancelled):
-        bench.hear(dispatch(idempotent=idempotent))
-        effects = bench.hear(Cancel(nonce="n1"))
+        bench.receive(dispatch(idempotent=idempotent))
+        effects = bench.receive(Cancel(nonce="n1"))
         assert [type(e) for e in effects] == [CancelRun] * cancelled
 
     def test_declined_run_is_refused_and_tombstoned(self, bench):
-        bench.hear(dispatch())
+        bench.receive(dispatch())
         reason = RefusalReason.UPSTREAM_UNREACHABLE
         (refused,) = bench.engine(RunDeclined(nonce="n1", reason=reason))
         assert refused.reason is reason
         assert bench.core.journal.state("n1") is RunState.TOMBSTONED
         assert bench.core.journal.pending_receipts == 0
-        assert bench.hear(Locate(profile="chat", request_id="r1"))[0].nonce == ""
+        assert bench.receive(Locate(profile="chat", request_id="r1"))[0].nonce == ""
 
     def test_broken_run_is_failed_and_not_billed(self, bench):
-        bench.hear(dispatch())
+        bench.receive(dispatch())
         event = RunBroken(nonce="n1", reason=FailureReason.CRASHED, tokens=6)
         seen, failed, _ = bench.engine(event)
         assert isinstance(seen, CrashSeen)
@@ -278,20 +278,20 @@
         (receipt,) = bench.core.journal.receipts_for_router("a")
         assert (receipt.tokens, receipt.billable) == (6, False)
 
-    def test_answer_of_a_filing_is_kept_until_its_outcome_is_durable(self, bench):
-        bench.hear(dispatch(idempotent=False))
+    def test_answer_of_a_filing_is_stored_until_its_outcome_is_durable(self, bench):
+        bench.receive(dispatch(idempotent=False))
         bench.answer()
         aged(bench)
         assert bench.core.answer_streams.answers.get("n1") is not None
-        bench.hear(OutcomeDurable(nonces=("n1",)))
+        bench.receive(OutcomeDurable(nonces=("n1",)))
         aged(bench)
         assert bench.core.answer_streams.answers.get("n1") is None
 
 
 class TestSeals:
     def test_running_work_is_reported_at_its_bound_then_at_its_cost(self, bench):
-        bench.hear(dispatch(reservation=40))
-        (first,) = bench.hear(Seal(router="a"), peer="sealer", sender="b")
+        bench.receive(dispatch(reservation=40))
+        (first,) = bench.receive(Seal(router="a"), peer="sealer", sender="b")
         assert (first.ran, first.running) == ({}, {"chat": 40})
         bench.answer()
         last = bench.effects[-1]
@@ -301,41 +301,41 @@
         assert [r.tokens for r in last.message.receipts] == [5]
 
     def test_heartbeat_is_answered_with_load_and_epoch(self, bench):
-        bench.hear(dispatch())
-        (heartbeat,) = bench.hear(Heartbeat())
+        bench.receive(dispatch())
+        (heartbeat,) = bench.receive(Heartbeat())
         assert (heartbeat.running, heartbeat.epoch) == (1, 1)
 
 
 class TestCrashes:
-    def test_one_crash_of_many_runs_is_told_once_to_every_router(self, bench):
-        bench.hear(Heartbeat(), peer="q", sender="b")
+    def test_one_crash_of_many_runs_is_reported_once_to_every_router(self, bench):
+        bench.receive(Heartbeat(), peer="q", sender="b")
         for nonce in ("n1", "n2"):
-            bench.hear(dispatch(nonce, body=nonce.encode()))
+            bench.receive(dispatch(nonce, body=nonce.encode()))
         bench.effects.clear()
         for nonce in ("n1", "n2"):
             event = RunBroken(nonce=nonce, reason=FailureReason.CRASHED, tokens=6)
             bench.engine(event)
-        told = [
+        reports = [
             e for e in bench.effects if isinstance(getattr(e, "message", 0), CrashSeen)
         ]
-        assert sorted(e.peer for e in told) == ["p", "q"]
-        (seen,) = {e.message for e in told}
+        assert sorted(e.peer for e in reports) == ["p", "q"]
+        (seen,) = {e.message for e in reports}
         assert len(seen.fingerprints) == 2
         assert not seen.alone
 
-    def test_routers_that_are_gone_are_forgotten(self, bench):
+    def test_disconnected_routers_are_removed(self, bench):
         for serial in range(100):
-            bench.hear(Heartbeat(), peer=f"a/{serial}")
+            bench.receive(Heartbeat(), peer=f"a/{serial}")
         bench.core.on_epoch(PEER_EXPIRY_SECONDS + 1)
-        bench.hear(dispatch())
+        bench.receive(dispatch())
         event = RunBroken(nonce="n1", reason=FailureReason.CRASHED, tokens=6)
-        told = [m for m in bench.engine(event) if isinstance(m, CrashSeen)]
-        assert len(told) == 1
+        reports = [m for m in bench.engine(event) if isinstance(m, CrashSeen)]
+        assert len(reports) == 1
 
     def test_next_crash_has_an_id_of_its_own(self, bench):
         ids = set()
         for nonce in ("n1", "n2"):
-            bench.hear(dispatch(nonce, alone=True))
+            bench.receive(dispatch(nonce, alone=True))
             event = RunBroken(nonce=nonce, reason=FailureReason.CRASHED, tokens=6)
             seen = bench.engine(event)[0]
             assert seen.alone
@@ -344,26 +344,26 @@
 
 
 class TestAlone:
-    def test_it_waits_for_what_runs_and_nothing_starts_beside_it(self, bench):
-        """A request was running at two crashes; it is run alone to find out.
+    def test_isolated_run_waits_for_running_ones_and_runs_alone(self, bench):
+        """A request that was running at two crashes is run in isolation.
 
-        Were it started beside others, its third crash would cut off theirs.
+        Started beside other runs, a third crash would break these as well.
         """
-        bench.hear(dispatch("n1"))
-        bench.hear(dispatch("n2", alone=True))
-        (refused,) = bench.hear(dispatch("n3"))
+        bench.receive(dispatch("n1"))
+        bench.receive(dispatch("n2", alone=True))
+        (refused,) = bench.receive(dispatch("n3"))
         assert refused.reason is RefusalReason.OVERLOADED
         assert [s.dispatch.nonce for s in bench.starts] == ["n1"]
         bench.answer("n1")
         assert [s.dispatch.nonce for s in bench.starts] == ["n1", "n2"]
         bench.answer("n2")
-        bench.hear(dispatch("n4"))
+        bench.receive(dispatch("n4"))
         assert bench.starts[-1].dispatch.nonce == "n4"
 
-    def test_waiting_one_that_is_cancelled_never_ran(self, bench):
-        bench.hear(dispatch("n1"))
-        bench.hear(dispatch("n2", alone=True))
-        (refused,) = bench.hear(Cancel(nonce="n2"))
+    def test_pending_isolated_run_that_is_cancelled_never_runs(self, bench):
+        bench.receive(dispatch("n1"))
+        bench.receive(dispatch("n2", alone=True))
+        (refused,) = bench.receive(Cancel(nonce="n2"))
         assert refused.reason is RefusalReason.DEADLINE
-        bench.hear(dispatch("n3"))
+        bench.receive(dispatch("n3"))
         assert [s.dispatch.nonce for s in bench.starts] == ["n1", "n3"]
--- a/tests/sidecar/test_duties.py
+++ b/tests/sidecar/test_duties.py
@@ -1,4 +1,4 @@
-"""When the sidecar writes what routers have not, and how it waits out an outage."""
+"""Overdue writes of receipts and outcomes, and the backoff during an outage."""
 
 from random import Random
 
@@ -42,7 +42,7 @@
 
 
 class TestWhatIsDue:
-    def test_routers_get_time_to_write_themselves(self):
+    def test_writes_are_due_only_after_the_grace_period(self):
         core = core_after(ENDED)
         assert next_job(core, OUTCOME_GRACE_SECONDS - 0.1) is None
         assert isinstance(next_job(core, OUTCOME_GRACE_SECONDS), WriteOutcome)
@@ -53,7 +53,7 @@
         core.on_message("p", "a", ReceiptsDurable(nonces=("n1",)), 0.0)
         assert next_job(core, 1e9) is None
 
-    def test_stopping_sidecar_owes_everything_at_once(self):
+    def test_stopping_sidecar_writes_everything_at_once(self):
         core = core_after(ENDED, idempotent=True)
         core.admission.stopping = True
         assert isinstance(next_job(core, 0.0), WriteReceipts)
@@ -66,31 +66,31 @@
             (BROKEN, False, Verdict.UNRESOLVED),
         ],
     )
-    def test_outcome_tells_what_is_known(self, end, lost, verdict):
+    def test_outcome_states_the_known_result(self, end, lost, verdict):
         core = core_after(end)
         if lost:
             core.answer_streams.answers.remove("n1")
         assert next_job(core, 1e9).outcome.verdict is verdict
 
 
-class TestPauses:
-    def test_platform_that_comes_back_is_not_met_by_all_at_once(self):
-        """An outage ends; every sidecar has receipts that waited.
+class TestBackoff:
+    def test_retries_after_an_outage_are_spread(self):
+        """An outage ends while every sidecar has pending receipts.
 
-        Were they to try every tick, 10,000 sidecars would write 40,000 times a
-        second to a platform that takes several hundred, and keep it down.
+        If each retried every tick, 10,000 sidecars would make 40,000 writes a
+        second at a platform that handles several hundred, and keep it down.
         """
         random = Random(7)
-        pauses = [
+        backoffs = [
             backoff_seconds(9, stopping=False, random=random) for _ in range(1000)
         ]
-        assert min(pauses) >= MAX_BACKOFF_SECONDS / 2
-        assert max(pauses) <= MAX_BACKOFF_SECONDS
-        tenths = {int(pause * 10) for pause in pauses}
+        assert min(backoffs) >= MAX_BACKOFF_SECONDS / 2
+        assert max(backoffs) <= MAX_BACKOFF_SECONDS
+        tenths = {int(backoff * 10) for backoff in backoffs}
         assert len(tenths) > 200
 
-    def test_first_retries_come_soon_and_a_stop_does_not_wait(self):
+    def test_first_backoffs_are_short_and_a_stop_bounds_them(self):
         random = Random(7)
         assert backoff_seconds(1, stopping=False, random=random) <= 4.0
-        pause = backoff_seconds(10**6, stopping=True, random=random)
-        assert pause <= MAX_STOPPING_BACKOFF_SECONDS
+        backoff = backoff_seconds(10**6, stopping=True, random=random)
+        assert backoff <= MAX_STOPPING_BACKOFF_SECONDS
--- a/tests/sidecar/test_engine_contract.py
+++ b/tests/sidecar/test_engine_contract.py
@@ -1,4 +1,4 @@
-"""The sidecar against the engine stand-in itself, faults switched on one by one."""
+"""The sidecar with the engine stand-in, with one fault switched on at a time."""
 
 import curio
 import msgspec
@@ -26,7 +26,7 @@
 
 
 class EngineUpstream:
-    """The engine stand-in as `sidecar_beside` wants its upstream."""
+    """The engine stand-in with the attributes that `sidecar_beside` expects."""
 
     def __init__(self, **switches):
         self.engine = Engine(speed=BatchSpeed(token_seconds=0.005))
@@ -46,7 +46,7 @@
 
 
 def serve(upstream, *, cancel=False, **changes):
-    """Return what a router hears of one run."""
+    """Return the messages that a router receives for one run."""
 
     async def main():
         engine = await curio.spawn(upstream.engine.run, daemon=True)
@@ -67,7 +67,7 @@
 
 class TestEngine:
     @pytest.mark.parametrize("stream", [True, False])
-    def test_whole_answer_costs_what_the_engine_says(self, stream):
+    def test_complete_answer_costs_the_tokens_reported_by_the_engine(self, stream):
         *_, end = serve(EngineUpstream(), stream=stream)
         assert isinstance(end, Finished)
         assert end.tokens == PROMPT_TOKENS + 40
@@ -80,7 +80,7 @@
             ({"silent": True}, FailureReason.DEADLINE),
         ],
     )
-    def test_faulty_engine_never_yields_a_whole_answer(self, switches, reason):
+    def test_faulty_engine_never_yields_a_complete_answer(self, switches, reason):
         *_, end = serve(EngineUpstream(**switches), budget_seconds=2.0)
         assert isinstance(end, Failed)
         assert end.reason == reason
@@ -91,11 +91,11 @@
         assert end.reason == FailureReason.CANCELLED
         assert PROMPT_TOKENS < end.tokens < PROMPT_TOKENS + 40
 
-    def test_engine_that_has_seen_a_newer_sidecar_fences_this_one_off(self):
-        """A sidecar is replaced while it still lives, and its routers go on.
+    def test_engine_refuses_an_older_fencing_number(self):
+        """A sidecar is replaced while it still runs, and routers still use it.
 
-        The engine has seen the successor's number and refuses; the router is
-        told that nothing ran.
+        The engine has received the successor's fencing number and refuses; the
+        router has to receive a refusal.
         """
         upstream = EngineUpstream(check_fencing=True)
         upstream.engine._highest_fencing_number = 7
--- a/tests/sidecar/test_limiting.py
+++ b/tests/sidecar/test_limiting.py
@@ -1,43 +1,44 @@
-"""The sidecar's adaptive limit: fed by first pieces, told to routers."""
+"""The adaptive limit of the upstream, which times to first chunk change."""
 
 from ragwortkeel.policy.limits import INITIAL_LIMIT_REQUESTS
 from ragwortkeel.sidecar.upstream_limit import OVERSHOOT_RUNS, UpstreamLimit
 
 
-def play(limiting, *, seconds, promised, runs):
-    """Run one after the other, each with its first piece after `seconds`."""
+def play(upstream_limit, *, seconds, promised, runs):
+    """Run one after the other, each with its first chunk after `seconds`."""
     for number in range(runs):
         now = float(number)
-        limiting.record_start(str(number), promised, now)
-        limiting.record_first_chunk(
-            str(number), running=limiting.limit, queued=False, now=now + seconds
+        upstream_limit.record_start(str(number), promised, now)
+        upstream_limit.record_first_chunk(
+            str(number), running=upstream_limit.limit, queued=False, now=now + seconds
         )
 
 
 class TestLimiting:
-    def test_slow_first_tokens_lower_it(self):
-        """Advisors wait for every first word while the engine takes yet more.
+    def test_slow_first_tokens_lower_the_limit(self):
+        """An engine is slower than the others and its first tokens are late.
 
-        The engine is slower than its peers; its sidecar told no limit of its
-        own, so routers filled it up to the same number as the others.
+        Without a limit of its own, routers assign it as many runs as the others.
         """
-        limiting = UpstreamLimit()
-        play(limiting, seconds=2.0, promised=1.5, runs=40)
-        assert limiting.limit < INITIAL_LIMIT_REQUESTS
-
-    def test_kept_promises_raise_it(self):
-        limiting = UpstreamLimit()
-        play(limiting, seconds=0.1, promised=1.5, runs=40)
-        assert limiting.limit > INITIAL_LIMIT_REQUESTS
-
-    def test_only_the_first_piece_counts(self):
-        limiting = UpstreamLimit()
-        limiting.record_start("a", 1.5, 0.0)
-        limiting.record_first_chunk("a", running=1, queued=False, now=0.1)
+        upstream_limit = UpstreamLimit()
+        play(upstream_limit, seconds=2.0, promised=1.5, runs=40)
+        assert upstream_limit.limit < INITIAL_LIMIT_REQUESTS
+
+    def test_first_tokens_in_time_raise_the_limit(self):
+        upstream_limit = UpstreamLimit()
+        play(upstream_limit, seconds=0.1, promised=1.5, runs=40)
+        assert upstream_limit.limit > INITIAL_LIMIT_REQUESTS
+
+    def test_only_the_first_chunk_counts(self):
+        upstream_limit = UpstreamLimit()
+        upstream_limit.record_start("a", 1.5, 0.0)
+        upstream_limit.record_first_chunk("a", running=1, queued=False, now=0.1)
         for second in range(1, 60):
-            limiting.record_first_chunk("a", running=1, queued=False, now=float(second))
-        assert limiting.limit == INITIAL_LIMIT_REQUESTS
-
-    def test_dispatches_in_flight_to_it_are_not_refused_at_the_limit_itself(self):
-        limiting = UpstreamLimit()
-        assert limiting.max_runs > limiting.limit + OVERSHOOT_RUNS
+            upstream_limit.record_first_chunk(
+                "a", running=1, queued=False, now=float(second)
+            )
+        assert upstream_limit.limit == INITIAL_LIMIT_REQUESTS
+
+    def test_dispatches_slightly_over_the_limit_are_not_refused(self):
+        upstream_limit = UpstreamLimit()
+        assert upstream_limit.max_runs > upstream_limit.limit + OVERSHOOT_RUNS
--- a/tests/sidecar/test_recorder.py
+++ b/tests/sidecar/test_recorder.py
@@ -1,4 +1,4 @@
-"""What the sidecar writes itself: repeated, raced and lost writes do no harm."""
+"""Writes of the recorder, also when they are repeated, raced or lost."""
 
 import curio
 import pytest
@@ -43,7 +43,7 @@
 )
 
 
-async def do(platform, job):
+async def execute(platform, job):
     inbox = curio.Queue()
     recorder = Recorder(platform=platform, sidecar="s1-a", inbox=inbox)
     task = await curio.spawn(recorder.run, daemon=True)
@@ -54,16 +54,16 @@
 
 
 def outcome_after(found, *, down=False, lost=0):
-    """Return the recorder's reply and the verdict that the platform then holds."""
+    """Return the recorder's reply and the verdict then stored at the platform."""
 
     async def main():
         platform = LocalPlatform()
         if found is not None:
             await platform.create(INTENTS, NAME, intents.encode(found))
         platform.switches.down, platform.switches.lost_answers = down, lost
-        reply = await do(platform, WriteOutcome(run=RAN, outcome=ANSWERED))
+        reply = await execute(platform, WriteOutcome(run=RAN, outcome=ANSWERED))
         if lost:
-            reply = await do(platform, WriteOutcome(run=RAN, outcome=ANSWERED))
+            reply = await execute(platform, WriteOutcome(run=RAN, outcome=ANSWERED))
         platform.switches.down = False
         stored = await platform.get(INTENTS, NAME)
         outcome = stored and intents.decode(stored.value).outcome
@@ -97,12 +97,12 @@
 
 
 class TestReceipts:
-    def test_segment_written_twice_is_there_once(self):
+    def test_segment_written_twice_is_stored_once(self):
         async def main():
             platform = LocalPlatform()
             job = WriteReceipts(receipts=(RECEIPT,))
             platform.switches.lost_answers = 1
-            replies = [await do(platform, job) for _ in range(3)]
+            replies = [await execute(platform, job) for _ in range(3)]
             return replies, (await platform.list(RECEIPTS)).by_name
 
         replies, segments = run(main)
--- a/tests/sidecar/test_registration.py
+++ b/tests/sidecar/test_registration.py
@@ -1,4 +1,4 @@
-"""Joining the fleet: the order against a sealer, fencing numbers, lost answers."""
+"""Registration: order against seals, fencing numbers and lost answers."""
 
 import curio
 import msgspec
@@ -25,7 +25,7 @@
 
 
 async def insist(call):
-    """Repeat a call until the platform takes it, as the registrar does."""
+    """Repeat a call until the platform accepts it, as the registrar does."""
     while True:
         try:
             return await call()
@@ -34,17 +34,17 @@
 
 
 class Delayed:
-    """A platform whose calls of one client wait for their turn in a schedule."""
+    """A platform that executes the calls of one client in the order of a schedule."""
 
-    def __init__(self, platform, turns, who):
-        self.platform, self.turns, self.who = platform, turns, who
+    def __init__(self, platform, schedule, client):
+        self.platform, self.schedule, self.client = platform, schedule, client
 
     def __getattr__(self, name):
         async def call(*args):
-            while self.turns and self.turns[0] != self.who:
+            while self.schedule and self.schedule[0] != self.client:
                 await curio.sleep(0)
-            if self.turns:
-                self.turns.pop(0)
+            if self.schedule:
+                self.schedule.pop(0)
             return await getattr(self.platform, name)(*args)
 
         return call
@@ -53,10 +53,10 @@
 class TestOrderAgainstSeals:
     @given(st.lists(st.sampled_from(["sealer", "sidecar"]), max_size=8))
     def test_sealer_sees_the_sidecar_or_the_sidecar_the_seal(self, turns):
-        """A router is sealed while a sidecar starts, calls in any order.
+        """A router is sealed while a sidecar starts, with calls in any order.
 
-        If neither saw the other, the sealed router, once it wakes, would spend
-        through the new sidecar what was given back to the budget.
+        If neither saw the other, the sealed router could resume and spend tokens
+        at the new sidecar that were given back to the budget.
         """
 
         async def seal(platform):
@@ -69,7 +69,7 @@
             joiner = Delayed(platform, schedule, "sidecar")
             joining = await curio.spawn(register, joiner, node())
             async with curio.timeout_after(0.5):
-                # A finished side leaves its turns to the other.
+                # Once one side has finished, the other runs unscheduled.
                 while not (sealer.terminated and joining.terminated):
                     if sealer.terminated or joining.terminated:
                         schedule.clear()
@@ -82,7 +82,7 @@
 
 class TestFencingNumbers:
     @pytest.mark.parametrize("lost", [0, 1, 2])
-    def test_each_start_gets_a_higher_one_whatever_answers_are_lost(self, lost):
+    def test_each_start_gets_a_higher_number_despite_lost_answers(self, lost):
         async def main():
             platform, numbers = LocalPlatform(), []
             for incarnation in ("s1-a", "s1-b", "s1-c"):
@@ -100,7 +100,7 @@
 
 
 class TestLeaving:
-    def test_deregistered_sidecar_is_off_the_list_and_may_say_so_twice(self):
+    def test_deregistration_removes_the_entry_and_may_be_repeated(self):
         async def main():
             platform = LocalPlatform()
             await register(platform, node())
@@ -111,7 +111,7 @@
 
         assert run(main) == {}
 
-    def test_entry_tells_where_the_sidecar_is(self):
+    def test_entry_contains_the_registered_node(self):
         async def main():
             platform = LocalPlatform()
             await register(platform, node())
--- a/tests/sidecar/test_runs_machine.py
+++ b/tests/sidecar/test_runs_machine.py
@@ -1,4 +1,4 @@
-"""Requests that must not repeat, under every order of messages and failures."""
+"""State machine of must-not-repeat requests under any order of messages and faults."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
     "restart_sidecar": 2,
     "router_dies": 2,
 }
-"""How often each happens: most walks should get as far as two runs of one key."""
+"""Relative frequency of each event; most examples should reach two runs of a key."""
 
 HAPPENINGS = [name for name, weight in WEIGHTS.items() for _ in range(weight)]
 MODES = ["ok", "ok", "ok", "ok", "lost", "down"]
@@ -39,8 +39,8 @@
 class MustNotRepeat(RuleBasedStateMachine):
     """Two routers retry two keys at two sidecars.
 
-    Messages come late, twice, out of order or never; platform answers are lost
-    and the platform goes down; sidecars drain and restart, routers die.
+    Messages are delayed, duplicated, reordered or lost; platform answers are lost
+    and the platform fails; sidecars drain and restart, routers crash.
     """
 
     def __init__(self):
@@ -81,7 +81,7 @@
             case "restart_sidecar":
                 world.restart(slot)
             case "router_dies":
-                world.kill_router("AB"[pick % 2])
+                world.crash_router("AB"[pick % 2])
 
     def _submit(self, pick, slot, *, go):
         key = KEYS[pick % len(KEYS)]
@@ -90,10 +90,10 @@
             key = f"minted-{len(self.world.attempts)}"
         self.world.submit("AB"[pick // 10 % 2], key, slot, first=first)
         if go:
-            self._go_on(self.world.attempts[-1])
+            self._advance(self.world.attempts[-1])
 
-    def _go_on(self, attempt):
-        """Take an attempt through all its steps, up to a sent dispatch."""
+    def _advance(self, attempt):
+        """Execute all steps of an attempt up to a sent dispatch."""
         world = self.world
         for _ in range(8):
             step = attempt.filing.step
@@ -116,9 +116,9 @@
             case "step":
                 self.world.step(attempt, mode)
             case "turn_away":
-                self.world.turn_away(attempt, mode)
+                self.world.refuse_at_admission(attempt, mode)
             case "go_silent":
-                self.world.lose(attempt, slot)
+                self.world.disconnect(attempt, slot)
 
     def _move_message(self, name, pick):
         world = self.world
@@ -150,8 +150,8 @@
         assert len(ran) == len(set(ran)), self.world.engine_runs
 
     @invariant()
-    def nothing_shown_is_a_lie(self):
-        assert self.world.lies == []
+    def shown_outcomes_are_true(self):
+        assert self.world.false_reports == []
 
     @invariant()
     def charged_at_most_once(self):
--- a/tests/sidecar/test_sidecar.py
+++ b/tests/sidecar/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The whole sidecar: link in front, upstream behind, platform beside."""
+"""The sidecar with a link, an upstream and a platform."""
 
 import curio
 import pytest
@@ -39,7 +39,7 @@
 
 
 async def hold(upstream, request, responder):
-    """Stream a token, wait for `release`, then end in good order."""
+    """Stream a token, wait for `release`, then end the stream properly."""
     await responder.start(200, SSE)
     await responder.send(event("al"))
     await upstream.release.wait()
@@ -64,7 +64,7 @@
 
 
 class TestServing:
-    def test_streamed_answer_is_whole_and_costs_its_usage(self):
+    def test_streamed_answer_is_complete_and_costs_its_usage(self):
         async def main():
             upstream = Upstream()
             async with sidecar_beside(upstream) as (sidecar, _, _):
@@ -91,7 +91,7 @@
 
         assert run(main) == INITIAL_LIMIT_REQUESTS
 
-    def test_cancelled_run_is_told_to_the_engine_and_costs_what_it_says(self):
+    def test_cancelled_run_is_cancelled_at_the_engine_and_costs_its_usage(self):
         async def main():
             upstream = Upstream(hold)
             async with sidecar_beside(upstream) as (sidecar, _, _):
@@ -106,19 +106,19 @@
         assert (failed.reason, failed.tokens) == (FailureReason.CANCELLED, 11)
 
 
-class TestRouterDeaths:
-    def test_retry_at_another_router_gets_the_whole_answer_of_the_one_run(self):
-        """A stream is open when its router is killed; the caller comes again.
+class TestRouterCrashes:
+    def test_retry_at_another_router_gets_the_complete_answer_of_the_only_run(self):
+        """A router crashes during a stream, and the caller retries at another.
 
-        At the other router the retry finds the run, replays it from the start
-        and follows it to its end.  The engine has run once.
+        The retry has to find the run, replay it from the start and follow it to
+        its end, while the engine runs once.
         """
 
         async def main():
             upstream = Upstream(hold)
             async with sidecar_beside(upstream) as (sidecar, _, _):
-                dying = await router_of(sidecar)
-                await dying.ask(dispatch(), Chunk)
+                crashing = await router_of(sidecar)
+                await crashing.ask(dispatch(), Chunk)
                 router = await router_of(sidecar, "router-2")
                 located = await router.ask(
                     Locate(profile="chat", request_id="r1"), Located
@@ -134,10 +134,10 @@
         assert len(upstream.runs) == 1
 
     def test_receipt_and_outcome_are_written_without_the_router(self, no_grace):
-        """A filing ran; its router is killed before it writes anything.
+        """A router crashes after a filing ran, before it writes anything.
 
-        Were the sidecar to wait for it, the call would never be billed and a
-        retry after the sidecar's own death would end as unknown.
+        Without writes by the sidecar the call would never be billed, and a retry
+        after a crash of the sidecar would end as unknown.
         """
 
         async def main():
@@ -169,10 +169,10 @@
 
 class TestAdmission:
     def test_started_in_an_outage_it_refuses_until_it_has_read_the_seals(self):
-        """A sidecar starts while the platform is down; a router was sealed before.
+        """A sidecar starts while the platform is down, after a router was sealed.
 
-        It can't know the seals, so it refuses as `not_admitted`; once the
-        platform is back it refuses the sealed router and serves the others.
+        It cannot read the seals, so it has to refuse with `not_admitted`.  Once
+        the platform is up it refuses the sealed router and serves the others.
         """
 
         async def main():
@@ -193,7 +193,7 @@
 
         assert run(main) == (RefusalReason.NOT_ADMITTED, RefusalReason.SEALED, 14)
 
-    def test_seal_refuses_a_router_that_wakes(self):
+    def test_seal_refuses_a_router_that_resumes(self):
         async def main():
             async with sidecar_beside(Upstream()) as (sidecar, *_):
                 paused = await router_of(sidecar)
@@ -207,11 +207,11 @@
 
 
 class TestPlannedStop:
-    def test_stop_refuses_new_work_and_cuts_off_nothing(self):
-        """An operator stops a sidecar in the middle of an answer.
+    def test_stop_refuses_new_work_and_aborts_no_run(self):
+        """An operator stops a sidecar during an answer.
 
-        The answer ends whole, new work is refused, the receipt is durable, and
-        the sidecar is off the list before it exits.
+        The answer completes, new work is refused, the receipt is durable, and the
+        sidecar is deregistered before it exits.
         """
 
         async def main():
@@ -235,7 +235,7 @@
         assert nodes == {}
         assert len(segments) == 1
 
-    def test_stop_in_an_outage_says_what_it_leaves(self):
+    def test_stop_in_an_outage_returns_the_work_left(self):
         async def main():
             beside = sidecar_beside(Upstream(), stop_deadline=0.5)
             async with beside as (sidecar, task, platform):
--- a/tests/sidecar/test_upstream.py
+++ b/tests/sidecar/test_upstream.py
@@ -1,4 +1,4 @@
-"""One run at the upstream: how each behaviour of it is told apart."""
+"""The event that each behaviour of the upstream ends a run with."""
 
 import curio
 import pytest
@@ -35,7 +35,7 @@
 
 
 async def no_length(upstream, request, responder):
-    # Ends with its connection only, as HTTP/1.0 answers do.
+    # Only the closed connection ends this answer, as in HTTP/1.0.
     await responder._sock.sendall(b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n{}")
     await responder.abort()
 
@@ -78,14 +78,14 @@
 
 
 def last(events):
-    """Return (class, reason or None, tokens or None) of the one that ended it."""
+    """Return (class, reason or None, tokens or None) of the last event."""
     end = events[-1]
     return type(end), getattr(end, "reason", None), getattr(end, "tokens", None)
 
 
 ONCE = {"idempotent": False, "reservation": 1, "body": b"{}"}
 BEHAVIOURS = {
-    "whole stream": (stream_whole, {}, AnswerCompleted, None, 14),
+    "complete stream": (stream_whole, {}, AnswerCompleted, None, 14),
     "stream without usage": (stream(event("a"), DONE), {}, AnswerCompleted, None, 40),
     "stream that just stops": (
         stream(event("a"), event("b")),
@@ -94,23 +94,23 @@
         FailureReason.TRUNCATED,
         12,
     ),
-    "engine dies in the middle": (
+    "engine crashes within the answer": (
         stream(event("a"), finish=False),
         {},
         RunBroken,
         FailureReason.CRASHED,
         11,
     ),
-    "engine dies before the head": (abort, {}, RunBroken, FailureReason.CRASHED, 40),
-    "cancelled by somebody": (
+    "engine crashes before the head": (abort, {}, RunBroken, FailureReason.CRASHED, 40),
+    "cancelled by another client": (
         stream(event("a"), CANCELLED, USAGE, DONE),
         {},
         RunBroken,
         FailureReason.CANCELLED,
         14,
     ),
-    "whole answer": (respond(200, WHOLE), {}, AnswerCompleted, None, 9),
-    "whole answer, no usage": (respond(200), {}, AnswerCompleted, None, 40),
+    "document": (respond(200, WHOLE), {}, AnswerCompleted, None, 9),
+    "document without usage": (respond(200), {}, AnswerCompleted, None, 40),
     "answer without an end": (no_length, {}, RunBroken, FailureReason.TRUNCATED, 40),
     "bad request": (respond(400), {}, AnswerCompleted, None, 0),
     "overloaded": (respond(503), {}, RunDeclined, RefusalReason.OVERLOADED, None),
@@ -137,7 +137,7 @@
 
 class TestBehaviours:
     @pytest.mark.parametrize("name", BEHAVIOURS)
-    def test_end_says_what_is_sure(self, name):
+    def test_last_event_states_only_what_is_certain(self, name):
         behave, changes, kind, reason, tokens = BEHAVIOURS[name]
         assert last(serve(behave, **changes)) == (kind, reason, tokens)
 
--- a/tests/sidecar/test_usage.py
+++ b/tests/sidecar/test_usage.py
@@ -1,4 +1,4 @@
-"""Reading usage out of a stream, however its bytes are cut."""
+"""Token counts of a stream, wherever its chunks are split."""
 
 import pytest
 from hypothesis import given
@@ -39,5 +39,5 @@
             (b"no json", 40),
         ],
     )
-    def test_rest_of_the_reservation_is_the_prompts(self, body, bound):
+    def test_bound_is_the_reservation_minus_the_output_limit(self, body, bound):
         assert prompt_token_bound(body, 40) == bound
