--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Examples that run."""
+"""Runnable examples."""
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,9 +1,9 @@
-"""The whole path on loopback: ``make demo``.
+"""Demonstrates a complete deployment on loopback: ``make demo``.
 
-Starts the stand-ins, two routers and the sidecars as processes of their own,
-creates profiles through the operators' command line, serves a streamed answer,
-a whole one and a claim filing, shows budget, bill and trace, and stops
-everything gracefully.
+Starts the stand-ins, two routers and the sidecars as separate processes, creates
+profiles with the operators' command line, serves a streamed answer, a complete
+answer and a claim filing, prints budget, bill and trace, and stops all processes
+gracefully.
 """
 
 import json
@@ -27,12 +27,12 @@
 
 
 def print_step(text: str) -> None:
-    """Print what comes next."""
+    """Print the heading of the next step."""
     print(f"\n== {text}", flush=True)
 
 
 def start(fleet: Fleet) -> Deployment:
-    """Start every program and create the profiles."""
+    """Start all processes and create the profiles."""
     print_step("starting platform, engine, service, sidecars and two routers")
     rv = Deployment(fleet=fleet, platform=fleet.platform())
     add_upstream(rv, "assistant-1", "assistant", "model", token_seconds=0.01)
@@ -49,26 +49,26 @@
 
 
 def serve(deployment: Deployment) -> None:
-    """Serve a streamed answer, a whole one and a claim filing."""
+    """Serve a streamed answer, a complete answer and a claim filing."""
     print_step(f"a streamed answer through router-1 ({CHAT_PROFILE})")
     stream = deployment.stream(
         "router-1", PROMPT, key="demo-stream", traceparent=TRACEPARENT, max_tokens=20
     )
     events = list(stream.events())
     print(f"status {stream.status}, {len(events)} events: {answer_text(events)}")
-    print_step("a whole answer through router-2")
+    print_step("a complete answer through router-2")
     answer = deployment.chat("router-2", PROMPT, key="demo-whole", max_tokens=20)
     print(f"status {answer.status}: {answer.body.decode()}")
-    print_step("a claim filing through router-1, then the same again through router-2")
+    print_step("a claim filing through router-1, repeated through router-2")
     claim = {"claim": "2026-0042", "litres": 900}
     for router in ("router-1", "router-2"):
         filed = deployment.file(router, claim, key="claim-2026-0042")
         print(f"{router}: status {filed.status}: {filed.body.decode()}")
-    print(f"the service saw it {deployment.run_counts()['claim-2026-0042']} time(s)")
+    print(f"the service ran it {deployment.run_counts()['claim-2026-0042']} time(s)")
 
 
 def print_accounts(deployment: Deployment) -> None:
-    """Show budget, bill and trace."""
+    """Print budget, bill and trace."""
     fleet = deployment.fleet
     print_step("ragwortkeel profile show")
     print(json.dumps(fleet.command("profile", "show", CHAT_PROFILE), indent=2))
@@ -82,7 +82,7 @@
 
 
 def spans_of(deployment: Deployment) -> list[dict]:
-    """Return the spans of the demo's trace from every node on its way."""
+    """Return the spans of the demo's trace from all processes, by start."""
     ports = [p.ports["metrics"] for p in deployment.routers.values()]
     ports += [p.ports["metrics"] for p in deployment.sidecars.values()]
     ports += [deployment.upstreams["assistant-1"].ports["http"]]
@@ -92,8 +92,8 @@
 
 
 def stop(deployment: Deployment) -> bool:
-    """Stop gracefully in order; return whether all ended cleanly."""
-    print_step("TERM: routers first, then sidecars, then the stand-ins")
+    """Stop all processes gracefully; return whether each exited with code 0."""
+    print_step("SIGTERM to the routers, then to the sidecars and the stand-ins")
     groups = (deployment.routers, deployment.sidecars, deployment.upstreams)
     programs = [program for group in groups for program in group.values()]
     clean = True
@@ -118,7 +118,7 @@
             raise
         finally:
             fleet.close()
-    print_step("done" if clean else "not every process ended cleanly")
+    print_step("done" if clean else "some processes exited with an error")
     return 0 if clean else 1
 
 
--- a/examples/embed.py
+++ b/examples/embed.py
@@ -1,4 +1,4 @@
-"""The parts without the daemons: a budget, its slices, and a scheduler.
+"""Uses a budget, its slices and a scheduler as a library, without daemons.
 
 Run it with ``python -m examples.embed``.
 """
@@ -12,7 +12,7 @@
 
 
 def spend_from_a_slice() -> Ledger:
-    """Take a slice of a budget, spend from it, settle, and return the ledger."""
+    """Renew a slice of a budget, spend from it and return the ledger."""
     ledger = Ledger()
     ledger = ledger.top_up(tokens=1_000, operation_id=ledger.operation_id("first"))
 
@@ -33,7 +33,7 @@
 
 
 def bill_twice() -> int:
-    """Return what a request costs whose receipt reached the platform twice."""
+    """Return the tokens charged for a request whose receipt is added twice."""
     receipt = RunReceipt(
         profile="advisor-chat",
         request_id="r1",
@@ -49,7 +49,7 @@
 
 
 def choose_an_upstream() -> str:
-    """Return where a scheduler sends a request."""
+    """Return the upstream to which a scheduler assigns a request."""
     scheduler = Scheduler(zone="maule-a", random=Random(1))
     upstream = UpstreamFacts(name="m1", back_end="assistant", zone="maule-a")
     scheduler.set_upstreams([upstream], now=0.0)
@@ -67,7 +67,7 @@
 
 
 def main() -> None:
-    """Show all three."""
+    """Print the results of the three examples."""
     ledger = spend_from_a_slice()
     print(f"spent={ledger.total_spent} rest={ledger.rest}")
     print(f"charged={bill_twice()}")
