--- a/benchmarks/_budget_rivals.py
+++ b/benchmarks/_budget_baselines.py
@@ -1,59 +1,59 @@
 """The schemes that ours is measured against, each done with some care."""
 
-from benchmarks._budget_world import (
-    PLATFORM_SECONDS,
+from benchmarks._budget_simulation import (
+    PLATFORM_LATENCY_SECONDS,
     ROUTERS,
     Request,
     Router,
     Run,
     Sidecar,
-    World,
+    Simulation,
 )
 
 LEASE_SECONDS = 10.0
-LEASE_RENEW_SECONDS = 3.0
+LEASE_RENEWAL_SECONDS = 3.0
 LEASE_TOKENS = 1500
 
 
 class Scheme:
-    """What a world asks of a budget scheme; all hooks may be left alone."""
+    """What a simulation asks of a budget scheme; all hooks may be left alone."""
 
     name = "scheme"
-    world: World
+    simulation: Simulation
 
     def __init__(self) -> None:
         self.charges_by_request: dict[int, int] = {}
 
-    def begin(self, world: World) -> None:
+    def begin(self, simulation: Simulation) -> None:
         """Set up at the start of the run."""
-        self.world = world
+        self.simulation = simulation
 
     def admit(self, router: Router, request: Request) -> None:
         """Start the request or refuse it, now or later."""
         raise NotImplementedError
 
-    def ran(self, run: Run) -> None:
+    def record_run_end(self, run: Run) -> None:
         """Note at the sidecar that a run has ended."""
 
-    def finished(self, run: Run) -> None:
+    def receive_run_end(self, run: Run) -> None:
         """Let the router hear that its run has ended."""
 
-    def run_lost(self, run: Run) -> None:
+    def receive_run_loss(self, run: Run) -> None:
         """Let the router hear that a run died with its sidecar."""
 
-    def topped_up(self, tokens: int) -> None:
+    def receive_top_up(self, tokens: int) -> None:
         """Hear that the platform has accepted a top-up."""
 
-    def router_gone(self, router: Router) -> None:
+    def remove_router(self, router: Router) -> None:
         """Hear that the live list has dropped a router."""
 
-    def router_joined(self, router: Router) -> None:
+    def add_router(self, router: Router) -> None:
         """Set a replacement up."""
 
-    def sidecar_joined(self, sidecar: Sidecar) -> None:
+    def add_sidecar(self, sidecar: Sidecar) -> None:
         """Set a replacement up."""
 
-    def woke(self, router: Router) -> None:
+    def resume_router(self, router: Router) -> None:
         """Hear that a paused router goes on."""
 
     def end(self) -> None:
@@ -67,8 +67,8 @@
 
     def run(self, router: Router, request: Request, account: str) -> Run | None:
         """Start the request at some sidecar."""
-        sidecar = self.world.pick_sidecars(request)[0]
-        return self.world.start(router, request, sidecar, account)
+        sidecar = self.simulation.pick_sidecars(request)[0]
+        return self.simulation.start(router, request, sidecar, account)
 
 
 class Oracle(Scheme):
@@ -78,14 +78,14 @@
 
     def admit(self, router: Router, request: Request) -> None:
         """Start whatever fits beside all that ran and runs."""
-        world = self.world
-        left = world.prepaid - world.spent - world.running_bounds
+        simulation = self.simulation
+        left = simulation.prepaid - simulation.spent - simulation.running_bounds
         if left < request.bound:
-            world.refuse(request)
+            simulation.refuse(request)
         else:
             self.run(router, request, "")
 
-    def ran(self, run: Run) -> None:
+    def record_run_end(self, run: Run) -> None:
         """Charge where it ran."""
         self.charge(run)
 
@@ -95,74 +95,78 @@
 
     name = "central_counter"
 
-    def begin(self, world: World) -> None:
+    def begin(self, simulation: Simulation) -> None:
         """Start with nothing reserved."""
-        super().begin(world)
+        super().begin(simulation)
         self.held_by_nonce: dict[int, int] = {}
         self.spent = 0
 
     def admit(self, router: Router, request: Request) -> None:
         """Ask the platform first; without it nothing may start."""
-        if not self.world.reaches_platform(router):
-            self.world.refuse(request)
+        if not self.simulation.reaches_platform(router):
+            self.simulation.refuse(request)
             return
-        self.world.after(PLATFORM_SECONDS, self._reserve, router, request)
+        self.simulation.schedule(
+            PLATFORM_LATENCY_SECONDS, self._reserve, router, request
+        )
 
     def _reserve(self, router: Router, request: Request) -> None:
-        left = self.world.prepaid - self.spent - sum(self.held_by_nonce.values())
+        left = self.simulation.prepaid - self.spent - sum(self.held_by_nonce.values())
         if left < request.bound:
-            self.world.refuse(request)
+            self.simulation.refuse(request)
             return
-        run = self.run(router, request, "") if router.alive else None
+        run = self.run(router, request, "") if router.live else None
         if run is not None:
             self.held_by_nonce[run.nonce] = request.bound
 
-    def finished(self, run: Run) -> None:
+    def receive_run_end(self, run: Run) -> None:
         """Settle, again and again until the platform has it."""
-        if not run.router.alive:
+        if not run.router.live:
             return
-        if not self.world.reaches_platform(run.router):
-            self.world.after(1.0, self.world.tell, run.router, self.finished, run)
+        if not self.simulation.reaches_platform(run.router):
+            self.simulation.schedule(
+                1.0, self.simulation.deliver, run.router, self.receive_run_end, run
+            )
             return
         # Settled under the run's nonce, so a repeated settle is a no-op.
         if self.held_by_nonce.pop(run.nonce, None) is not None:
             self.spent += run.spent
             self.charge(run)
 
-    def run_lost(self, run: Run) -> None:
+    def receive_run_loss(self, run: Run) -> None:
         """Charge the bound: nobody can tell what ran."""
         if self.held_by_nonce.pop(run.nonce, None) is not None:
             self.spent += run.request.bound
 
 
 class StaticSplit(Scheme):
-    """Each router place gets an equal part; a replacement gets none of it."""
+    """Each router index gets an equal part; a replacement gets none of it."""
 
     name = "static_split"
 
-    def begin(self, world: World) -> None:
+    def begin(self, simulation: Simulation) -> None:
         """Split what is prepaid."""
-        super().begin(world)
-        for router in world.routers:
-            router.state = world.prepaid // ROUTERS
+        super().begin(simulation)
+        for router in simulation.routers:
+            router.state = simulation.prepaid // ROUTERS
 
     def admit(self, router: Router, request: Request) -> None:
         """Look at the own part only."""
         if router.state is None or router.state < request.bound:
-            self.world.refuse(request)
+            self.simulation.refuse(request)
             return
         run = self.run(router, request, "")
         if run is not None:
             router.state -= request.bound
 
-    def finished(self, run: Run) -> None:
+    def receive_run_end(self, run: Run) -> None:
         """Refund the rest of the bound."""
         run.router.state += run.request.bound - run.spent
         self.charge(run)
 
-    def topped_up(self, tokens: int) -> None:
+    def receive_top_up(self, tokens: int) -> None:
         """Split the top-up too."""
-        for router in self.world.routers:
+        for router in self.simulation.routers:
             if router.state is not None:
                 router.state += tokens // ROUTERS
 
@@ -181,59 +185,59 @@
 
     name = "expiring_lease"
 
-    def begin(self, world: World) -> None:
+    def begin(self, simulation: Simulation) -> None:
         """Give each router its first lease."""
-        super().begin(world)
+        super().begin(simulation)
         self.spent = 0
         self.leased: dict[str, tuple[int, float]] = {}
-        for router in world.routers:
-            self.router_joined(router)
+        for router in simulation.routers:
+            self.add_router(router)
 
-    def router_joined(self, router: Router) -> None:
+    def add_router(self, router: Router) -> None:
         """Start renewing."""
         router.state = _Lease()
         self._renew(router)
 
     def _renew(self, router: Router) -> None:
-        if not router.alive:
+        if not router.live:
             return
-        self.world.after(LEASE_RENEW_SECONDS, self._renew, router)
-        if router.paused or not self.world.reaches_platform(router):
+        self.simulation.schedule(LEASE_RENEWAL_SECONDS, self._renew, router)
+        if router.paused or not self.simulation.reaches_platform(router):
             return
         self._renew_now(router)
 
     def _renew_now(self, router: Router) -> None:
-        world, lease = self.world, router.state
+        simulation, lease = self.simulation, router.state
         for run in lease.unsettled:
             self.spent += run.spent
             self.charge(run)
         lease.unsettled = []
-        now = world.now
+        now = simulation.now
         self.leased = {k: v for k, v in self.leased.items() if v[1] > now}
         held = sum(t for k, (t, _) in self.leased.items() if k != router.incarnation)
-        open_ = [r for s in world.sidecars for r in s.runs_by_nonce.values()]
+        open_ = [r for s in simulation.sidecars for r in s.runs_by_nonce.values()]
         own = sum(r.request.bound for r in open_ if r.router is router)
-        rest = max(0, world.prepaid - self.spent - held - own)
+        rest = max(0, simulation.prepaid - self.spent - held - own)
         lease.tokens = min(LEASE_TOKENS, rest)
         self.leased[router.incarnation] = (lease.tokens + own, now + LEASE_SECONDS)
-        lease.until = now - router.behind + LEASE_SECONDS
+        lease.until = now - router.clock_lag_seconds + LEASE_SECONDS
 
     def admit(self, router: Router, request: Request) -> None:
         """Look at the lease and the own clock."""
         lease = router.state
-        over = self.world.now - router.behind >= lease.until
-        if (over or lease.tokens < request.bound) and self.world.reaches_platform(
+        over = self.simulation.now - router.clock_lag_seconds >= lease.until
+        if (over or lease.tokens < request.bound) and self.simulation.reaches_platform(
             router
         ):
             self._renew_now(router)
             over = False
         if over or lease.tokens < request.bound:
-            self.world.refuse(request)
+            self.simulation.refuse(request)
             return
         run = self.run(router, request, "")
         if run is not None:
             lease.tokens -= request.bound
 
-    def finished(self, run: Run) -> None:
+    def receive_run_end(self, run: Run) -> None:
         """Keep the spend until the next renewal settles it."""
         run.router.state.unsettled.append(run)
--- a/benchmarks/_slopes_budget.py
+++ b/benchmarks/_slopes_budget.py
@@ -7,7 +7,7 @@
 from ragwortkeel.messages import RunReceipt
 
 ROUTERS = (10, 50, 200)
-SIDECARS_A_GRANT = 16
+SIDECARS_PER_GRANT = 16
 RECEIPTS = (10, 100, 1_000)
 ROUNDS = 100
 
@@ -19,7 +19,7 @@
 
 
 def measure_renewals() -> None:
-    """Read, renew and write one ledger, by the grants that it holds."""
+    """Read, renew and write segment ledger, by the grants that it holds."""
     cpu, size = [], []
     for count in ROUTERS:
         ledger = Ledger(prepaid=10**9)
@@ -38,7 +38,7 @@
 
 def _renewal(number: int, *, first: bool) -> Renewal:
     spent = 0 if first else 100
-    names = [f"sidecar-{i:05}-0123456789ab" for i in range(SIDECARS_A_GRANT)]
+    names = [f"sidecar-{i:05}-0123456789ab" for i in range(SIDECARS_PER_GRANT)]
     return Renewal(
         router=f"router-{number:04}-0123456789ab",
         nonce="0123456789abcdef",
@@ -58,8 +58,8 @@
         before = own_cpu_seconds()
         for _ in range(ROUNDS):
             encoded = [
-                encode_segment(one)
-                for one in segments(writer="router-1", receipts=receipts)
+                encode_segment(segment)
+                for segment in segments(writer="router-1", receipts=receipts)
             ]
         used = own_cpu_seconds() - before
         cpu.append((count, used / ROUNDS * 1e6))
--- a/benchmarks/_slopes_parts.py
+++ b/benchmarks/_slopes_components.py
@@ -15,11 +15,11 @@
 
 BODY_BYTES = (1_000, 10_000, 100_000)
 UPSTREAMS = (10, 100, 1_000, 10_000)
-PIECES = (10, 100, 1_000)
+CHUNKS = (10, 100, 1_000)
 HTTP_ROUNDS = 200
 
 
-def measure_parts() -> None:
+def measure_components() -> None:
     """Report the slopes of all parts."""
     measure_codec()
     measure_choice()
@@ -32,7 +32,7 @@
     for size in BODY_BYTES:
         message = Chunk(nonce="n" * 32, offset=0, data=b"x" * size)
         envelope = Envelope(sender="router-1-0011", revision=7, message=message)
-        points.append((size, _us_each(lambda e=envelope: decode(encode(e)), 2_000)))
+        points.append((size, _mean_us(lambda e=envelope: decode(encode(e)), 2_000)))
     report_slope("codec_round", "us", "byte", points)
 
 
@@ -47,11 +47,13 @@
         ]
         scheduler.set_upstreams(facts, now=0.0)
         rounds = max(20, 20_000 // count)
-        points.append((count, _us_each(lambda s=scheduler: _one(s), rounds)))
+        points.append(
+            (count, _mean_us(lambda s=scheduler: _schedule_request(s), rounds))
+        )
     report_slope("choice", "us", "upstream", points)
 
 
-def _one(scheduler: Scheduler) -> None:
+def _schedule_request(scheduler: Scheduler) -> None:
     request = RequestFacts(
         request_id="r1",
         profile="chat",
@@ -69,23 +71,23 @@
 
 
 def measure_streaming() -> None:
-    """Stream answers by their pieces, server and client in one process."""
+    """Stream answers by their chunks, server and client in one process."""
     with curio.Kernel(taskcls=ContextTask) as kernel:
-        points = [(n, kernel.run(_stream_us, n)) for n in PIECES]
+        points = [(n, kernel.run(_stream_us, n)) for n in CHUNKS]
     report_slope("http_stream_both_ends", "us", "piece", points)
 
 
-async def _stream_us(pieces: int) -> float:
+async def _stream_us(chunks: int) -> float:
     async def handler(request: Request, responder: Responder) -> None:
         await responder.start(200, {})
-        for _ in range(pieces):
+        for _ in range(chunks):
             await responder.send(b"data: 0123456789\n\n")
         await responder.finish()
 
     server = HttpServer(host="127.0.0.1", port=0, handler=handler)
     server.open()
     client = HttpClient(host="127.0.0.1", port=server.port)
-    rounds = max(5, HTTP_ROUNDS * 10 // pieces)
+    rounds = max(5, HTTP_ROUNDS * 10 // chunks)
     async with curio.TaskGroup(wait=None) as group:
         await group.spawn(server.serve)
         before = own_cpu_seconds()
@@ -96,7 +98,7 @@
     return used / rounds * 1e6
 
 
-def _us_each(call: Callable[[], object], rounds: int) -> float:
+def _mean_us(call: Callable[[], object], rounds: int) -> float:
     call()
     before = own_cpu_seconds()
     for _ in range(rounds):
--- a/benchmarks/_slopes_links.py
+++ b/benchmarks/_slopes_links.py
@@ -25,7 +25,7 @@
 
 def measure_links() -> None:
     """Report the slopes of both sides, by the number of links."""
-    holder_cpu, holder_memory, endpoint_cpu = [], [], []
+    router_cpu, router_memory, endpoint_cpu = [], [], []
     for count in LINKS:
         port = _free_port()
         address = f"127.0.0.1:{port}"
@@ -40,12 +40,12 @@
         finally:
             endpoint.kill()
             endpoint.wait()
-        holder_cpu.append((count, used["cpu_us_per_second"]))
-        holder_memory.append((count, used["memory_bytes"]))
+        router_cpu.append((count, used["cpu_us_per_second"]))
+        router_memory.append((count, used["memory_bytes"]))
         seconds = SECONDS + SETTLING_SECONDS
         endpoint_cpu.append((count, answered.cpu_seconds / seconds * 1e6))
-    report_slope("link_holder_cpu", "us_per_second", "link", holder_cpu)
-    report_slope("link_holder_memory", "bytes", "link", holder_memory)
+    report_slope("link_holder_cpu", "us_per_second", "link", router_cpu)
+    report_slope("link_holder_memory", "bytes", "link", router_memory)
     report_slope("link_endpoint_cpu", "us_per_second", "link", endpoint_cpu)
 
 
@@ -92,7 +92,7 @@
                 inbox=inbox,
             )
             await group.spawn(link.run)
-        await group.spawn(_swallow, inbox)
+        await group.spawn(_discard, inbox)
         await curio.sleep(SETTLING_SECONDS)
         cpu = own_cpu_seconds()
         await curio.sleep(seconds)
@@ -101,7 +101,7 @@
     return {"cpu_us_per_second": used / seconds * 1e6, "memory_bytes": memory}
 
 
-async def _swallow(inbox: curio.Queue) -> None:
+async def _discard(inbox: curio.Queue) -> None:
     while True:
         await inbox.get()
 
--- a/benchmarks/_slopes_requests.py
+++ b/benchmarks/_slopes_requests.py
@@ -29,9 +29,9 @@
             deployment = chat_deployment(
                 fleet, routers=1, prepaid=10**9, token_seconds=0.0
             )
-            _whole(deployment, WARM_UP, TOKENS[0])
+            _complete(deployment, WARM_UP, TOKENS[0])
             _report_idle(deployment)
-            _measure(deployment, "whole", _whole, REQUESTS)
+            _measure(deployment, "whole", _complete, REQUESTS)
             _measure(deployment, "streamed", _streamed, STREAMS)
             _report_platform(deployment)
         finally:
@@ -57,7 +57,7 @@
     return {"router": usage_of(router), "sidecar": usage_of(sidecar)}
 
 
-def _whole(deployment: Deployment, count: int, tokens: int) -> None:
+def _complete(deployment: Deployment, count: int, tokens: int) -> None:
     for _ in range(count):
         prompt = f"answer_tokens={tokens}"
         answer = deployment.chat("router-1", prompt, max_tokens=tokens)
--- a/benchmarks/_slopes_store.py
+++ b/benchmarks/_slopes_store.py
@@ -1,6 +1,6 @@
 """What profiles cost a node: memory and time to hold them, and to take a change.
 
-Each size is filled in a process of its own, so that memory freed by one does
+Each size is filled in a process of its own, so that memory freed by change does
 not hide what the next takes.
 """
 
@@ -47,8 +47,8 @@
         store.merge([_profile(number, version=1)])
     filled = own_cpu_seconds()
     memory = usage_of().memory_bytes - before.memory_bytes
-    for one in changes:
-        store.merge([one])
+    for change in changes:
+        store.merge([change])
     changed = own_cpu_seconds()
     return {
         "profile_memory": memory,
--- a/benchmarks/budget_schemes.py
+++ b/benchmarks/budget_schemes.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass
 from functools import partial
 
-from benchmarks._budget_ours import MECHANISMS, Ours
-from benchmarks._budget_rivals import (
+from benchmarks._budget_baselines import (
     CentralCounter,
     ExpiringLease,
     Oracle,
     Scheme,
     StaticSplit,
 )
-from benchmarks._budget_world import FAULTS, RACK_LOST, Fault, World
+from benchmarks._budget_ours import MECHANISMS, Ours
+from benchmarks._budget_simulation import FAULTS, RACK_LOST, Fault, Simulation
 from ragwortkeel.configuration import Spread
 
 SEEDS = 4
@@ -46,17 +46,17 @@
     uncharged: int = 0
     ran_twice: int = 0
 
-    def add(self, world: World) -> None:
+    def add(self, simulation: Simulation) -> None:
         """Count one run."""
-        charges = world.scheme.charges_by_request
-        answered = [r.request_id for r in world.requests if r.answered]
+        charges = simulation.scheme.charges_by_request
+        answered = [r.request_id for r in simulation.requests if r.answered]
         self.seeds += 1
-        self.admitted += world.admitted
-        self.overspent_tokens += max(0, world.spent - world.prepaid)
-        self.false_refusals += world.false_refusals
+        self.admitted += simulation.admitted
+        self.overspent_tokens += max(0, simulation.spent - simulation.prepaid)
+        self.false_refusals += simulation.false_refusals
         self.double_charged += sum(count > 1 for count in charges.values())
         self.uncharged += sum(request not in charges for request in answered)
-        self.ran_twice += world.ran_twice
+        self.ran_twice += simulation.ran_twice
 
     def __str__(self) -> str:
         return " ".join(f"{key}={value}" for key, value in vars(self).items())
@@ -66,7 +66,7 @@
     """Return the row of one scheme under one fault."""
     row = Row(scheme=scheme().name, fault=fault.name)
     for seed in range(seeds):
-        row.add(World(fault=fault, seed=seed, scheme=scheme()).play())
+        row.add(Simulation(fault=fault, seed=seed, scheme=scheme()).play())
     return row
 
 
--- a/benchmarks/load/engine.py
+++ b/benchmarks/load/engine.py
@@ -21,7 +21,7 @@
     cache_tokens: int
     prefill_rate: float
     step_seconds: float
-    step_seconds_each: float
+    step_seconds_per_sequence: float
     streams: bool
 
 
@@ -31,7 +31,7 @@
     cache_tokens=40_000,
     prefill_rate=8_000.0,
     step_seconds=0.012,
-    step_seconds_each=0.0006,
+    step_seconds_per_sequence=0.0006,
     streams=True,
 )
 SERVICE = EngineKind(
@@ -40,11 +40,11 @@
     cache_tokens=0,
     prefill_rate=1e9,
     step_seconds=0.01,
-    step_seconds_each=0.0,
+    step_seconds_per_sequence=0.0,
     streams=False,
 )
 
-PREFILL_SLOWDOWN = 0.6
+PREFILL_DECODE_FACTOR = 0.6
 """Decoding speed while a prompt is read in chunks beside it."""
 
 
@@ -58,7 +58,7 @@
     prefix_tokens: int
     output: int
     priority: int = 0
-    to_read: float = 0.0
+    unread_tokens: float = 0.0
     ends_at: float = 0.0
     state: str = "waiting"
 
@@ -81,25 +81,25 @@
     """Least recently used prefixes within a bound of tokens."""
 
     def __init__(self, *, tokens: int) -> None:
-        self._tokens = tokens
-        self._held = 0
-        self._sizes: OrderedDict[str, int] = OrderedDict()
+        self._max_tokens = tokens
+        self._cached_tokens = 0
+        self._tokens_by_prefix: OrderedDict[str, int] = OrderedDict()
 
     def use(self, prefix: str, tokens: int) -> int:
         """Return how many tokens are cached, and cache the prefix."""
-        if not prefix or tokens > self._tokens:
+        if not prefix or tokens > self._max_tokens:
             return 0
-        hit = self._sizes.pop(prefix, 0)
-        self._sizes[prefix] = tokens
-        self._held += tokens - hit
-        while self._held > self._tokens:
-            _, size = self._sizes.popitem(last=False)
-            self._held -= size
+        hit = self._tokens_by_prefix.pop(prefix, 0)
+        self._tokens_by_prefix[prefix] = tokens
+        self._cached_tokens += tokens - hit
+        while self._cached_tokens > self._max_tokens:
+            _, size = self._tokens_by_prefix.popitem(last=False)
+            self._cached_tokens -= size
         return min(hit, tokens)
 
-    def holds(self, prefix: str) -> bool:
+    def contains(self, prefix: str) -> bool:
         """Tell whether the prefix is cached."""
-        return prefix in self._sizes
+        return prefix in self._tokens_by_prefix
 
 
 class Engine:
@@ -116,8 +116,8 @@
         self._waiting: list[tuple[int, int, Job]] = []
         self._reading: list[Job] = []
         self._decoding: list[tuple[float, int, Job]] = []
-        self._memory = 0
-        self._decoded = 0.0
+        self._used_memory_tokens = 0
+        self._decoded_tokens = 0.0
         self._now = 0.0
         self._order = count()
 
@@ -146,23 +146,25 @@
         self.version += 1
         match job.state:
             case "waiting":
-                self._waiting = [each for each in self._waiting if each[2] is not job]
+                self._waiting = [
+                    entry for entry in self._waiting if entry[2] is not job
+                ]
                 heapify(self._waiting)
             case "reading":
                 self._reading.remove(job)
-                self._memory -= job.prompt + job.output
+                self._used_memory_tokens -= job.prompt + job.output
             case "decoding":
                 self._decoding = [e for e in self._decoding if e[2] is not job]
                 heapify(self._decoding)
-                self._memory -= job.prompt + job.output
+                self._used_memory_tokens -= job.prompt + job.output
         self._fill()
 
-    def drop_all(self) -> None:
+    def crash(self) -> None:
         """Crash: all jobs and the cache are gone."""
         self.version += 1
         self._jobs_by_id.clear()
         self._waiting, self._reading, self._decoding = [], [], []
-        self._memory = 0
+        self._used_memory_tokens = 0
         self.cache = PrefixCache(tokens=self.kind.cache_tokens)
 
     def advance(self, now: float) -> None:
@@ -170,33 +172,33 @@
         seconds, self._now = now - self._now, now
         if seconds <= 0.0:
             return
-        self._decoded += seconds * self._decode_rate()
+        self._decoded_tokens += seconds * self._decode_rate()
         if self._reading:
-            self._reading[0].to_read -= seconds * self._read_rate()
+            self._reading[0].unread_tokens -= seconds * self._read_rate()
 
     def next_event(self) -> float | None:
         """Return when something ends next, if nothing else comes."""
         times = []
         if self._reading:
-            times.append(max(0.0, self._reading[0].to_read) / self._read_rate())
+            times.append(max(0.0, self._reading[0].unread_tokens) / self._read_rate())
         if self._decoding:
-            left = max(0.0, self._decoding[0][0] - self._decoded)
+            left = max(0.0, self._decoding[0][0] - self._decoded_tokens)
             times.append(left / self._decode_rate())
         return self._now + min(times) + 1e-9 if times else None
 
     def collect(self) -> list[FirstToken | Finished]:
         """Return what has ended by now."""
         out: list[FirstToken | Finished] = []
-        while self._reading and self._reading[0].to_read <= 1e-6:
+        while self._reading and self._reading[0].unread_tokens <= 1e-6:
             job = self._reading.pop(0)
             job.state = "decoding"
-            job.ends_at = self._decoded + job.output
+            job.ends_at = self._decoded_tokens + job.output
             heappush(self._decoding, (job.ends_at, next(self._order), job))
             if self.kind.streams:
                 out.append(FirstToken(job=job))
-        while self._decoding and self._decoding[0][0] <= self._decoded + 1e-6:
+        while self._decoding and self._decoding[0][0] <= self._decoded_tokens + 1e-6:
             _, _, job = heappop(self._decoding)
-            self._memory -= job.prompt + job.output
+            self._used_memory_tokens -= job.prompt + job.output
             del self._jobs_by_id[job.job_id]
             out.append(Finished(job=job))
         if out:
@@ -210,18 +212,22 @@
         """Tell whether a job sent now would be in time, if nothing else came."""
         if self._waiting or not self._fits(job):
             return False
-        hit = job.prefix_tokens if self.cache.holds(job.prefix) else 0
+        hit = job.prefix_tokens if self.cache.contains(job.prefix) else 0
         queued = sum(
-            each.to_read for each in self._reading if each.priority <= job.priority
+            entry.unread_tokens
+            for entry in self._reading
+            if entry.priority <= job.priority
         )
         reading = (queued + job.prompt - hit) / self._read_rate()
-        step = self.kind.step_seconds + self.kind.step_seconds_each * (self.running + 1)
-        decoding = job.output * step / self.speed / PREFILL_SLOWDOWN
+        step = self.kind.step_seconds + self.kind.step_seconds_per_sequence * (
+            self.running + 1
+        )
+        decoding = job.output * step / self.speed / PREFILL_DECODE_FACTOR
         first = reading if self.kind.streams else reading + decoding
         return first <= first_token_seconds and reading + decoding <= total_seconds
 
     def _fits(self, job: Job) -> bool:
-        memory = self._memory + job.prompt + job.output
+        memory = self._used_memory_tokens + job.prompt + job.output
         return self.running < self.kind.slots and memory <= self.kind.memory_tokens
 
     def _fill(self) -> None:
@@ -230,16 +236,16 @@
             hit = self.cache.use(job.prefix, job.prefix_tokens)
             self.hit_tokens += hit
             self.prefix_tokens += job.prefix_tokens
-            job.to_read = float(job.prompt - hit)
+            job.unread_tokens = float(job.prompt - hit)
             job.state = "reading"
-            self._memory += job.prompt + job.output
+            self._used_memory_tokens += job.prompt + job.output
             self._reading.append(job)
-            self._reading.sort(key=lambda each: each.priority)
+            self._reading.sort(key=lambda entry: entry.priority)
 
     def _read_rate(self) -> float:
         return self.kind.prefill_rate * self.speed
 
     def _decode_rate(self) -> float:
         running = len(self._decoding)
-        step = self.kind.step_seconds + self.kind.step_seconds_each * running
-        return self.speed / step * (PREFILL_SLOWDOWN if self._reading else 1.0)
+        step = self.kind.step_seconds + self.kind.step_seconds_per_sequence * running
+        return self.speed / step * (PREFILL_DECODE_FACTOR if self._reading else 1.0)
--- a/benchmarks/load/fleet.py
+++ b/benchmarks/load/fleet.py
@@ -2,7 +2,7 @@
 
 Events are taken in order of time from one heap; the same seed gives the same
 callers whatever the scheme.  A caller hangs up at its deadline.  Refused or
-late, it asks again up to twice: after the seconds it was told, or after one.
+late, it calls again up to twice: after the seconds it was told, or after one.
 """
 
 from dataclasses import dataclass
@@ -20,8 +20,8 @@
     PrefixCache,
 )
 from benchmarks.load.measures import Measures, Outcome
-from benchmarks.load.schemes import Router, Scheme, Step
-from benchmarks.load.workloads import Deployment, Need, Scenario, needs
+from benchmarks.load.schemes import FinalDecision, Router, Scheme
+from benchmarks.load.workloads import Deployment, RequestSpec, Scenario, request_specs
 from ragwortkeel.configuration import ServiceClass
 from ragwortkeel.policy.facts import (
     Assignment,
@@ -35,11 +35,11 @@
 
 REPORT_SECONDS = 0.5
 REPORT_LAG_SECONDS = 0.25
-HOP_SECONDS = 0.002
-FAIL_SECONDS = 0.05
-MAX_ASKS = 3
-ASK_AGAIN_SECONDS = 1.0
-TAIL_SECONDS = 60.0
+HOP_LATENCY_SECONDS = 0.002
+FAILURE_LATENCY_SECONDS = 0.05
+MAX_CALLS = 3
+SEND_AGAIN_SECONDS = 1.0
+DRAIN_SECONDS = 60.0
 SLOW_SPEED = 0.25
 OLD_SPEED = 0.5
 RESTART_SECONDS = 3.0
@@ -55,10 +55,10 @@
 
 
 @dataclass(kw_only=True, eq=False)
-class Ask:
+class Call:
     """One time that a caller sends its request."""
 
-    need: Need
+    spec: RequestSpec
     request: RequestFacts
     router: int
     at: float
@@ -66,7 +66,7 @@
     first_token_at: float = 0.0
     upstream: str = ""
     nonce: str = ""
-    over: bool = False
+    is_over: bool = False
 
 
 @dataclass(kw_only=True, eq=False)
@@ -110,30 +110,30 @@
         self._events: list[tuple[float, int, object]] = []
         self._order = count()
         self._now = 0.0
-        self._asks_by_id: dict[str, Ask] = {}
-        self._asks_by_nonce: dict[str, Ask] = {}
+        self._calls_by_id: dict[str, Call] = {}
+        self._calls_by_nonce: dict[str, Call] = {}
         self._sidecars = self._make_sidecars()
         facts = [sidecar.facts for sidecar in self._sidecars.values()]
         self._routers: list[Router] = [
             scheme.router(facts, deployment.zones[i % 3], Random(seed + 10 + i))
             for i in range(deployment.routers)
         ]
-        self._away: set[str] = set()
+        self._removed: set[str] = set()
         self._breaking: set[str] = set()
         self._wakes: list[float | None] = [None] * deployment.routers
 
     def run(self) -> Measures:
         """Play the scenario to its end."""
         random = Random(self._callers.random())
-        for need in needs(self._deployment, self._scenario, random):
-            self._measures.outcomes[need.number] = Outcome(need=need)
-            self._at(need.at, lambda need=need: self._ask(need))
+        for spec in request_specs(self._deployment, self._scenario, random):
+            self._measures.outcomes[spec.number] = Outcome(spec=spec)
+            self._schedule(spec.at, lambda spec=spec: self._send_call(spec))
         self._plan_faults()
-        end = self._scenario.seconds + TAIL_SECONDS
-        self._at(REPORT_SECONDS, lambda: self._send_reports(end))
+        end = self._scenario.seconds + DRAIN_SECONDS
+        self._schedule(REPORT_SECONDS, lambda: self._send_reports(end))
         while self._events and self._events[0][0] <= end:
-            self._now, _, act = heappop(self._events)
-            act()
+            self._now, _, action = heappop(self._events)
+            action()
         for sidecar in self._sidecars.values():
             self._measures.hit_tokens += sidecar.engine.hit_tokens
             self._measures.prefix_tokens += sidecar.engine.prefix_tokens
@@ -166,10 +166,12 @@
         first = next(iter(self._sidecars.values()))
         for at, speed in zip(self._scenario.slow, (SLOW_SPEED, 1.0), strict=True):
             if self._scenario.slow[1]:
-                self._at(at, lambda speed=speed: self._set_speed(first, speed))
+                self._schedule(at, lambda speed=speed: self._set_speed(first, speed))
         for at, failing in zip(self._scenario.failing, (True, False), strict=True):
             if self._scenario.failing[1]:
-                self._at(at, lambda failing=failing: self._set_failing(first, failing))
+                self._schedule(
+                    at, lambda failing=failing: self._set_failing(first, failing)
+                )
 
         start, stop = self._scenario.restarting
         if not stop:
@@ -177,28 +179,28 @@
         models = list(self._sidecars.values())[: self._deployment.models]
         for i, sidecar in enumerate(models[: self._deployment.models // 2]):
             away = start + i * (stop - start) / len(models)
-            self._at(away, lambda sidecar=sidecar: self._restart(sidecar))
+            self._schedule(away, lambda sidecar=sidecar: self._restart(sidecar))
 
     def _restart(self, sidecar: Sidecar) -> None:
         """Take the upstream out, and bring it back cold and slow."""
-        self._away.add(sidecar.facts.name)
-        self._announce()
+        self._removed.add(sidecar.facts.name)
+        self._update_upstreams()
         back = self._now + RESTART_SECONDS
-        self._at(back, lambda: self._come_back(sidecar))
+        self._schedule(back, lambda: self._return_to_service(sidecar))
 
-    def _come_back(self, sidecar: Sidecar) -> None:
+    def _return_to_service(self, sidecar: Sidecar) -> None:
         sidecar.engine.cache = PrefixCache(tokens=sidecar.engine.kind.cache_tokens)
         self._set_speed(sidecar, WARMING_SPEED)
-        self._away.discard(sidecar.facts.name)
-        self._announce()
+        self._removed.discard(sidecar.facts.name)
+        self._update_upstreams()
         warm = self._now + WARMING_SECONDS
-        self._at(warm, lambda: self._set_speed(sidecar, 1.0))
+        self._schedule(warm, lambda: self._set_speed(sidecar, 1.0))
 
-    def _announce(self) -> None:
-        present = [s for n, s in self._sidecars.items() if n not in self._away]
+    def _update_upstreams(self) -> None:
+        present = [s for n, s in self._sidecars.items() if n not in self._removed]
         facts = [sidecar.facts for sidecar in present]
         for router in range(len(self._routers)):
-            self._do(router, self._routers[router].changed(facts, self._now))
+            self._apply(router, self._routers[router].set_upstreams(facts, self._now))
 
     def _set_speed(self, sidecar: Sidecar, speed: float) -> None:
         self._collect(sidecar)
@@ -211,89 +213,93 @@
         if not failing:
             return
         lost = [
-            a for a in self._asks_by_id.values() if a.upstream == sidecar.facts.name
+            a for a in self._calls_by_id.values() if a.upstream == sidecar.facts.name
         ]
-        sidecar.engine.drop_all()
-        for ask in lost:
-            self._fail(ask, ask.nonce, Failure.CRASHED)
+        sidecar.engine.crash()
+        for call in lost:
+            self._fail_attempt(call, call.nonce, Failure.CRASHED)
 
-    def _at(self, at: float, act: object) -> None:
-        heappush(self._events, (at, next(self._order), act))
+    def _schedule(self, at: float, action: object) -> None:
+        heappush(self._events, (at, next(self._order), action))
 
-    def _ask(self, need: Need) -> None:
-        outcome = self._measures.outcomes[need.number]
-        outcome.asks += 1
+    def _send_call(self, spec: RequestSpec) -> None:
+        outcome = self._measures.outcomes[spec.number]
+        outcome.calls += 1
         now = self._now
-        profile = need.profile
+        profile = spec.profile
         request = RequestFacts(
-            request_id=f"{need.number}.{outcome.asks}",
+            request_id=f"{spec.number}.{outcome.calls}",
             profile=profile.name,
-            customer=need.customer,
+            customer=spec.customer,
             service_class=profile.service,
             back_ends=(profile.back_end,),
             deadline=now + profile.deadline_seconds,
             first_token_deadline=now + profile.first_token_seconds,
-            cost=need.prompt + 2 * need.output,
-            prefix=need.prefix,
+            cost=spec.prompt + 2 * spec.output,
+            prefix=spec.prefix,
         )
         router = self._balancer.randrange(len(self._routers))
-        ask = Ask(need=need, request=request, router=router, at=now)
-        self._asks_by_id[request.request_id] = ask
-        patience = need.leaves_after or profile.deadline_seconds
-        self._at(now + patience, lambda: self._hang_up(ask))
-        self._do(router, self._routers[router].offer(request, now))
-
-    def _do(self, router: int, steps: list[Step]) -> None:
-        for step in steps:
-            ask = self._asks_by_id.get(step.request.request_id)
-            if ask is None:
+        call = Call(spec=spec, request=request, router=router, at=now)
+        self._calls_by_id[request.request_id] = call
+        wait_seconds = spec.disconnects_after_seconds or profile.deadline_seconds
+        self._schedule(now + wait_seconds, lambda: self._hang_up(call))
+        self._apply(router, self._routers[router].offer(request, now))
+
+    def _apply(self, router: int, decisions: list[FinalDecision]) -> None:
+        for decision in decisions:
+            call = self._calls_by_id.get(decision.request.request_id)
+            if call is None:
                 continue
-            match step:
+            match decision:
                 case Assignment():
-                    self._dispatch(ask, step)
+                    self._dispatch(call, decision)
                 case Refusal():
-                    self._refused(ask, step)
+                    self._record_refusal(call, decision)
         self._plan_wake(router)
 
     def _plan_wake(self, router: int) -> None:
-        wake = self._routers[router].next_wake()
+        wake = self._routers[router].next_wake_at()
         if wake is None or wake == self._wakes[router]:
             return
         self._wakes[router] = wake
-        self._at(max(wake + 1e-6, self._now), lambda: self._wake(router))
+        self._schedule(max(wake + 1e-6, self._now), lambda: self._wake(router))
 
     def _wake(self, router: int) -> None:
         self._wakes[router] = None
-        self._do(router, self._routers[router].tick(self._now))
+        self._apply(router, self._routers[router].decide_due(self._now))
 
-    def _dispatch(self, ask: Ask, assignment: Assignment) -> None:
+    def _dispatch(self, call: Call, assignment: Assignment) -> None:
         measures = self._measures
         measures.dispatches += 1
         measures.extra_attempts += assignment.attempt > 1
         sidecar = self._sidecars[assignment.upstream]
-        zone = self._deployment.zones[ask.router % 3]
+        zone = self._deployment.zones[call.router % 3]
         measures.cross_zone += sidecar.facts.zone != zone
-        ask.upstream = assignment.upstream
-        ask.sent_at = self._now
-        ask.first_token_at = 0.0
-        ask.nonce = f"{ask.request.request_id}/{measures.dispatches}"
-        nonce = ask.nonce
-        self._at(self._now + HOP_SECONDS, lambda: self._arrive(sidecar, ask, nonce))
-
-    def _arrive(self, sidecar: Sidecar, ask: Ask, nonce: str) -> None:
-        if ask.nonce != nonce or (ask.over and self._cancelled(ask)):
+        call.upstream = assignment.upstream
+        call.sent_at = self._now
+        call.first_token_at = 0.0
+        call.nonce = f"{call.request.request_id}/{measures.dispatches}"
+        nonce = call.nonce
+        self._schedule(
+            self._now + HOP_LATENCY_SECONDS, lambda: self._arrive(sidecar, call, nonce)
+        )
+
+    def _arrive(self, sidecar: Sidecar, call: Call, nonce: str) -> None:
+        if call.nonce != nonce or (call.is_over and self._cancelled(call)):
             return
         self._collect(sidecar)
         if sidecar.failing:
-            later = self._now + FAIL_SECONDS
-            self._at(later, lambda: self._fail(ask, nonce, Failure.ERROR))
+            later = self._now + FAILURE_LATENCY_SECONDS
+            self._schedule(
+                later, lambda: self._fail_attempt(call, nonce, Failure.ERROR)
+            )
             return
         if sidecar.is_full():
             self._measures.bounced += 1
-            self._fail(ask, nonce, Failure.OVERLOADED)
+            self._fail_attempt(call, nonce, Failure.OVERLOADED)
             return
-        self._asks_by_nonce[nonce] = ask
-        job = self._job(ask, nonce)
+        self._calls_by_nonce[nonce] = call
+        job = self._job(call, nonce)
         flaky = sidecar.engine.kind is MODEL and self._scenario.flaky
         if flaky and Random(nonce).random() < flaky:
             self._breaking.add(nonce)
@@ -301,19 +307,19 @@
         sidecar.engine.submit(job)
         self._plan(sidecar)
 
-    def _cancelled(self, ask: Ask) -> bool:
-        return ask.request.request_id not in self._asks_by_id
+    def _cancelled(self, call: Call) -> bool:
+        return call.request.request_id not in self._calls_by_id
 
-    def _job(self, ask: Ask, nonce: str) -> Job:
+    def _job(self, call: Call, nonce: str) -> Job:
         priority = (
-            PRIORITIES[ask.request.service_class] if self._scheme.priorities else 0
+            PRIORITIES[call.request.service_class] if self._scheme.priorities else 0
         )
         return Job(
             job_id=nonce,
-            prompt=ask.need.prompt,
-            prefix=ask.need.prefix,
-            prefix_tokens=ask.need.prefix_tokens,
-            output=ask.need.output,
+            prompt=call.spec.prompt,
+            prefix=call.spec.prefix,
+            prefix_tokens=call.spec.prefix_tokens,
+            output=call.spec.output,
             priority=priority,
         )
 
@@ -322,7 +328,7 @@
         if at is None:
             return
         version = sidecar.engine.version
-        self._at(at, lambda: self._engine_event(sidecar, version))
+        self._schedule(at, lambda: self._engine_event(sidecar, version))
 
     def _engine_event(self, sidecar: Sidecar, version: int) -> None:
         if sidecar.engine.version == version:
@@ -333,94 +339,98 @@
         """Bring the engine up to now, and its answers to the routers."""
         sidecar.engine.advance(self._now)
         for event in sidecar.engine.collect():
-            ask = self._asks_by_nonce.get(event.job.job_id)
-            if ask is None:
+            call = self._calls_by_nonce.get(event.job.job_id)
+            if call is None:
                 continue
             match event:
                 case FirstToken():
-                    ask.first_token_at = self._now
-                    self._observe(sidecar, ask)
-                    self._routers[ask.router].first_token(
-                        ask.request.request_id, self._now
+                    call.first_token_at = self._now
+                    self._observe(sidecar, call)
+                    self._routers[call.router].record_first_token(
+                        call.request.request_id, self._now
                     )
                 case Finished():
-                    self._finish(sidecar, ask)
+                    self._finish(sidecar, call)
 
-    def _finish(self, sidecar: Sidecar, ask: Ask) -> None:
+    def _finish(self, sidecar: Sidecar, call: Call) -> None:
         now = self._now
-        if ask.nonce in self._breaking:
-            self._fail(ask, ask.nonce, Failure.ERROR)
+        if call.nonce in self._breaking:
+            self._fail_attempt(call, call.nonce, Failure.ERROR)
             return
-        if not ask.first_token_at:
-            ask.first_token_at = now
-            self._observe(sidecar, ask)
-        del self._asks_by_nonce[ask.nonce]
-        if not ask.over:
-            ask.over = True
-            self._answered(ask)
-        request_id = ask.request.request_id
-        if self._asks_by_id.pop(request_id, None):
-            later = now + HOP_SECONDS
-            self._at(later, lambda: self._tell_finished(ask.router, request_id))
-
-    def _tell_finished(self, router: int, request_id: str) -> None:
-        self._do(router, self._routers[router].finished(request_id, self._now))
-
-    def _answered(self, ask: Ask) -> None:
+        if not call.first_token_at:
+            call.first_token_at = now
+            self._observe(sidecar, call)
+        del self._calls_by_nonce[call.nonce]
+        if not call.is_over:
+            call.is_over = True
+            self._record_answer(call)
+        request_id = call.request.request_id
+        if self._calls_by_id.pop(request_id, None):
+            later = now + HOP_LATENCY_SECONDS
+            self._schedule(
+                later, lambda: self._report_finished(call.router, request_id)
+            )
+
+    def _report_finished(self, router: int, request_id: str) -> None:
+        self._apply(router, self._routers[router].record_finish(request_id, self._now))
+
+    def _record_answer(self, call: Call) -> None:
         """Count the answer as in time if it kept what its class promises."""
-        request = ask.request
+        request = call.request
         in_time = self._now <= request.deadline
         if request.service_class is ServiceClass.INTERACTIVE:
-            in_time = in_time and ask.first_token_at <= request.first_token_deadline
-        self._measures.outcomes[ask.need.number].in_time |= in_time
+            in_time = in_time and call.first_token_at <= request.first_token_deadline
+        self._measures.outcomes[call.spec.number].in_time |= in_time
 
-    def _observe(self, sidecar: Sidecar, ask: Ask) -> None:
+    def _observe(self, sidecar: Sidecar, call: Call) -> None:
         if sidecar.limit is None:
             return
-        interactive = ask.request.service_class is ServiceClass.INTERACTIVE
-        promised = ask.need.profile.first_token_seconds if interactive else 0.0
+        interactive = call.request.service_class is ServiceClass.INTERACTIVE
+        promised = call.spec.profile.first_token_seconds if interactive else 0.0
         sample = Sample(
-            first_token_seconds=ask.first_token_at - ask.sent_at,
+            first_token_seconds=call.first_token_at - call.sent_at,
             promised_seconds=promised,
             queued=sidecar.engine.waiting > 0,
         )
         sidecar.limit.observe(sample, running=sidecar.load + 1, now=self._now)
 
-    def _fail(self, ask: Ask, nonce: str, failure: Failure) -> None:
-        self._asks_by_nonce.pop(nonce, None)
-        request_id = ask.request.request_id
-        if ask.nonce != nonce or request_id not in self._asks_by_id:
+    def _fail_attempt(self, call: Call, nonce: str, failure: Failure) -> None:
+        self._calls_by_nonce.pop(nonce, None)
+        request_id = call.request.request_id
+        if call.nonce != nonce or request_id not in self._calls_by_id:
             return
-        ask.upstream = ""
-        steps = self._routers[ask.router].failed(request_id, failure, self._now)
-        self._do(ask.router, steps)
+        call.upstream = ""
+        decisions = self._routers[call.router].record_failure(
+            request_id, failure, self._now
+        )
+        self._apply(call.router, decisions)
 
-    def _refused(self, ask: Ask, refusal: Refusal) -> None:
-        self._asks_by_id.pop(ask.request.request_id, None)
-        if ask.over:
+    def _record_refusal(self, call: Call, refusal: Refusal) -> None:
+        self._calls_by_id.pop(call.request.request_id, None)
+        if call.is_over:
             return
-        ask.over = True
+        call.is_over = True
         measures = self._measures
-        measures.refused_after.append(self._now - ask.at)
+        measures.unserved_seconds.append(self._now - call.at)
         if refusal.may_have_run:
             measures.broken_off += 1
         else:
-            measures.turned_away_after.append(self._now - ask.at)
-            measures.servable_refusals += self._servable(ask)
+            measures.refusal_seconds.append(self._now - call.at)
+            measures.servable_refusals += self._servable(call)
         reason = str(refusal.reason)
         by_reason = measures.refusals_by_reason
         by_reason[reason] = by_reason.get(reason, 0) + 1
-        if not refusal.may_have_run or ask.request.repeatable:
-            self._ask_again(ask, refusal.retry_after_seconds or ASK_AGAIN_SECONDS)
+        if not refusal.may_have_run or call.request.repeatable:
+            self._send_again(call, refusal.retry_after_seconds or SEND_AGAIN_SECONDS)
 
-    def _servable(self, ask: Ask) -> bool:
+    def _servable(self, call: Call) -> bool:
         """Tell whether some upstream could have served it from now on in time."""
-        request = ask.request
+        request = call.request
         total = request.deadline - self._now
         first = total
         if request.service_class is ServiceClass.INTERACTIVE:
             first = request.first_token_deadline - self._now
-        job = self._job(ask, "")
+        job = self._job(call, "")
         return any(
             not sidecar.failing
             and sidecar.facts.back_end in request.back_ends
@@ -428,29 +438,31 @@
             for sidecar in self._sidecars.values()
         )
 
-    def _hang_up(self, ask: Ask) -> None:
-        if ask.over:
+    def _hang_up(self, call: Call) -> None:
+        if call.is_over:
             return
-        ask.over = True
-        if not ask.need.leaves_after:
-            self._measures.refused_after.append(self._now - ask.at)
-        request_id = ask.request.request_id
-        upstream, steps = self._routers[ask.router].left(request_id, self._now)
+        call.is_over = True
+        if not call.spec.disconnects_after_seconds:
+            self._measures.unserved_seconds.append(self._now - call.at)
+        request_id = call.request.request_id
+        upstream, decisions = self._routers[call.router].record_disconnect(
+            request_id, self._now
+        )
         if upstream:
-            self._asks_by_id.pop(request_id, None)
-            self._asks_by_nonce.pop(ask.nonce, None)
+            self._calls_by_id.pop(request_id, None)
+            self._calls_by_nonce.pop(call.nonce, None)
             sidecar = self._sidecars[upstream]
             self._collect(sidecar)
-            sidecar.engine.cancel(ask.nonce)
+            sidecar.engine.cancel(call.nonce)
             self._plan(sidecar)
-        self._do(ask.router, steps)
-        if ask.request.repeatable and not ask.need.leaves_after:
-            self._ask_again(ask, ASK_AGAIN_SECONDS)
+        self._apply(call.router, decisions)
+        if call.request.repeatable and not call.spec.disconnects_after_seconds:
+            self._send_again(call, SEND_AGAIN_SECONDS)
 
-    def _ask_again(self, ask: Ask, seconds: float) -> None:
-        outcome = self._measures.outcomes[ask.need.number]
-        if outcome.asks < MAX_ASKS and not outcome.in_time:
-            self._at(self._now + seconds, lambda: self._ask(ask.need))
+    def _send_again(self, call: Call, seconds: float) -> None:
+        outcome = self._measures.outcomes[call.spec.number]
+        if outcome.calls < MAX_CALLS and not outcome.in_time:
+            self._schedule(self._now + seconds, lambda: self._send_call(call.spec))
 
     def _send_reports(self, end: float) -> None:
         reports = []
@@ -465,11 +477,13 @@
                     limit=sidecar.allowed(),
                 )
             )
-        self._at(self._now + REPORT_LAG_SECONDS, lambda: self._take_reports(reports))
-        over = self._now > self._scenario.seconds and not self._asks_by_id
+        self._schedule(
+            self._now + REPORT_LAG_SECONDS, lambda: self._deliver_reports(reports)
+        )
+        over = self._now > self._scenario.seconds and not self._calls_by_id
         if self._now + REPORT_SECONDS <= end and not over:
-            self._at(self._now + REPORT_SECONDS, lambda: self._send_reports(end))
+            self._schedule(self._now + REPORT_SECONDS, lambda: self._send_reports(end))
 
-    def _take_reports(self, reports: list[LoadReport]) -> None:
+    def _deliver_reports(self, reports: list[LoadReport]) -> None:
         for number, router in enumerate(self._routers):
-            self._do(number, router.report(reports, self._now))
+            self._apply(number, router.record_loads(reports, self._now))
--- a/benchmarks/load/measures.py
+++ b/benchmarks/load/measures.py
@@ -1,18 +1,18 @@
-"""What callers got, counted by need and by ask."""
+"""What callers got, counted by spec and by ask."""
 
 from dataclasses import dataclass, field
 
-from benchmarks.load.workloads import Need
+from benchmarks.load.workloads import RequestSpec
 from ragwortkeel.configuration import ServiceClass
 
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What became of one need over all its asks."""
+    """What became of one spec over all its calls."""
 
-    need: Need
+    spec: RequestSpec
     in_time: bool = False
-    asks: int = 0
+    calls: int = 0
 
 
 @dataclass(kw_only=True)
@@ -25,8 +25,8 @@
 
     seconds: float
     outcomes: dict[int, Outcome] = field(default_factory=dict)
-    refused_after: list[float] = field(default_factory=list)
-    turned_away_after: list[float] = field(default_factory=list)
+    unserved_seconds: list[float] = field(default_factory=list)
+    refusal_seconds: list[float] = field(default_factory=list)
     refusals_by_reason: dict[str, int] = field(default_factory=dict)
     servable_refusals: int = 0
     broken_off: int = 0
@@ -39,14 +39,16 @@
 
     def summary(self) -> dict[str, float]:
         """Return the figures by name; shares are in 0..1, times in seconds."""
-        outcomes = [o for o in self.outcomes.values() if not o.need.leaves_after]
+        outcomes = [
+            o for o in self.outcomes.values() if not o.spec.disconnects_after_seconds
+        ]
         interactive = [o for o in outcomes if _class(o) is ServiceClass.INTERACTIVE]
         batch = [o for o in outcomes if _class(o) is ServiceClass.BATCH]
         filings = [o for o in outcomes if _class(o) is ServiceClass.MUST_NOT_REPEAT]
-        small = [o for o in outcomes if o.need.customer.startswith("small")]
+        small = [o for o in outcomes if o.spec.customer.startswith("small")]
         served = [o for o in outcomes if o.in_time]
-        asks = sum(o.asks for o in outcomes)
-        tokens = sum(o.need.output for o in served)
+        calls = sum(o.calls for o in outcomes)
+        tokens = sum(o.spec.output for o in served)
         return {
             "in_time": _share_in_time(outcomes),
             "interactive_in_time": _share_in_time(interactive),
@@ -55,21 +57,21 @@
             "small_customers_in_time": _share_in_time(small),
             "goodput_answers": len(served) / self.seconds,
             "goodput_tokens": tokens / self.seconds,
-            "refusals": len(self.turned_away_after) / max(1, asks),
-            "broken_off": self.broken_off / max(1, asks),
-            "servable_refusals": self.servable_refusals / max(1, asks),
-            "refusal_p95_seconds": _quantile(self.turned_away_after, 0.95),
-            "unserved_p95_seconds": _quantile(self.refused_after, 0.95),
+            "refusals": len(self.refusal_seconds) / max(1, calls),
+            "broken_off": self.broken_off / max(1, calls),
+            "servable_refusals": self.servable_refusals / max(1, calls),
+            "refusal_p95_seconds": _quantile(self.refusal_seconds, 0.95),
+            "unserved_p95_seconds": _quantile(self.unserved_seconds, 0.95),
             "prefix_hits": self.hit_tokens / max(1, self.prefix_tokens),
-            "extra_attempts": self.extra_attempts / max(1, asks),
-            "extra_asks": asks / max(1, len(outcomes)) - 1.0,
+            "extra_attempts": self.extra_attempts / max(1, calls),
+            "extra_asks": calls / max(1, len(outcomes)) - 1.0,
             "bounced": self.bounced / max(1, self.dispatches),
             "cross_zone": self.cross_zone / max(1, self.dispatches),
         }
 
 
 def _class(outcome: Outcome) -> ServiceClass:
-    return outcome.need.profile.service
+    return outcome.spec.profile.service
 
 
 def _share_in_time(outcomes: list[Outcome]) -> float:
--- a/benchmarks/load/schemes.py
+++ b/benchmarks/load/schemes.py
@@ -21,38 +21,46 @@
 from ragwortkeel.policy.scheduler import Scheduler
 from ragwortkeel.policy.settings import Mechanism, SchedulerSettings
 
-Step = Assignment | Refusal
+FinalDecision = Assignment | Refusal
 
 
 class Router(Protocol):
     """What the fleet model asks of one router."""
 
-    def offer(self, request: RequestFacts, now: float) -> list[Step]:
+    def offer(self, request: RequestFacts, now: float) -> list[FinalDecision]:
         """Take a new request."""
 
-    def changed(self, upstreams: list[UpstreamFacts], now: float) -> list[Step]:
+    def set_upstreams(
+        self, upstreams: list[UpstreamFacts], now: float
+    ) -> list[FinalDecision]:
         """Take over the upstreams that may be given new work."""
 
-    def report(self, reports: list[LoadReport], now: float) -> list[Step]:
+    def record_loads(
+        self, reports: list[LoadReport], now: float
+    ) -> list[FinalDecision]:
         """Take load reports."""
 
-    def first_token(self, request_id: str, now: float) -> None:
+    def record_first_token(self, request_id: str, now: float) -> None:
         """Note a first token."""
 
-    def finished(self, request_id: str, now: float) -> list[Step]:
+    def record_finish(self, request_id: str, now: float) -> list[FinalDecision]:
         """Note an end."""
 
-    def failed(self, request_id: str, failure: Failure, now: float) -> list[Step]:
+    def record_failure(
+        self, request_id: str, failure: Failure, now: float
+    ) -> list[FinalDecision]:
         """Note a failed attempt."""
 
-    def left(self, request_id: str, now: float) -> tuple[str | None, list[Step]]:
+    def record_disconnect(
+        self, request_id: str, now: float
+    ) -> tuple[str | None, list[FinalDecision]]:
         """Note a caller that hung up; the first is where to cancel."""
 
-    def tick(self, now: float) -> list[Step]:
+    def decide_due(self, now: float) -> list[FinalDecision]:
         """Do what time brings."""
 
-    def next_wake(self) -> float | None:
-        """Return when to tick next."""
+    def next_wake_at(self) -> float | None:
+        """Return when to decide_due next."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -65,7 +73,7 @@
     priorities: bool = False
 
 
-class Ours:
+class SchedulerRouter:
     """The scheduler of the product, with its calls in the right order."""
 
     def __init__(
@@ -75,55 +83,63 @@
         self._cancels = cancels
         self._affinity = affinity
 
-    def offer(self, request: RequestFacts, now: float) -> list[Step]:
+    def offer(self, request: RequestFacts, now: float) -> list[FinalDecision]:
         """Offer, and hand out what that decides."""
         if not self._affinity:
             request = replace(request, prefix="")
-        return self._steps(self._scheduler.offer(request, now), now)
+        return self._append_due(self._scheduler.offer(request, now), now)
 
-    def changed(self, upstreams: list[UpstreamFacts], now: float) -> list[Step]:
+    def set_upstreams(
+        self, upstreams: list[UpstreamFacts], now: float
+    ) -> list[FinalDecision]:
         """Pass it on, and hand out what that decides."""
         self._scheduler.set_upstreams(upstreams, now)
-        return self.tick(now)
+        return self.decide_due(now)
 
-    def report(self, reports: list[LoadReport], now: float) -> list[Step]:
+    def record_loads(
+        self, reports: list[LoadReport], now: float
+    ) -> list[FinalDecision]:
         """Report, and hand out what there is room for."""
         for report in reports:
             self._scheduler.record_load(report, now)
-        return self.tick(now)
+        return self.decide_due(now)
 
-    def first_token(self, request_id: str, now: float) -> None:
+    def record_first_token(self, request_id: str, now: float) -> None:
         """Pass it on."""
         self._scheduler.record_first_token(request_id, now)
 
-    def finished(self, request_id: str, now: float) -> list[Step]:
+    def record_finish(self, request_id: str, now: float) -> list[FinalDecision]:
         """Pass it on, and fill the place."""
         self._scheduler.record_finish(request_id, now)
-        return self.tick(now)
+        return self.decide_due(now)
 
-    def failed(self, request_id: str, failure: Failure, now: float) -> list[Step]:
+    def record_failure(
+        self, request_id: str, failure: Failure, now: float
+    ) -> list[FinalDecision]:
         """Pass it on, and hand out what that decides."""
-        return self._steps(
+        return self._append_due(
             self._scheduler.record_failure(request_id, failure, now), now
         )
 
-    def left(self, request_id: str, now: float) -> tuple[str | None, list[Step]]:
+    def record_disconnect(
+        self, request_id: str, now: float
+    ) -> tuple[str | None, list[FinalDecision]]:
         """Pass it on, and fill the place."""
         if not self._cancels:
             return None, []
         upstream = self._scheduler.record_disconnect(request_id, now)
-        return upstream, self.tick(now)
+        return upstream, self.decide_due(now)
 
-    def tick(self, now: float) -> list[Step]:
+    def decide_due(self, now: float) -> list[FinalDecision]:
         """Hand out what is due."""
         return list(self._scheduler.next_decisions(now))
 
-    def next_wake(self) -> float | None:
+    def next_wake_at(self) -> float | None:
         """Pass it on."""
         return self._scheduler.next_wake_at()
 
-    def _steps(self, decision: Decision | None, now: float) -> list[Step]:
-        out = self.tick(now)
+    def _append_due(self, decision: Decision | None, now: float) -> list[FinalDecision]:
+        out = self.decide_due(now)
         match decision:
             case None | Queued():
                 return out
@@ -135,7 +151,7 @@
     name: str,
     *,
     settings: SchedulerSettings,
-    without: Mechanism | None = None,
+    disabled: Mechanism | None = None,
     fixed_limit: int = 0,
     affinity: bool = True,
     zones: bool = True,
@@ -145,17 +161,19 @@
 ) -> Scheme:
     """Return our scheme, with what is to be left out or set otherwise."""
     settings = replace(settings, **thresholds)
-    if without:
-        settings = replace(settings, disabled=frozenset([without]))
+    if disabled:
+        settings = replace(settings, disabled=frozenset([disabled]))
     if fixed_limit:
         settings = replace(settings, initial_limit=fixed_limit)
 
-    def router(upstreams: list[UpstreamFacts], zone: str, random: Random) -> Ours:
+    def router(
+        upstreams: list[UpstreamFacts], zone: str, random: Random
+    ) -> SchedulerRouter:
         scheduler = Scheduler(
             zone=zone if zones else "", random=random, settings=settings
         )
         scheduler.set_upstreams(upstreams, 0.0)
-        return Ours(scheduler, cancels=cancels, affinity=affinity)
+        return SchedulerRouter(scheduler, cancels=cancels, affinity=affinity)
 
     return Scheme(
         name=name, router=router, adaptive=not fixed_limit, priorities=priorities
@@ -163,7 +181,7 @@
 
 
 @dataclass(kw_only=True)
-class _Open:
+class _OpenRequest:
     """A request that a plain router has in flight."""
 
     request: RequestFacts
@@ -172,51 +190,57 @@
 
 
 @dataclass(kw_only=True)
-class Plain:
+class PlainRouter:
     """Round robin or least connections, with or without a fixed limit.
 
     With a limit the rest waits first in, first out, until the caller hangs up;
-    a full line refuses.  A failed repeatable request is
+    a full queue refuses.  A failed repeatable request is
     tried up to three times.
     """
 
     upstreams: list[UpstreamFacts]
-    least: bool
+    by_load: bool
     limit: int = 0
     cancels: bool = True
-    open_by_id: dict[str, _Open] = field(default_factory=dict)
+    open_by_id: dict[str, _OpenRequest] = field(default_factory=dict)
     in_flight: dict[str, int] = field(default_factory=dict)
-    lines_by_pool: dict[tuple[str, ...], deque[RequestFacts]] = field(
+    queue_by_pool: dict[tuple[str, ...], deque[RequestFacts]] = field(
         default_factory=dict
     )
-    turn: int = 0
+    next_index: int = 0
 
-    def offer(self, request: RequestFacts, now: float) -> list[Step]:
-        """Dispatch, or append to the line."""
-        line = self.lines_by_pool.setdefault(request.back_ends, deque())
-        if self.limit and len(line) >= MAX_LINE:
+    def offer(self, request: RequestFacts, now: float) -> list[FinalDecision]:
+        """Dispatch, or append to the queue."""
+        queue = self.queue_by_pool.setdefault(request.back_ends, deque())
+        if self.limit and len(queue) >= MAX_QUEUED_REQUESTS:
             return [_refusal(request, Reason.QUEUE_FULL)]
-        line.append(request)
-        return self.tick(now)
+        queue.append(request)
+        return self.decide_due(now)
 
-    def changed(self, upstreams: list[UpstreamFacts], now: float) -> list[Step]:
+    def set_upstreams(
+        self, upstreams: list[UpstreamFacts], now: float
+    ) -> list[FinalDecision]:
         """Take them over."""
         self.upstreams = upstreams
-        return self.tick(now)
+        return self.decide_due(now)
 
-    def report(self, reports: list[LoadReport], now: float) -> list[Step]:
+    def record_loads(
+        self, reports: list[LoadReport], now: float
+    ) -> list[FinalDecision]:
         """Ignore it: none of these uses reports."""
         return []
 
-    def first_token(self, request_id: str, now: float) -> None:
+    def record_first_token(self, request_id: str, now: float) -> None:
         """Ignore it."""
 
-    def finished(self, request_id: str, now: float) -> list[Step]:
+    def record_finish(self, request_id: str, now: float) -> list[FinalDecision]:
         """Free the place."""
         self._end(request_id)
-        return self.tick(now)
+        return self.decide_due(now)
 
-    def failed(self, request_id: str, failure: Failure, now: float) -> list[Step]:
+    def record_failure(
+        self, request_id: str, failure: Failure, now: float
+    ) -> list[FinalDecision]:
         """Try again elsewhere, whatever the load."""
         ended = self._end(request_id)
         if ended is None:
@@ -226,32 +250,34 @@
             return [_refusal(request, Reason.ATTEMPTS, may_have_run=True)]
         return [self._send(request, ended.attempt + 1)]
 
-    def left(self, request_id: str, now: float) -> tuple[str | None, list[Step]]:
+    def record_disconnect(
+        self, request_id: str, now: float
+    ) -> tuple[str | None, list[FinalDecision]]:
         """Cancel where that is done."""
-        for pool, line in self.lines_by_pool.items():
-            kept = deque(r for r in line if r.request_id != request_id)
-            self.lines_by_pool[pool] = kept
+        for pool, queue in self.queue_by_pool.items():
+            kept = deque(r for r in queue if r.request_id != request_id)
+            self.queue_by_pool[pool] = kept
         if not self.cancels:
             return None, []
         ended = self._end(request_id)
-        return (ended.upstream if ended else None), self.tick(now)
+        return (ended.upstream if ended else None), self.decide_due(now)
 
-    def tick(self, now: float) -> list[Step]:
+    def decide_due(self, now: float) -> list[FinalDecision]:
         """Send what there is room for, in order of arrival."""
-        out: list[Step] = []
-        for line in self.lines_by_pool.values():
-            while line and self._has_room(line[0]):
-                out.append(self._send(line.popleft(), 1))
+        out: list[FinalDecision] = []
+        for queue in self.queue_by_pool.values():
+            while queue and self._has_headroom(queue[0]):
+                out.append(self._send(queue.popleft(), 1))
         return out
 
-    def next_wake(self) -> float | None:
-        """Return None: those in the line hang up at their deadline."""
+    def next_wake_at(self) -> float | None:
+        """Return None: those in the queue hang up at their deadline."""
         return None
 
     def _pool(self, request: RequestFacts) -> list[str]:
         return [u.name for u in self.upstreams if u.back_end in request.back_ends]
 
-    def _has_room(self, request: RequestFacts) -> bool:
+    def _has_headroom(self, request: RequestFacts) -> bool:
         if not self.limit:
             return True
         loads = (self.in_flight.get(name, 0) for name in self._pool(request))
@@ -259,28 +285,30 @@
 
     def _send(self, request: RequestFacts, attempt: int) -> Assignment:
         pool = self._pool(request)
-        self.turn += 1
-        turned = pool[self.turn % len(pool) :] + pool[: self.turn % len(pool)]
-        name = turned[0]
-        if self.least:
-            name = min(turned, key=lambda each: self.in_flight.get(each, 0))
+        self.next_index += 1
+        rotated = (
+            pool[self.next_index % len(pool) :] + pool[: self.next_index % len(pool)]
+        )
+        name = rotated[0]
+        if self.by_load:
+            name = min(rotated, key=lambda each: self.in_flight.get(each, 0))
         self.in_flight[name] = self.in_flight.get(name, 0) + 1
-        self.open_by_id[request.request_id] = _Open(
+        self.open_by_id[request.request_id] = _OpenRequest(
             request=request, upstream=name, attempt=attempt
         )
         return Assignment(request=request, upstream=name, attempt=attempt)
 
-    def _end(self, request_id: str) -> _Open | None:
+    def _end(self, request_id: str) -> _OpenRequest | None:
         ended = self.open_by_id.pop(request_id, None)
         if ended:
             self.in_flight[ended.upstream] -= 1
         return ended
 
 
-MAX_LINE = 200
+MAX_QUEUED_REQUESTS = 200
 """A common default for a router's queue."""
 
-FIXED_LIMIT = 8
+FIXED_LIMIT_REQUESTS = 8
 """In flight at each upstream from each of three routers: 24 of 32 slots."""
 
 
@@ -288,8 +316,8 @@
     """First in, first out, round robin, no limit, nothing cancelled."""
     return Scheme(
         name="fifo_round_robin",
-        router=lambda upstreams, zone, random: Plain(
-            upstreams=upstreams, least=False, cancels=False
+        router=lambda upstreams, zone, random: PlainRouter(
+            upstreams=upstreams, by_load=False, cancels=False
         ),
     )
 
@@ -298,17 +326,19 @@
     """Fewest of one's own in flight, no limit; the engine may know classes."""
     return Scheme(
         name="least_connections" + ("_priorities" if priorities else ""),
-        router=lambda upstreams, zone, random: Plain(upstreams=upstreams, least=True),
+        router=lambda upstreams, zone, random: PlainRouter(
+            upstreams=upstreams, by_load=True
+        ),
         priorities=priorities,
     )
 
 
 def fixed_limits() -> Scheme:
-    """Least connections within a fixed limit, and a line behind it."""
+    """Least connections within a fixed limit, and a queue behind it."""
     return Scheme(
         name="fixed_limits",
-        router=lambda upstreams, zone, random: Plain(
-            upstreams=upstreams, least=True, limit=FIXED_LIMIT
+        router=lambda upstreams, zone, random: PlainRouter(
+            upstreams=upstreams, by_load=True, limit=FIXED_LIMIT_REQUESTS
         ),
     )
 
--- a/benchmarks/load/workloads.py
+++ b/benchmarks/load/workloads.py
@@ -6,7 +6,7 @@
 
 from ragwortkeel.configuration import ServiceClass
 
-LEAVING = 0.08
+DISCONNECT_FRACTION = 0.08
 """Part of interactive callers who close the window before the answer is whole;
 they are left out of the shares served in time."""
 
@@ -15,7 +15,7 @@
 class ProfileLoad:
     """One profile's promises and sizes; `weight` is its part of all requests.
 
-    Requests of one conversation (`prefixes` of them) repeat `prefix_share` of
+    Requests of one conversation (`prefixes` of them) repeat `prefix_fraction` of
     its length, so their prompts differ by the last turn only.
     """
 
@@ -27,7 +27,7 @@
     first_token_seconds: float
     prompt: tuple[int, int]
     output: tuple[int, int]
-    prefix_share: float = 0.0
+    prefix_fraction: float = 0.0
     prefixes: int = 0
 
 
@@ -59,7 +59,7 @@
         Part of all requests that one customer sends.
     hot_prefix : float
         Part of prefixed requests that share one prefix.
-    long_factor : float
+    batch_weight_factor : float
         How many times the weight of batch profiles.
     slow, failing : tuple of float
         From, to (seconds): the first model server is at a quarter of its speed,
@@ -77,7 +77,7 @@
     burst: tuple[float, float, float] = (0.0, 0.0, 1.0)
     greedy: float = 0.0
     hot_prefix: float = 0.0
-    long_factor: float = 1.0
+    batch_weight_factor: float = 1.0
     slow: tuple[float, float] = (0.0, 0.0)
     failing: tuple[float, float] = (0.0, 0.0)
     restarting: tuple[float, float] = (0.0, 0.0)
@@ -87,10 +87,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Need:
+class RequestSpec:
     """What one caller wants once; it may ask for it more than once.
 
-    With `leaves_after` it hangs up after as many seconds, whatever comes.
+    With `disconnects_after_seconds` it hangs up after as many seconds, whatever comes.
     """
 
     number: int
@@ -101,7 +101,7 @@
     output: int
     prefix: str
     prefix_tokens: int
-    leaves_after: float = 0.0
+    disconnects_after_seconds: float = 0.0
 
 
 def _customers() -> dict[str, float]:
@@ -125,7 +125,7 @@
             first_token_seconds=1.5,
             prompt=(800, 2_400),
             output=(60, 220),
-            prefix_share=0.8,
+            prefix_fraction=0.8,
             prefixes=250,
         ),
         ProfileLoad(
@@ -137,7 +137,7 @@
             first_token_seconds=30.0,
             prompt=(500, 900),
             output=(10, 40),
-            prefix_share=0.5,
+            prefix_fraction=0.5,
             prefixes=4,
         ),
         ProfileLoad(
@@ -189,7 +189,7 @@
             first_token_seconds=30.0,
             prompt=(6_000, 20_000),
             output=(300, 700),
-            prefix_share=0.8,
+            prefix_fraction=0.8,
             prefixes=60,
         ),
         ProfileLoad(
@@ -201,7 +201,7 @@
             first_token_seconds=2.0,
             prompt=(1_500, 5_000),
             output=(120, 360),
-            prefix_share=0.8,
+            prefix_fraction=0.8,
             prefixes=150,
         ),
         ProfileLoad(
@@ -213,7 +213,7 @@
             first_token_seconds=30.0,
             prompt=(900, 2_500),
             output=(5, 20),
-            prefix_share=0.4,
+            prefix_fraction=0.4,
             prefixes=6,
         ),
         ProfileLoad(
@@ -248,7 +248,7 @@
     Scenario(name="hot_prefix", load=0.8, hot_prefix=0.7),
     Scenario(name="slow", load=0.7, slow=(8.0, 40.0)),
     Scenario(name="uneven", load=0.65, uneven=True),
-    Scenario(name="long", load=0.8, long_factor=2.5),
+    Scenario(name="long", load=0.8, batch_weight_factor=2.5),
     Scenario(name="saturation", load=1.6),
     Scenario(name="restarts", load=0.8, restarting=(8.0, 38.0)),
     Scenario(name="flaky", load=1.0, flaky=0.3),
@@ -256,38 +256,42 @@
 )
 
 
-def needs(deployment: Deployment, scenario: Scenario, random: Random) -> Iterator[Need]:
+def request_specs(
+    deployment: Deployment, scenario: Scenario, random: Random
+) -> Iterator[RequestSpec]:
     """Yield what callers want, in order of time."""
     profiles = [
         replace(
             p,
             weight=p.weight
-            * (scenario.long_factor if p.service is ServiceClass.BATCH else 1.0),
+            * (
+                scenario.batch_weight_factor if p.service is ServiceClass.BATCH else 1.0
+            ),
         )
         for p in deployment.profiles
     ]
     at = 0.0
     number = 0
     while True:
-        start, end, times = scenario.burst
+        start, end, factor = scenario.burst
         rate = deployment.rate * scenario.load
         if start <= at < end:
-            rate *= times
+            rate *= factor
         at += random.expovariate(rate)
         if at >= scenario.seconds:
             return
         number += 1
-        yield _need(deployment, scenario, profiles, number, at, random)
+        yield _request_spec(deployment, scenario, profiles, number, at, random)
 
 
-def _need(
+def _request_spec(
     deployment: Deployment,
     scenario: Scenario,
     profiles: list[ProfileLoad],
     number: int,
     at: float,
     random: Random,
-) -> Need:
+) -> RequestSpec:
     profile = random.choices(profiles, [p.weight for p in profiles])[0]
     names = list(deployment.weights_by_customer)
     weights = list(deployment.weights_by_customer.values())
@@ -302,11 +306,14 @@
             index = 0
         prefix = f"{profile.name}/{index}"
         prompt = Random(index).randint(*profile.prompt)
-        prefix_tokens = int(prompt * profile.prefix_share)
-    leaves_after = 0.0
-    if profile.service is ServiceClass.INTERACTIVE and random.random() < LEAVING:
-        leaves_after = random.uniform(0.2, 0.3 * profile.deadline_seconds)
-    return Need(
+        prefix_tokens = int(prompt * profile.prefix_fraction)
+    disconnects_after_seconds = 0.0
+    if (
+        profile.service is ServiceClass.INTERACTIVE
+        and random.random() < DISCONNECT_FRACTION
+    ):
+        disconnects_after_seconds = random.uniform(0.2, 0.3 * profile.deadline_seconds)
+    return RequestSpec(
         number=number,
         at=at,
         customer=customer,
@@ -315,5 +322,5 @@
         output=random.randint(*profile.output),
         prefix=prefix,
         prefix_tokens=prefix_tokens,
-        leaves_after=leaves_after,
+        disconnects_after_seconds=disconnects_after_seconds,
     )
--- a/benchmarks/load_policies.py
+++ b/benchmarks/load_policies.py
@@ -1,8 +1,8 @@
 """What callers get under load: our policies against common ones.
 
-Prints ``key=value`` lines.  ``bench=load`` compares whole schemes on each pattern
+Prints ``key=value`` lines.  ``bench=load`` compares complete schemes on each pattern
 of load; ``bench=load_without`` leaves out one of our mechanisms at a time and gives
-what it bought, the figure with it less the figure without it.  The
+what it gain, the figure with it less the figure without it.  The
 seeds are the same for all, and so are the callers.
 
 Run ``python -m benchmarks.load_policies``; ``--quick`` takes one seed.
@@ -35,7 +35,7 @@
     "flaky",
     "failing",
 )
-"""Where mechanisms are left out: the patterns that differed most."""
+"""Where mechanisms are left out: the patterns that differed largest_gain."""
 
 OUR_SETTINGS = SchedulerSettings(report_lag_seconds=REPORT_LAG_SECONDS)
 
@@ -64,10 +64,10 @@
     ]
 
 
-def without() -> list[Scheme]:
+def schemes_without_mechanisms() -> list[Scheme]:
     """Return ours with one mechanism left out each."""
     left_out = [
-        ours(mechanism.value, settings=OUR_SETTINGS, without=mechanism)
+        ours(mechanism.value, settings=OUR_SETTINGS, disabled=mechanism)
         for mechanism in Mechanism
     ]
     return left_out + [
@@ -106,7 +106,9 @@
 
 def play(run: Run) -> Result:
     """Play one run."""
-    scheme_by_name = {scheme.name: scheme for scheme in (*schemes(), *without())}
+    scheme_by_name = {
+        scheme.name: scheme for scheme in (*schemes(), *schemes_without_mechanisms())
+    }
     fleet = Fleet(
         deployment=DEPLOYMENTS[run.deployment],
         scenario=SCENARIOS[run.scenario],
@@ -122,17 +124,19 @@
     parser.add_argument("--quick", action="store_true", help="one seed only")
     seeds = SEEDS[:1] if parser.parse_args(arguments).quick else SEEDS
     names = [scheme.name for scheme in schemes()]
-    left_out = [scheme.name for scheme in without()]
-    everywhere = range(len(SCENARIOS))
-    runs = _runs(names, everywhere, seeds) + _runs(left_out, _left_out_in(), seeds)
+    left_out = [scheme.name for scheme in schemes_without_mechanisms()]
+    all_scenarios = range(len(SCENARIOS))
+    runs = _runs(names, all_scenarios, seeds) + _runs(
+        left_out, _left_out_scenarios(), seeds
+    )
     with ProcessPoolExecutor(WORKERS) as pool:
         results = list(pool.map(play, runs, chunksize=4))
-    said = ",".join(str(seed) for seed in seeds)
-    _print_schemes(results, names, said)
-    _print_without(results, left_out, said)
+    seed_list = ",".join(str(seed) for seed in seeds)
+    _print_schemes(results, names, seed_list)
+    _print_without(results, left_out, seed_list)
 
 
-def _left_out_in() -> list[int]:
+def _left_out_scenarios() -> list[int]:
     names = [scenario.name for scenario in SCENARIOS]
     return [names.index(name) for name in LEFT_OUT_SCENARIOS]
 
@@ -168,34 +172,34 @@
 
 
 def _print_without(results: list[Result], left_out: list[str], seeds: str) -> None:
-    """Print what each mechanism bought: with it less without it, means of all."""
-    chosen = set(_left_out_in())
+    """Print what each mechanism gain: with it less without it, means of all."""
+    chosen = set(_left_out_scenarios())
     results = [result for result in results if result.run.scenario in chosen]
     for d, deployment in enumerate(DEPLOYMENTS):
-        whole = _mean(_select(results, "ours", d))
+        complete = _mean(_select(results, "ours", d))
         for name in left_out:
-            lacking = _mean(_select(results, name, d))
-            bought = {k: whole[k] - lacking[k] for k in COMPARED_IN_LEFT_OUT}
-            scenario, most = _most_bought(results, name, d)
+            reduced = _mean(_select(results, name, d))
+            gain = {k: complete[k] - reduced[k] for k in COMPARED_IN_LEFT_OUT}
+            scenario, largest_gain = _largest_gain(results, name, d)
             print(
                 f"bench=load_without deployment={deployment.name} mechanism={name} "
                 f"seeds={seeds} "
-                + _format(bought)
-                + f" most_in={scenario} most_in_time={most:+.4f}"
+                + _format(gain)
+                + f" most_in={scenario} most_in_time={largest_gain:+.4f}"
             )
 
 
-def _most_bought(
+def _largest_gain(
     results: list[Result], name: str, deployment: int
 ) -> tuple[str, float]:
-    """Return the scenario where the mechanism bought most in-time answers."""
-    bought = []
-    for s in _left_out_in():
-        whole = _mean(_select(results, "ours", deployment, s))
-        lacking = _mean(_select(results, name, deployment, s))
-        bought.append((whole["in_time"] - lacking["in_time"], SCENARIOS[s].name))
-    most, where = max(bought)
-    return where, most
+    """Return the scenario where the mechanism gain largest_gain in-time answers."""
+    gain = []
+    for s in _left_out_scenarios():
+        complete = _mean(_select(results, "ours", deployment, s))
+        reduced = _mean(_select(results, name, deployment, s))
+        gain.append((complete["in_time"] - reduced["in_time"], SCENARIOS[s].name))
+    largest_gain, where = max(gain)
+    return where, largest_gain
 
 
 def _select(
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -9,9 +9,9 @@
 import platform
 
 from benchmarks._slopes_budget import measure_budget
+from benchmarks._slopes_components import measure_components
 from benchmarks._slopes_fit import report
 from benchmarks._slopes_links import measure_links
-from benchmarks._slopes_parts import measure_parts
 from benchmarks._slopes_requests import measure_requests
 from benchmarks._slopes_store import measure_store
 
@@ -19,7 +19,7 @@
 def main() -> None:
     """Run every measurement, one after the other."""
     report(bench="slopes", python=platform.python_version(), processors=os.cpu_count())
-    measure_parts()
+    measure_components()
     measure_store()
     measure_budget()
     measure_links()
--- a/tests/policy/test_load_patterns.py
+++ b/tests/policy/test_load_patterns.py
@@ -19,7 +19,7 @@
 SCENARIOS_BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 SCHEMES = {
     "ours": ours("ours", settings=OUR_SETTINGS),
-    "unfair": ours("unfair", settings=OUR_SETTINGS, without=Mechanism.FAIR_SHARES),
+    "unfair": ours("unfair", settings=OUR_SETTINGS, disabled=Mechanism.FAIR_SHARES),
     "least": least_connections(priorities=True),
 }
 BOTH = pytest.mark.parametrize("deployment", [0, 1], ids=["surco", "chaophraya"])
@@ -125,9 +125,9 @@
         Callers would retry later, and the benchmark would show better figures for it.
         """
         measures = play("saturation", deployment)
-        late = [s for s in measures.turned_away_after if s > 4.0]
-        assert len(measures.turned_away_after) > 100
-        assert len(late) < 0.02 * len(measures.turned_away_after)
+        late = [s for s in measures.refusal_seconds if s > 4.0]
+        assert len(measures.refusal_seconds) > 100
+        assert len(late) < 0.02 * len(measures.refusal_seconds)
 
 
 class TestModel:
