--- a/src/ragwortkeel/cli/reports.py
+++ b/src/ragwortkeel/cli/reports.py
@@ -55,7 +55,7 @@
     serving = [one.value for one in upstreams.values() if not one.value.retired]
     retired = sum(one.value.retired for one in profiles.values())
     data = Status(
-        nodes=[_node_row(state) for state in found],
+        nodes=[_process_row(state) for state in found],
         profiles=len(profiles) - retired,
         retired_profiles=retired,
         upstreams=len(serving),
@@ -97,7 +97,7 @@
     return lines
 
 
-def _node_row(state: ProcessState) -> ProcessRow:
+def _process_row(state: ProcessState) -> ProcessRow:
     node = state.node
     return ProcessRow(
         name=node.incarnation,
