--- a/tests/processes/conftest.py
+++ b/tests/processes/conftest.py
@@ -1,4 +1,4 @@
-"""Fleets of processes; on a failure their last log lines are printed."""
+"""A fixture for a fleet of processes; pytest shows their logs on a failure."""
 
 import pytest
 from deployments.fleet import Fleet
--- a/tests/processes/test_deaths.py
+++ b/tests/processes/test_deaths.py
@@ -1,4 +1,4 @@
-"""Processes killed at the worst moment; callers retry, budgets and bills hold."""
+"""Tests of processes killed during a request, with retries, budgets and bills."""
 
 from base64 import b64decode
 from contextlib import suppress
@@ -21,13 +21,13 @@
 
 
 def read(stream, count):
-    """Read some events of a stream."""
+    """Return the first `count` events of a stream, and an iterator of the others."""
     events = stream.events()
     return [next(events) for _ in range(count)], events
 
 
-def rest_of(events):
-    """Read on until the stream ends or breaks."""
+def remaining(events):
+    """Return the remaining events until the stream ends or breaks."""
     rv = []
     with suppress(BrokenOff):
         rv.extend(events)
@@ -35,18 +35,17 @@
 
 
 class TestRouterKilled:
-    def test_retry_at_the_other_router_gets_the_whole_answer_and_one_bill(self, fleet):
-        """A caller's stream breaks off and it asks again elsewhere.
+    def test_retry_at_another_router_gets_the_complete_answer_and_one_bill(self, fleet):
+        """Guards against an incomplete retry and against a second charge.
 
-        Its router is killed in the middle of the stream; it sends the same key
-        to the other router.  It must get the whole answer, and the budget must
-        be charged once, though the run may have gone on without a router.
+        A router is killed during a stream and the caller sends the same key to
+        another router, while the first run may continue without a router.
         """
         deployment = chat_deployment(fleet, token_seconds=0.01)
         stream = deployment.stream("router-1", LONG, key="call-1", max_tokens=300)
         first, events = read(stream, 5)
         deployment.routers["router-1"].kill()
-        broken = rest_of(events)
+        broken = remaining(events)
         assert "[DONE]" not in broken
         retry = deployment.stream("router-2", LONG, key="call-1", max_tokens=300)
         assert retry.status == 200
@@ -60,35 +59,33 @@
 
 
 class TestSidecarKilled:
-    def test_stream_goes_on_elsewhere_or_says_that_it_broke(self, fleet):
-        """The sidecar dies under a stream.
+    def test_stream_continues_elsewhere_or_ends_with_an_error(self, fleet):
+        """Guards against an incomplete answer without an error.
 
-        The caller must see the whole answer, gone on with at another upstream,
-        or an explicit error; never an answer that just stops or looks whole.
+        The sidecar is killed during a stream.  The answer must be continued at
+        another upstream or end with an explicit error.
         """
         deployment = chat_deployment(fleet, engines=2, routers=1, token_seconds=0.01)
         stream = deployment.stream("router-1", LONG, key="call-1", max_tokens=300)
         first, events = read(stream, 5)
         assert text_of(first)
         deployment.sidecars[deployment.running("call-1")].kill()
-        answer = first + rest_of(events)
+        answer = first + remaining(events)
         if answer[-1] == "[DONE]":
             assert text_of(answer) == expected_answer(LONG, 300)
         else:
             assert "error" in answer[-1]
-        again = deployment.chat("router-1", "still there?", key="call-2")
-        assert again.status == 200
+        later = deployment.chat("router-1", "still there?", key="call-2")
+        assert later.status == 200
 
 
 class TestEngineKilled:
     @pytest.mark.parametrize("resumes", [True, False])
-    def test_stream_goes_on_where_it_stopped_or_ends_with_an_error(
-        self, fleet, resumes
-    ):
-        """An engine dies in the middle of an answer, and another is there.
+    def test_stream_resumes_or_ends_with_an_error(self, fleet, resumes):
+        """Guards against gaps and repetitions in a resumed answer.
 
-        Where engines can resume, the caller sees one whole answer without a gap
-        or a repetition; where not, the stream ends with an explicit error.
+        An engine is killed during an answer while another one is live.  If
+        engines cannot resume, the stream must end with an explicit error.
         """
         deployment = chat_deployment(
             fleet, engines=2, routers=1, resumes=resumes, token_seconds=0.01
@@ -103,11 +100,11 @@
         else:
             assert '"outcome":"failed"' in answer[-1]
 
-    def test_stream_is_not_gone_on_with_by_an_engine_that_begins_anew(self, fleet):
-        """The engine that resumes dies; the one left over cannot resume.
+    def test_stream_is_not_continued_by_an_engine_that_cannot_resume(self, fleet):
+        """Guards against an answer that contains its first tokens twice.
 
-        Sent on all the same, it would begin anew: the caller would get the first
-        tokens twice and an end marker, an answer that only looks whole.
+        An engine that can resume is killed, and the remaining engine cannot
+        resume: it would start the answer from its first token.
         """
         deployment = Deployment(fleet=fleet, platform=fleet.platform())
         for name, resumes in (("engine-1", True), ("engine-2", False)):
@@ -131,10 +128,10 @@
 
 class TestFilings:
     def test_filing_sent_to_two_routers_runs_once(self, fleet):
-        """A clerk's filing is sent again at another router.
+        """Guards against a claim that is filed twice.
 
-        The first answer got lost on the way; the claim must not be filed twice,
-        and the second answer is that of the first run.
+        The first answer is lost and the filing is sent again to another router,
+        which must return the answer of the first run.
         """
         deployment = filing_deployment(fleet)
         claim = {"claim": 4711}
@@ -144,11 +141,11 @@
         assert first.body == second.body
         assert deployment.runs()["claim-4711"] == 1
 
-    def test_filing_whose_router_died_is_never_run_twice(self, fleet):
-        """The router is killed while the service works on a filing.
+    def test_filing_of_a_killed_router_runs_at_most_once(self, fleet):
+        """Guards against a second run after a router is killed during a filing.
 
-        The retry at the other router gets the answer of that run, or the truth
-        that its outcome is unknown; the service sees the claim at most once.
+        The retry at another router gets the answer of the first run, or is refused
+        with outcome unknown or not_run.
         """
         deployment = filing_deployment(fleet)
         fleet.switch(deployment.upstreams["filings-1"], slow=1.0)
@@ -163,10 +160,10 @@
 
 
 def has_intent(deployment, key):
-    """Whether the intent of a filing is durable, so that it may be running."""
+    """Return whether the intent of a filing is stored, so that it may be running."""
     port = deployment.platform.ports["http"]
     listed = ask(port, "GET", "/v1/objects/intents").json["objects"]
-    return any(key.encode() in b64decode(one["value"]) for one in listed)
+    return any(key.encode() in b64decode(intent["value"]) for intent in listed)
 
 
 def billed(fleet, request_id):
--- a/tests/processes/test_frozen.py
+++ b/tests/processes/test_frozen.py
@@ -1,4 +1,4 @@
-"""A router frozen past its seal, which wakes up believing in its slice."""
+"""Tests of a router that is paused until after its slice is sealed."""
 
 import http.client
 import json
@@ -16,27 +16,27 @@
 
 
 class Spender:
-    """Asks for answers and adds up what they cost by their own usage."""
+    """Sends requests and adds up the usage in their answers."""
 
     def __init__(self, deployment):
         self._deployment = deployment
         self.tokens = 0
 
     def spend(self, router):
-        """Ask once; return the status."""
+        """Send one request and return the status."""
         answer = self._deployment.chat(router, "one more", max_tokens=100)
         if answer.status == 200:
             self.tokens += answer.json["usage"]["total_tokens"]
         return answer.status
 
-    def take(self, response):
-        """Add up an answer that was asked for elsewhere."""
+    def record(self, response):
+        """Add the usage of a response to a request sent elsewhere."""
         body = json.loads(response.read())
         if response.status == 200:
             self.tokens += body["usage"]["total_tokens"]
 
-    def spend_all(self, router):
-        """Ask until refused for want of tokens; return whether it came to that."""
+    def is_refused(self, router):
+        """Send one request; return whether it is refused for lack of tokens."""
         if self.spend(router) == 402:
             return True
         time.sleep(0.01)
@@ -44,12 +44,12 @@
 
 
 class TestFrozenRouter:
-    def test_router_frozen_past_its_seal_spends_nothing_when_it_wakes(self, fleet):
-        """A router is paused, sealed, and wakes up believing in its slice.
+    def test_router_paused_past_its_seal_spends_nothing_when_resumed(self, fleet):
+        """Guards against tokens of a sealed slice that are spent twice.
 
-        Its tokens went back and were spent by the other router, while callers'
-        requests piled up in its sockets.  If it ran them on its old slice when
-        it wakes, the budget would be overspent.
+        A router is paused and sealed, and another router spends its tokens.  The
+        requests queued in its sockets must not run on the old slice when the
+        router resumes.
         """
         deployment = chat_deployment(fleet, prepaid=PREPAID)
         spender = Spender(deployment)
@@ -57,12 +57,12 @@
         with deployment.routers["router-1"].frozen():
             wait_until(lambda: seals(deployment), "the frozen router is sealed")
             wait_until(
-                lambda: spender.spend_all("router-2") and is_spent(fleet),
-                "router-2 spent what the frozen router held as well",
+                lambda: spender.is_refused("router-2") and is_spent(fleet),
+                "router-2 spent the tokens of the frozen router too",
             )
             waiting = [send_chat(deployment, "router-1") for _ in range(10)]
         for connection in waiting:
-            spender.take(connection.getresponse())
+            spender.record(connection.getresponse())
             connection.close()
         for _ in range(10):
             spender.spend("router-1")
@@ -71,7 +71,7 @@
 
 
 def send_chat(deployment, router):
-    """Ask without waiting; return the open connection."""
+    """Send a request and return the open connection without reading it."""
     connection = http.client.HTTPConnection(HOST, deployment.port(router), timeout=60)
     body = json.dumps(chat_body("one more", max_tokens=100))
     connection.request("POST", CHAT_PATH, body=body)
@@ -88,5 +88,5 @@
 
 
 def is_spent(fleet):
-    """Whether no more than one request's bound is left or held back."""
+    """Return whether less than 200 tokens, the bound of a request, are unspent."""
     return PREPAID - budget(fleet)["spent"] < 200
--- a/tests/processes/test_limited_upstreams.py
+++ b/tests/processes/test_limited_upstreams.py
@@ -1,4 +1,4 @@
-"""An upstream announces a rate limit; ingress processes of their own keep it."""
+"""Tests of an announced rate limit that several ingress processes share."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -18,21 +18,21 @@
 )
 from ragwortkeel.platform_client import HttpPlatform
 
-LIMIT = 1.2
+LIMIT_PER_SECOND = 1.2
 WINDOW_SECONDS = 4.0
-MOST_IN_WINDOW = 1.5 * LIMIT * WINDOW_SECONDS + 5
-TOLD_SECONDS = 0.5
-SETTLED_SECONDS = 2.0
+MAX_IN_WINDOW_REQUESTS = 1.5 * LIMIT_PER_SECOND * WINDOW_SECONDS + 5
+ANNOUNCEMENT_SECONDS = 0.5
+STARTUP_SECONDS = 2.0
 PROCESSES = 3
 ROUNDS = 60
-PAUSE_SECONDS = 0.1
-PART_SECONDS = PROCESSES / LIMIT
-CHOSEN_SECONDS = 1.0
+ROUND_INTERVAL_SECONDS = 0.1
+REQUEST_INTERVAL_SECONDS = PROCESSES / LIMIT_PER_SECOND
+SELECTION_SECONDS = 1.0
 
 
 @contextmanager
 def serving(limit=None):
-    """Serve as an upstream; yield its port and when requests arrived."""
+    """Serve as an upstream; yield its port and the arrival times of requests."""
     arrived = []
 
     class Handler(BaseHTTPRequestHandler):
@@ -63,20 +63,20 @@
         server.server_close()
 
 
-async def write(address, value_by_place):
+async def write(address, value_by_object):
     platform = HttpPlatform(address=address)
-    for (kind, name), value in value_by_place.items():
+    for (kind, name), value in value_by_object.items():
         await platform.create(kind, name, msgspec.json.encode(value))
 
 
-def most_in_a_window(arrived):
+def max_in_window(arrived):
     return max(
         sum(first <= at < first + WINDOW_SECONDS for at in arrived) for first in arrived
     )
 
 
-def test_processes_of_their_own_keep_an_announced_limit_together(fleet):
-    """Guards against processes that each use an upstream's whole limit."""
+def test_processes_share_an_announced_limit(fleet):
+    """Guards against processes that each use the full limit of an upstream."""
 
     def lookup(number):
         process = processes[number % PROCESSES]
@@ -90,25 +90,30 @@
 
     fleet.platform()
     with ExitStack() as stack, ThreadPoolExecutor(24) as pool:
-        limited, arrived = stack.enter_context(serving(LIMIT))
-        others = [stack.enter_context(serving())[0] for _ in range(2)]
-        value_by_place = {
+        limited, arrived = stack.enter_context(serving(LIMIT_PER_SECOND))
+        unlimited = [stack.enter_context(serving())[0] for _ in range(2)]
+        value_by_object = {
             (UPSTREAMS_KIND, f"u{number}"): upstream(f"u{number}", port=port)
-            for number, port in enumerate([limited, *others])
+            for number, port in enumerate([limited, *unlimited])
         }
-        value_by_place[CONFIGURATION_KIND, CONFIGURATION_NAME] = configuration()
-        curio.run(write, f"{HOST}:{fleet.platform_port}", value_by_place)
+        value_by_object[CONFIGURATION_KIND, CONFIGURATION_NAME] = configuration()
+        curio.run(write, f"{HOST}:{fleet.platform_port}", value_by_object)
         processes = fleet.ingresses(PROCESSES)
         fleet.wait_ready(*processes)
-        time.sleep(SETTLED_SECONDS)
+        time.sleep(STARTUP_SECONDS)
         begun = time.monotonic()
         answers = []
         for round_number in range(ROUNDS):
             numbers = range(round_number * PROCESSES, (round_number + 1) * PROCESSES)
             answers += [pool.submit(lookup, number) for number in numbers]
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(ROUND_INTERVAL_SECONDS)
         assert {answer.result() for answer in answers} == {200}
-    late = [at for at in arrived if at >= begun + TOLD_SECONDS]
-    assert most_in_a_window(late) <= MOST_IN_WINDOW
-    last_due = begun + ROUNDS * PAUSE_SECONDS - PART_SECONDS - CHOSEN_SECONDS
+    late = [at for at in arrived if at >= begun + ANNOUNCEMENT_SECONDS]
+    assert max_in_window(late) <= MAX_IN_WINDOW_REQUESTS
+    last_due = (
+        begun
+        + ROUNDS * ROUND_INTERVAL_SECONDS
+        - REQUEST_INTERVAL_SECONDS
+        - SELECTION_SECONDS
+    )
     assert late[-1] > last_due
--- a/tests/processes/test_operators.py
+++ b/tests/processes/test_operators.py
@@ -1,15 +1,15 @@
-"""Operators at their command line, against a running fleet."""
+"""Tests of the command line against a running fleet."""
 
 from deployments.deployment import CHAT_PROFILE, chat_deployment
 from deployments.fleet import PATIENCE
 
 
 class TestRaces:
-    def test_changes_at_the_same_moment_lose_nothing(self, fleet):
-        """Two operators change a profile and two top it up, all at once.
+    def test_concurrent_changes_are_preserved(self, fleet):
+        """Guards against lost changes when four commands run concurrently.
 
-        Each is told the truth: a change took effect or was refused as a
-        conflict; every top-up that was accepted counts once.
+        Of two changes to one profile, one takes effect and the other is refused as
+        a conflict.  Both top-ups add their tokens once.
         """
         deployment = chat_deployment(fleet, routers=1)
         before = fleet.command("profile", "show", CHAT_PROFILE)
@@ -20,21 +20,21 @@
             ("profile", "top-up", CHAT_PROFILE, 1_000),
             ("profile", "top-up", CHAT_PROFILE, 2_000),
         ]
-        started = [fleet.start_command(*one) for one in commands]
+        started = [fleet.start_command(*arguments) for arguments in commands]
         codes = [popen.wait(PATIENCE) for popen in started]
         assert sorted(codes[:2]) == [0, 3]
         assert codes[2:] == [0, 0]
         after = fleet.command("profile", "show", CHAT_PROFILE)
-        winner = 41 if codes[0] == 0 else 42
-        assert after["profile"]["deadline_seconds"] == winner
+        expected_seconds = 41 if codes[0] == 0 else 42
+        assert after["profile"]["deadline_seconds"] == expected_seconds
         added = after["budget"]["prepaid"] - before["budget"]["prepaid"]
         assert added == 3_000
         assert deployment.chat("router-1", "still served").status == 200
 
 
 class TestRetired:
-    def test_retired_profile_is_refused_everywhere_and_stays_so(self, fleet):
-        """An operator retires a profile; a router that starts later agrees."""
+    def test_retired_profile_is_refused_by_all_routers(self, fleet):
+        """Guards against a router that starts later and serves a retired profile."""
         deployment = chat_deployment(fleet)
         fleet.command("profile", "retire", CHAT_PROFILE, "--wait=30")
         fresh = fleet.router("router-9")
--- a/tests/processes/test_outages.py
+++ b/tests/processes/test_outages.py
@@ -1,4 +1,4 @@
-"""The platform away, a router frozen past its seal, a connection gone silent."""
+"""Tests of a platform outage, an exhausted budget and a silent connection."""
 
 import signal
 import time
@@ -20,13 +20,12 @@
 
 
 class TestPlatformDown:
-    def test_requests_go_on_within_slices_and_filings_are_refused_at_once(self, fleet):
-        """The platform's store is down for long, in office hours.
+    def test_chat_uses_slices_and_filings_are_refused(self, fleet):
+        """Guards against refused chats and unrecorded filings during an outage.
 
-        Chat goes on from the tokens that the routers hold.  A filing can't be
-        recorded before it runs, so it is refused at once and does not run: as
-        not run where no other attempt of it can exist, and as unknown where the
-        caller's key may stand for an earlier one.
+        Chat requests use the tokens granted to the routers.  A filing cannot be
+        recorded before it runs, so it is refused: as not_run if it has no key, and
+        as not_run or unknown if its key may belong to an earlier attempt.
         """
         deployment = filing_deployment(fleet, routers=1)
         add_upstream(deployment, "engine-1", "assistant", "model")
@@ -54,7 +53,7 @@
 
 class TestTopUp:
     def test_top_up_ends_refusals(self, fleet):
-        """A budget is used up, and topped up while requests are refused."""
+        """Guards against refusals that continue after a top-up."""
         deployment = chat_deployment(fleet, routers=1, prepaid=400)
         refused = wait_until(
             lambda: refusal(deployment), "the budget is used up", patience=60
@@ -65,13 +64,12 @@
 
 
 class TestSilentConnection:
-    def test_request_over_a_silent_connection_is_answered_and_the_next_served(
-        self, fleet
-    ):
-        """Something between router and sidecar loses track of their connection.
+    def test_stream_over_a_silent_connection_ends(self, fleet):
+        """Guards against requests that wait on a silent connection.
 
-        It stays open and carries nothing; the stream on it must end whole or
-        with an explicit error, and new requests must find a new connection.
+        The connection between router and sidecar stays open and carries no data.
+        The stream on it must end completely or with an explicit error, and new
+        requests must use a new connection.
         """
         deployment = Deployment(fleet=fleet, platform=fleet.platform())
         add_upstream(
@@ -93,7 +91,7 @@
         try:
             answer += events
         except BrokenOff:
-            raise AssertionError("the stream just stopped") from None
+            raise AssertionError("the stream ended without an error") from None
         if answer[-1] == "[DONE]":
             assert text_of(answer) == expected_answer(LONG, 200)
         else:
@@ -102,7 +100,7 @@
 
 
 def refusal(deployment, router="router-1"):
-    """Send one request; return the refusal for want of tokens, if it is one."""
+    """Send one request; return the refusal for lack of tokens, or None."""
     answer = deployment.chat(router, "one more", max_tokens=100)
     if answer.status == 402:
         return answer.json
--- a/tests/processes/test_partitions.py
+++ b/tests/processes/test_partitions.py
@@ -1,4 +1,4 @@
-"""Routers cut off from the platform, and routers that start without it."""
+"""Tests of routers disconnected from the platform, also at their start."""
 
 import signal
 
@@ -14,22 +14,22 @@
 from deployments.fleet import HOST, ask, connects, wait_until
 
 LONG_PROMPT = "a whole season's dossier " * 80
-WAY = "way-to-the-platform"
+FORWARDER = "way-to-the-platform"
 
 
-class TestCutFromThePlatform:
-    def test_goes_on_within_its_slice_and_sees_the_top_up_once_healed(self, fleet):
-        """A router alone loses its way to the platform, in office hours.
+class TestDisconnectedFromThePlatform:
+    def test_serves_from_its_slice_and_sees_the_top_up_once_reconnected(self, fleet):
+        """Guards against overspending while one router is disconnected.
 
-        It serves from its slice until that is used up, and then says that it
-        can't ask for more.  The other router uses up the rest.  An operator tops
-        the budget up meanwhile: the router that is not cut off serves at once,
-        the other one as soon as its way is back.  Never is more spent than paid.
+        The disconnected router serves from its slice and then refuses with reason
+        budget_unreachable, while the connected router uses the remaining budget.
+        After a top-up, the connected router serves immediately and the other one
+        when it is reconnected.
         """
         prepaid = 14_000
-        deployment = cut_deployment(fleet, prepaid=prepaid)
+        deployment = forwarded_deployment(fleet, prepaid=prepaid)
         paid = settled(deployment)
-        cut(fleet)
+        disconnect(fleet)
         served, refused = use_up(deployment, "router-1", "budget_unreachable")
         assert served
         assert (refused.status, refused.json["outcome"]) == (503, "not_run")
@@ -43,7 +43,7 @@
         served.append(wait_until(lambda: accepted(deployment, "router-2"), "topped up"))
         still, _ = use_up(deployment, "router-1", "budget_unreachable")
         served += still
-        heal(fleet)
+        reconnect(fleet)
         served.append(wait_until(lambda: accepted(deployment, "router-1"), "healed"))
         known = paid + tokens_of(served)
         assert wait_until(lambda: settled(deployment), "all is settled") == known
@@ -51,15 +51,16 @@
         assert set(deployment.runs().values()) == {1}
 
 
-class TestConfigurationDuringACut:
-    def test_change_reaches_a_cut_off_router_through_the_other_one(self, fleet):
-        """An operator changes a profile while a router can't hear the platform.
+class TestConfigurationWhileDisconnected:
+    def test_change_reaches_a_disconnected_router_through_its_peer(self, fleet):
+        """Guards against routers that use an older version of a profile.
 
-        The router next to it passes the change on.  The limit is in force at
-        both, then the retirement; nothing older comes back with the platform.
+        A peer forwards changes to the disconnected router.  The output limit and
+        then the retirement come into force at both, and reconnecting restores no
+        older version.
         """
-        deployment = cut_deployment(fleet)
-        cut(fleet)
+        deployment = forwarded_deployment(fleet)
+        disconnect(fleet)
         command = ("profile", "change", CHAT_PROFILE, "--max_output_tokens=8")
         changed = fleet.command(*command)["version"]
         wait_in_force(deployment, changed)
@@ -70,7 +71,7 @@
         retired = fleet.command("profile", "show", CHAT_PROFILE)["version"]
         wait_in_force(deployment, retired)
         assert refusals(deployment) == {(410, "not_run")}
-        heal(fleet)
+        reconnect(fleet)
         create_profile(fleet, "later", "interactive", "assistant", 50_000)
         deployment.wait_serving("router-1", "later")
         assert in_force(deployment.routers["router-1"]) == retired
@@ -78,12 +79,14 @@
 
 
 class TestStartedDuringAnOutage:
-    def test_learns_from_its_peer_and_refuses_what_it_cannot_do(self, fleet):
-        """A router is started while the platform is down.
-
-        It learns the profiles and upstreams from the router it is told of, and
-        callers are sent to it.  It has no tokens and can't record a filing, and
-        says so at once, with when to come back; then it serves.
+    def test_gets_the_configuration_from_its_peer_and_refuses_without_tokens(
+        self, fleet
+    ):
+        """Guards against a router that cannot start during an outage.
+
+        The router receives profiles and upstreams from its configured peer.  It
+        has no tokens and cannot record a filing, so it refuses with a retry-after
+        header, and serves once the platform is back.
         """
         deployment = Deployment(fleet=fleet, platform=fleet.platform())
         add_upstream(deployment, "engine-1", "assistant", "model")
@@ -99,7 +102,7 @@
         fleet.wait_ready(deployment.routers["late"])
         refused = wait_until(
             lambda: refused_for(deployment, "late", "budget_unreachable"),
-            "the late router says that it can't ask for tokens",
+            "the late router refuses with budget_unreachable",
         )
         assert (refused.status, refused.json["outcome"]) == (503, "not_run")
         assert int(refused.headers["retry-after"]) > 0
@@ -117,33 +120,35 @@
         assert deployment.runs()["claim-1"] == 1
 
 
-def cut_deployment(fleet, **options):
-    """Two routers, of which the first reaches the platform over a forwarder."""
+def forwarded_deployment(fleet, **options):
+    """Return two routers; the first reaches the platform through a forwarder."""
     rv = chat_deployment(fleet, routers=0, **options)
-    way = fleet.forwarder(WAY, fleet.platform_port).ports["tcp"]
-    rv.routers["router-1"] = fleet.router("router-1", platform=f"{HOST}:{way}")
+    forwarder_port = fleet.forwarder(FORWARDER, fleet.platform_port).ports["tcp"]
+    rv.routers["router-1"] = fleet.router(
+        "router-1", platform=f"{HOST}:{forwarder_port}"
+    )
     rv.routers["router-2"] = fleet.router("router-2")
     fleet.wait_ready(*rv.routers.values())
     for router in rv.routers:
         rv.wait_serving(router)
-    wait_until(lambda: settled(rv), "both hold a slice and owe nothing")
+    wait_until(lambda: settled(rv), "both have a slice and all runs are settled")
     return rv
 
 
-def cut(fleet):
-    way = fleet.by_name[WAY]
-    way.send(signal.SIGUSR2)
-    wait_until(lambda: not passes(way), "the way to the platform is cut")
+def disconnect(fleet):
+    forwarder = fleet.by_name[FORWARDER]
+    forwarder.send(signal.SIGUSR2)
+    wait_until(lambda: not passes(forwarder), "the forwarder is disconnected")
 
 
-def heal(fleet):
-    way = fleet.by_name[WAY]
-    way.send(signal.SIGUSR2)
-    wait_until(lambda: passes(way), "the way to the platform is back")
+def reconnect(fleet):
+    forwarder = fleet.by_name[FORWARDER]
+    forwarder.send(signal.SIGUSR2)
+    wait_until(lambda: passes(forwarder), "the forwarder is connected")
 
 
-def passes(way):
-    port = way.ports["tcp"]
+def passes(forwarder):
+    port = forwarder.ports["tcp"]
     assert connects(port)
     try:
         return ask(port, "GET", "/counts").status == 200
@@ -157,7 +162,7 @@
 
 
 def use_up(deployment, router, reason):
-    """Ask until the router refuses for this reason; return the answers, and that."""
+    """Send requests until one is refused for `reason`; return answers and refusal."""
     served = []
 
     def refused():
@@ -196,11 +201,11 @@
 
 
 def settled(deployment):
-    """Return what is spent once all runs are billed and the ledger says the same."""
+    """Return the spend if all runs are billed and the ledger agrees, else None."""
     found = billed(deployment.fleet)
     total = sum(found.values())
-    is_whole = found.keys() == deployment.runs().keys()
-    return total if is_whole and total == budget(deployment.fleet)["spent"] else None
+    is_complete = found.keys() == deployment.runs().keys()
+    return total if is_complete and total == budget(deployment.fleet)["spent"] else None
 
 
 def in_force(program, name=CHAT_PROFILE):
--- a/tests/processes/test_seals.py
+++ b/tests/processes/test_seals.py
@@ -1,4 +1,4 @@
-"""Routers killed while they hold tokens: what they had not spent comes back."""
+"""Tests of routers killed with unspent tokens, which return to the budget."""
 
 import json
 from base64 import b64decode
@@ -18,36 +18,36 @@
 
 PREPAID = 20_000
 LARGE = 12_000
-SEEN = 5
-"""Events, at most a token each, of the stream that is lost."""
+RECEIVED_EVENTS = 5
+"""Events read from the interrupted stream, with at most one token each."""
 
 LONG = "answer_tokens=400 how much duty comes back?"
 
 
 class TestRouterKilled:
-    def test_what_it_had_not_spent_comes_back(self, fleet):
-        """A router dies with most of a budget in its slice.
+    def test_unspent_tokens_return_to_the_budget(self, fleet):
+        """Guards against tokens that are lost with a killed router.
 
-        The other one seals it at the sidecar, which tells what ran.  A request
-        that no rest without that slice could pay for is then admitted, and the
-        ledger says exactly what the bill says.
+        The router has most of the budget in its slice.  The other router seals it
+        at the sidecar, which reports the runs.  Then a request that needs these
+        tokens is admitted, and ledger and bill agree.
         """
         deployment = large_deployment(fleet)
-        victim = largest_holder(deployment)
-        survivor = next(name for name in deployment.routers if name != victim)
+        killed = router_with_largest_grant(deployment)
+        remaining = next(name for name in deployment.routers if name != killed)
         for number in range(5):
-            assert deployment.chat(victim, "hello", key=f"call-{number}").status == 200
+            assert deployment.chat(killed, "hello", key=f"call-{number}").status == 200
         grants_before = grants(deployment)
-        deployment.routers[victim].kill()
-        granted = grant_of(grants_before, victim)["granted"]
+        deployment.routers[killed].kill()
+        granted = grant_of(grants_before, killed)["granted"]
         assert granted > PREPAID - LARGE
         wait_until(
-            lambda: grant_of(grants(deployment), victim) is None,
-            "the dead router's grant is closed",
+            lambda: grant_of(grants(deployment), killed) is None,
+            "the killed router's grant is closed",
         )
         wait_until(
-            lambda: deployment.chat(survivor, "a", max_tokens=LARGE).status == 200,
-            "tokens of the dead router serve callers again",
+            lambda: deployment.chat(remaining, "a", max_tokens=LARGE).status == 200,
+            "tokens of the killed router serve callers again",
         )
         wait_until(lambda: settled(deployment), "ledger and bill agree to the token")
         assert len(grants(deployment)) == 1
@@ -56,20 +56,20 @@
 
 
 class TestRouterAndSidecarKilled:
-    def test_survivors_go_on_and_the_unknown_is_charged_at_its_bound(self, fleet):
-        """A machine takes a router and a sidecar with it, under a stream.
+    def test_unknown_spend_is_charged_at_its_bound(self, fleet):
+        """Guards against a budget that misses spend after a machine fails.
 
-        Nobody knows what the sidecar ran last.  Callers are served by the rest;
-        a retry gets the whole answer and is billed once.  Once the sidecar's
-        successor is there, what can't be known is charged at its bound, which
-        is at least what is billed and never more than was paid for.
+        A router and a sidecar are killed during a stream, so the last runs of the
+        sidecar are unknown.  The remaining processes serve; a retry gets the
+        complete answer and is billed once.  After the sidecar restarts, unknown
+        spend is charged at its bound: at least the bill, at most the prepaid tokens.
         """
         deployment = chat_deployment(
             fleet, engines=2, routers=2, prepaid=PREPAID, token_seconds=0.01
         )
         stream = deployment.stream("router-1", LONG, key="call-1", max_tokens=500)
         events = stream.events()
-        assert text_of([next(events) for _ in range(SEEN)])
+        assert text_of([next(events) for _ in range(RECEIVED_EVENTS)])
         lost = running_upstream(deployment, "call-1")
         deployment.routers["router-1"].kill()
         deployment.sidecars[lost].kill()
@@ -79,7 +79,7 @@
             key = f"after-{number}"
             answer = wait_until(
                 lambda key=key: ok(deployment.chat("router-2", "go on", key=key)),
-                "the survivors serve",
+                "the remaining processes serve",
             )
             assert answer.status == 200
         retry = wait_until(
@@ -93,19 +93,21 @@
         fleet.sidecar(lost, deployment.upstreams[lost], address=address)
         wait_until(
             lambda: grant_of(grants(deployment), "router-1") is None,
-            "the dead router's grant is closed",
+            "the killed router's grant is closed",
         )
         wait_until(lambda: "call-1" in bill(fleet), "call-1 is billed")
         wait_until(
-            lambda: sum(bill(fleet).values()) + SEEN <= budget_of(fleet)["spent"],
-            "the budget has paid for all that is billed and what was lost",
+            lambda: (
+                sum(bill(fleet).values()) + RECEIVED_EVENTS <= budget_of(fleet)["spent"]
+            ),
+            "the budget is charged for the bill and the interrupted stream",
         )
         budget = budget_of(fleet)
         assert budget["spent"] <= budget["held"] <= PREPAID
 
 
 def large_deployment(fleet):
-    """Two routers and a profile of which one request takes most of the budget."""
+    """Return two routers and a profile whose requests may use most of the budget."""
     rv = Deployment(fleet=fleet, platform=fleet.platform())
     add_upstream(rv, "engine-1", "assistant", "model")
     add_routers(rv, 2)
@@ -124,17 +126,17 @@
     """Return the open grants in the profile's ledger by router incarnation."""
     port = deployment.platform.ports["http"]
     listed = ask(port, "GET", "/v1/objects/ledgers").json["objects"]
-    value = next(one["value"] for one in listed if one["name"] == CHAT_PROFILE)
+    value = next(row["value"] for row in listed if row["name"] == CHAT_PROFILE)
     return json.loads(b64decode(value))["grants"]
 
 
 def grant_of(found, router):
-    """Return the grant of a router's incarnation, which its name begins."""
+    """Return the grant of an incarnation whose name begins with `router`."""
     grants = [grant for name, grant in found.items() if name.startswith(router)]
     return grants[0] if grants else None
 
 
-def largest_holder(deployment):
+def router_with_largest_grant(deployment):
     def granted(router):
         grant = grant_of(grants(deployment), router) or {}
         return grant.get("granted", 0)
@@ -155,7 +157,7 @@
 
 
 def settled(deployment):
-    """Whether every run is billed, and the ledger's spend is that of the bill."""
+    """Return whether every run is billed and the ledger agrees with the bill."""
     found = bill(deployment.fleet)
     spent = budget_of(deployment.fleet)["spent"]
     return found.keys() == deployment.runs().keys() and spent == sum(found.values())
--- a/tests/processes/test_standin_processes.py
+++ b/tests/processes/test_standin_processes.py
@@ -1,4 +1,4 @@
-"""The stand-ins as processes, and the forwarder that tests cut and silence."""
+"""Tests of the stand-ins as processes, and of the forwarder."""
 
 import http.client
 import json
@@ -17,14 +17,14 @@
 
 
 class TestEngineProcess:
-    def test_marked_request_crashes_it(self, fleet):
+    def test_marked_request_crashes_the_process(self, fleet):
         engine = fleet.engine()
         fleet.switch(engine, crash_on="poison")
         with pytest.raises((OSError, http.client.HTTPException)):
             ask(engine.ports["http"], "POST", CHAT, chat("some poison"))
         assert engine.popen.wait(20) != 0
 
-    def test_death_in_the_middle_of_a_stream_shows_as_broken(self, fleet):
+    def test_crash_during_a_stream_breaks_the_connection(self, fleet):
         engine = fleet.engine()
         fleet.switch(engine, die_after_tokens=3)
         stream = Stream(engine.ports["http"], CHAT, chat("hi", stream=True))
@@ -32,13 +32,13 @@
             list(stream.events())
         stream.close()
 
-    def test_terminates_with_zero(self, fleet):
+    def test_termination_exits_with_zero(self, fleet):
         for program in (fleet.engine(), fleet.service(), fleet.platform()):
             assert program.terminate() == 0
 
 
 class TestForwarder:
-    def test_silent_connection_carries_nothing_while_new_ones_work(self, fleet):
+    def test_silent_connection_carries_no_data_while_new_ones_work(self, fleet):
         engine = fleet.engine(token_seconds=0.05)
         forwarder = fleet.forwarder("forwarder", engine.ports["http"])
         port = forwarder.ports["tcp"]
@@ -54,7 +54,7 @@
         text = json.loads(answer.body)["choices"][0]["message"]["content"]
         assert text == expected_answer("hello")
 
-    def test_cut_ends_connections_and_refuses_new_ones(self, fleet):
+    def test_disconnection_ends_connections_and_refuses_new_ones(self, fleet):
         engine = fleet.engine(token_seconds=0.05)
         forwarder = fleet.forwarder("forwarder", engine.ports["http"])
         port = forwarder.ports["tcp"]
--- a/tests/processes/test_stops.py
+++ b/tests/processes/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops and drained upstreams: nothing in flight is cut off."""
+"""Tests of planned stops and drained upstreams, which finish running requests."""
 
 import signal
 
@@ -11,11 +11,10 @@
 
 
 class TestTerminated:
-    def test_stream_through_a_stopping_router_ends_whole(self, fleet):
-        """A router is stopped for an update while an advisor reads its answer.
+    def test_stream_through_a_stopping_router_is_complete(self, fleet):
+        """Guards against a router that stops before its streams are complete.
 
-        The stream has to end whole, no new request may be taken, and the router
-        exits by itself with 0.
+        The router receives SIGTERM during a stream, and exits with 0 after it.
         """
         deployment = chat_deployment(fleet, token_seconds=0.01)
         stream = deployment.stream("router-1", LONG, key="call-1", max_tokens=200)
@@ -29,8 +28,8 @@
         assert router.popen.wait(60) == 0
         assert deployment.chat("router-2", "others are served").status == 200
 
-    def test_stream_through_a_stopping_sidecar_ends_whole(self, fleet):
-        """The sidecar beside an engine is updated while an answer streams."""
+    def test_stream_through_a_stopping_sidecar_is_complete(self, fleet):
+        """Guards against a sidecar that stops before its streams are complete."""
         deployment = chat_deployment(fleet, routers=1, token_seconds=0.01)
         stream = deployment.stream("router-1", LONG, key="call-1", max_tokens=200)
         events = stream.events()
@@ -44,11 +43,11 @@
 
 
 class TestDrained:
-    def test_drained_upstream_gets_nothing_new_and_finishes_what_it_has(self, fleet):
-        """An operator takes an engine out of service.
+    def test_drained_upstream_finishes_and_gets_no_new_requests(self, fleet):
+        """Guards against new requests to a drained upstream.
 
-        Its running answer ends whole; once the change is in force it is given
-        nothing more, while the other engine serves.
+        Its running answer is completed, and the other engine serves new requests
+        once the change is in force.
         """
         deployment = chat_deployment(fleet, engines=2, routers=1, token_seconds=0.01)
         stream = deployment.stream("router-1", LONG, key="call-1", max_tokens=200)
@@ -63,10 +62,12 @@
         assert fleet.executions(deployment.upstreams[busy]) == before
         assert text_of([first, *events]) == expected_answer(LONG, 200)
         fleet.command("upstream", "return", busy, "--wait=30")
-        wait_until(lambda: takes_work(deployment, busy), f"{busy} takes work again")
+        wait_until(
+            lambda: serves_requests(deployment, busy), f"{busy} serves requests again"
+        )
 
 
-def takes_work(deployment, upstream):
+def serves_requests(deployment, upstream):
     before = deployment.fleet.executions(deployment.upstreams[upstream])
     for _ in range(6):
         deployment.chat("router-1", "is it back?")
