--- a/tests/processes/test_deaths.py
+++ b/tests/processes/test_deaths.py
@@ -13,10 +13,7 @@
     create_profile,
     filing_deployment,
 )
-from deployments.fleet import IncompleteAnswer
-from deployments.fleet import answer_text
-from deployments.fleet import send_request
-from deployments.fleet import wait_until
+from deployments.fleet import IncompleteAnswer, answer_text, send_request, wait_until
 
 from ragwortkeel.standins.engine_answers import expected_answer, natural_length
 
@@ -153,7 +150,9 @@
         deployment = filing_deployment(fleet)
         fleet.set_switches(deployment.upstreams["filings-1"], slow=1.0)
         claim = {"claim": 4712}
-        connection = deployment.file_without_waiting("router-1", claim, key="claim-4712")
+        connection = deployment.file_without_waiting(
+            "router-1", claim, key="claim-4712"
+        )
         wait_until(lambda: has_intent(deployment, "claim-4712"), "the filing began")
         deployment.routers["router-1"].kill()
         connection.close()
--- a/tests/processes/test_outages.py
+++ b/tests/processes/test_outages.py
@@ -12,9 +12,7 @@
     create_profile,
     filing_deployment,
 )
-from deployments.fleet import IncompleteAnswer
-from deployments.fleet import answer_text
-from deployments.fleet import wait_until
+from deployments.fleet import IncompleteAnswer, answer_text, wait_until
 
 from ragwortkeel.standins.engine_answers import expected_answer
 
--- a/tests/processes/test_partitions.py
+++ b/tests/processes/test_partitions.py
@@ -11,9 +11,7 @@
     chat_deployment,
     create_profile,
 )
-from deployments.fleet import accepts_connections
-from deployments.fleet import send_request
-from deployments.fleet import HOST, wait_until
+from deployments.fleet import HOST, accepts_connections, send_request, wait_until
 
 LONG_PROMPT = "a whole season's dossier " * 80
 FORWARDER = "way-to-the-platform"
--- a/tests/processes/test_seals.py
+++ b/tests/processes/test_seals.py
@@ -12,10 +12,13 @@
     chat_deployment,
     create_profile,
 )
-from deployments.fleet import IncompleteAnswer
-from deployments.fleet import answer_text
-from deployments.fleet import send_request
-from deployments.fleet import HOST, wait_until
+from deployments.fleet import (
+    HOST,
+    IncompleteAnswer,
+    answer_text,
+    send_request,
+    wait_until,
+)
 
 from ragwortkeel.standins.engine_answers import expected_answer
 
@@ -163,7 +166,9 @@
     """Return whether every run is billed and the ledger agrees with the bill."""
     found = bill(deployment.fleet)
     spent = budget_of(deployment.fleet)["spent"]
-    return found.keys() == deployment.run_counts().keys() and spent == sum(found.values())
+    return found.keys() == deployment.run_counts().keys() and spent == sum(
+        found.values()
+    )
 
 
 def running_upstream(deployment, request_id):
