--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: models, schemes and slopes; figures, never verdicts."""
+"""Benchmarks that print figures and check no bounds."""
--- a/benchmarks/_budget_baselines.py
+++ b/benchmarks/_budget_baselines.py
@@ -1,4 +1,4 @@
-"""The schemes that ours is measured against, each done with some care."""
+"""Budget schemes to compare with the product's."""
 
 from benchmarks._budget_simulation import (
     PLATFORM_LATENCY_SECONDS,
@@ -16,7 +16,7 @@
 
 
 class Scheme:
-    """What a simulation asks of a budget scheme; all hooks may be left alone."""
+    """Interface of a budget scheme; all hooks but `admit` are optional."""
 
     name = "scheme"
     simulation: Simulation
@@ -25,59 +25,59 @@
         self.charges_by_request: dict[int, int] = {}
 
     def begin(self, simulation: Simulation) -> None:
-        """Set up at the start of the run."""
+        """Set up the scheme at the start of the run."""
         self.simulation = simulation
 
     def admit(self, router: Router, request: Request) -> None:
-        """Start the request or refuse it, now or later."""
+        """Start the request or refuse it, immediately or later."""
         raise NotImplementedError
 
     def record_run_end(self, run: Run) -> None:
-        """Note at the sidecar that a run has ended."""
+        """Record at the sidecar that a run has ended."""
 
     def receive_run_end(self, run: Run) -> None:
-        """Let the router hear that its run has ended."""
+        """Receive the end of a run at its router."""
 
     def receive_run_loss(self, run: Run) -> None:
-        """Let the router hear that a run died with its sidecar."""
+        """Receive at its router that a run was lost with its sidecar."""
 
     def receive_top_up(self, tokens: int) -> None:
-        """Hear that the platform has accepted a top-up."""
+        """Receive a top-up that the platform has accepted."""
 
     def remove_router(self, router: Router) -> None:
-        """Hear that the live list has dropped a router."""
+        """Handle a router that was removed from the live list."""
 
     def add_router(self, router: Router) -> None:
-        """Set a replacement up."""
+        """Set up a replacement router."""
 
     def add_sidecar(self, sidecar: Sidecar) -> None:
-        """Set a replacement up."""
+        """Set up a replacement sidecar."""
 
     def resume_router(self, router: Router) -> None:
-        """Hear that a paused router goes on."""
+        """Handle a paused router that resumes."""
 
     def end(self) -> None:
-        """Settle what can be settled now that all is healed."""
+        """Settle what remains after all faults have ended."""
 
     def charge(self, run: Run) -> None:
-        """Note one charge of a run's request."""
+        """Count a charge of the run's request."""
         request_id = run.request.request_id
         count = self.charges_by_request.get(request_id, 0)
         self.charges_by_request[request_id] = count + 1
 
     def run(self, router: Router, request: Request, account: str) -> Run | None:
-        """Start the request at some sidecar."""
+        """Start the request at its first live sidecar."""
         sidecar = self.simulation.pick_sidecars(request)[0]
         return self.simulation.start(router, request, sidecar, account)
 
 
 class Oracle(Scheme):
-    """Sees the whole system at once: the bound that no scheme can beat."""
+    """Admits with full knowledge of the system: an upper bound for all schemes."""
 
     name = "oracle"
 
     def admit(self, router: Router, request: Request) -> None:
-        """Start whatever fits beside all that ran and runs."""
+        """Start the request if it fits beside all spent and running tokens."""
         simulation = self.simulation
         left = simulation.prepaid - simulation.spent - simulation.running_bounds
         if left < request.bound:
@@ -86,7 +86,7 @@
             self.run(router, request, "")
 
     def record_run_end(self, run: Run) -> None:
-        """Charge where it ran."""
+        """Charge the run at its sidecar."""
         self.charge(run)
 
 
@@ -96,13 +96,13 @@
     name = "central_counter"
 
     def begin(self, simulation: Simulation) -> None:
-        """Start with nothing reserved."""
+        """Start without reservations."""
         super().begin(simulation)
         self.held_by_nonce: dict[int, int] = {}
         self.spent = 0
 
     def admit(self, router: Router, request: Request) -> None:
-        """Ask the platform first; without it nothing may start."""
+        """Reserve at the platform, or refuse if it is unreachable."""
         if not self.simulation.reaches_platform(router):
             self.simulation.refuse(request)
             return
@@ -120,7 +120,7 @@
             self.held_by_nonce[run.nonce] = request.bound
 
     def receive_run_end(self, run: Run) -> None:
-        """Settle, again and again until the platform has it."""
+        """Settle the run, and retry until the platform is reachable."""
         if not run.router.live:
             return
         if not self.simulation.reaches_platform(run.router):
@@ -128,30 +128,30 @@
                 1.0, self.simulation.deliver, run.router, self.receive_run_end, run
             )
             return
-        # Settled under the run's nonce, so a repeated settle is a no-op.
+        # Settling is idempotent: it is recorded under the run's nonce.
         if self.held_by_nonce.pop(run.nonce, None) is not None:
             self.spent += run.spent
             self.charge(run)
 
     def receive_run_loss(self, run: Run) -> None:
-        """Charge the bound: nobody can tell what ran."""
+        """Charge the bound, because the actual spend is unknown."""
         if self.held_by_nonce.pop(run.nonce, None) is not None:
             self.spent += run.request.bound
 
 
 class StaticSplit(Scheme):
-    """Each router index gets an equal part; a replacement gets none of it."""
+    """Each initial router gets an equal part; a replacement gets no tokens."""
 
     name = "static_split"
 
     def begin(self, simulation: Simulation) -> None:
-        """Split what is prepaid."""
+        """Split the prepaid tokens evenly."""
         super().begin(simulation)
         for router in simulation.routers:
             router.state = simulation.prepaid // ROUTERS
 
     def admit(self, router: Router, request: Request) -> None:
-        """Look at the own part only."""
+        """Admit within the router's own part."""
         if router.state is None or router.state < request.bound:
             self.simulation.refuse(request)
             return
@@ -160,19 +160,19 @@
             router.state -= request.bound
 
     def receive_run_end(self, run: Run) -> None:
-        """Refund the rest of the bound."""
+        """Refund the unspent rest of the bound."""
         run.router.state += run.request.bound - run.spent
         self.charge(run)
 
     def receive_top_up(self, tokens: int) -> None:
-        """Split the top-up too."""
+        """Split the top-up evenly."""
         for router in self.simulation.routers:
             if router.state is not None:
                 router.state += tokens // ROUTERS
 
 
 class _Lease:
-    """Tokens a router may spend until its own clock says the lease is over."""
+    """Tokens that a router may spend until its own clock reaches `until`."""
 
     def __init__(self) -> None:
         self.tokens = 0
@@ -181,7 +181,7 @@
 
 
 class ExpiringLease(Scheme):
-    """Chunks leased for ten seconds; what is not settled by then is reclaimed."""
+    """Leases of ten seconds; tokens not settled by then are reclaimed."""
 
     name = "expiring_lease"
 
@@ -194,7 +194,7 @@
             self.add_router(router)
 
     def add_router(self, router: Router) -> None:
-        """Start renewing."""
+        """Lease tokens and start the periodic renewal."""
         router.state = _Lease()
         self._renew(router)
 
@@ -223,7 +223,7 @@
         lease.until = now - router.clock_lag_seconds + LEASE_SECONDS
 
     def admit(self, router: Router, request: Request) -> None:
-        """Look at the lease and the own clock."""
+        """Admit within the lease, and renew it first if necessary."""
         lease = router.state
         over = self.simulation.now - router.clock_lag_seconds >= lease.until
         if (over or lease.tokens < request.bound) and self.simulation.reaches_platform(
@@ -239,5 +239,5 @@
             lease.tokens -= request.bound
 
     def receive_run_end(self, run: Run) -> None:
-        """Keep the spend until the next renewal settles it."""
+        """Keep the run until the next renewal settles it."""
         run.router.state.unsettled.append(run)
--- a/benchmarks/_budget_ours.py
+++ b/benchmarks/_budget_ours.py
@@ -1,4 +1,4 @@
-"""Our scheme, driving the real ledger, slices, seals, receipts and sizing."""
+"""The product's scheme, using the real ledger, slices, seals and receipts."""
 
 from dataclasses import dataclass, field
 
@@ -37,12 +37,12 @@
 PROFILE = "advisor-chat"
 REFRESH_SECONDS = 1.0
 WAIT_SECONDS = 1.0
-"""How long a request waits for a refill before its refusal."""
+"""Longest time that a request waits for tokens before it is refused."""
 
 RIDE_OUT_SECONDS = 80.0
 PEER_LATENCY_SECONDS = 0.001
 RETRY_SECONDS = 0.2
-"""Between two tries to find tokens while callers wait."""
+"""Interval between attempts to get tokens while requests wait."""
 
 REAP_SECONDS = 2.0
 FIXED_SLICE_TOKENS = 2000
@@ -51,7 +51,7 @@
 
 @dataclass(kw_only=True)
 class _RouterState:
-    """What one router keeps of the budget."""
+    """The budget state of one router."""
 
     refresh: SliceRefresh
     meter: DemandMeter
@@ -66,7 +66,7 @@
 
 
 class Ours(Scheme):
-    """Escrowed slices that are sealed; mechanisms can be left out."""
+    """Slices of a ledger with seals; single mechanisms can be disabled."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         self.bill = Bill()
 
     def begin(self, simulation: Simulation) -> None:
-        """Put the ledger in index and give each router its first slice."""
+        """Create the ledger and give each router its first slice."""
         super().begin(simulation)
         self.ledger, self.version = Ledger(prepaid=simulation.prepaid), 1
         self.sealed: list[str] = []
@@ -97,7 +97,7 @@
         self._reap()
 
     def receive_top_up(self, tokens: int) -> None:
-        """Add to the ledger under an operation id."""
+        """Top up the ledger under an operation id."""
         operation = self.ledger.operation_id("top-up")
         self._write(self.ledger.top_up(tokens=tokens, operation_id=operation))
 
@@ -107,7 +107,7 @@
     # Admission
 
     def admit(self, router: Router, request: Request) -> None:
-        """Reserve from the slice, or wait shortly for a refill."""
+        """Reserve from the slice, or queue the request until a renewal."""
         holdings = router.state
         holdings.meter.add(tokens=request.bound, now=self._clock(router))
         if not self._try_start(router, request):
@@ -125,7 +125,7 @@
         return self.simulation.now - router.clock_lag_seconds
 
     def _try_start(self, router: Router, request: Request) -> bool:
-        """Start the request where tokens and a sidecar with room are."""
+        """Start the request at a sidecar with tokens; return whether it is settled."""
         holdings, simulation = router.state, self.simulation
         for sidecar in simulation.pick_sidecars(request):
             try:
@@ -137,7 +137,7 @@
             except BudgetRefused:
                 continue
             if not sidecar.state.admits(router.state.slice.router):
-                # Sealed: the router learns it and goes on under a new name.
+                # The router was sealed, so it continues as a new incarnation.
                 holdings.slice.settle(reservation, spent=0)
                 self._new_incarnation(router)
                 return False
@@ -179,7 +179,7 @@
     # Runs
 
     def record_run_end(self, run: Run) -> None:
-        """Note the run and its receipt at the sidecar."""
+        """Record the run and its receipt at the sidecar."""
         run.sidecar.state.finish(nonce=str(run.nonce), tokens=run.spent)
         receipt = RunReceipt(
             profile=PROFILE,
@@ -189,16 +189,16 @@
             sidecar=run.sidecar.incarnation,
             tokens=run.spent,
         )
-        # The sidecar keeps it until it is durable; both may write it.
+        # Sidecar and router may both write the receipt, so it is added twice.
         self.bill.add(receipt)
         self.bill.add(receipt)
 
     def receive_run_end(self, run: Run) -> None:
-        """Refund the rest of the reservation."""
+        """Refund the unspent rest of the reservation."""
         self._settle(run, run.spent)
 
     def receive_run_loss(self, run: Run) -> None:
-        """Charge the bound: the sidecar is gone for good."""
+        """Charge the bound, because the sidecar was removed."""
         self._settle(run, run.request.bound)
         run.router.state.slice.drop(run.sidecar.incarnation)
 
@@ -212,7 +212,7 @@
     # Renewal
 
     def add_router(self, router: Router) -> None:
-        """Take a slice and go on renewing it."""
+        """Create a slice and start its periodic renewal."""
         router.state = self._new_holdings(router.incarnation)
         self._tick(router)
 
@@ -365,12 +365,12 @@
     # Seals
 
     def remove_router(self, router: Router) -> None:
-        """Seal it: gone from the live list and silent to a ping."""
+        """Seal a router that is removed from the live list and unreachable."""
         if router.paused or not router.live:
             self.sealed.append(router.state.slice.router)
 
     def add_sidecar(self, sidecar: Sidecar) -> None:
-        """Register, read the seals, then accept work."""
+        """Register the sidecar and read the seals before it accepts runs."""
         sidecar.state = SidecarAccounts()
         sidecar.state.open(seals=self.sealed)
         live = {s.incarnation for s in self.simulation.sidecars}
@@ -401,6 +401,6 @@
             self._write(self.ledger.write_off(router=router, sidecar=name))
 
     def end(self) -> None:
-        """Take the charges from the bill."""
+        """Copy the charges from the bill."""
         for _, request_id in self.bill.by_request:
             self.charges_by_request[int(request_id)] = 1
--- a/benchmarks/_budget_simulation.py
+++ b/benchmarks/_budget_simulation.py
@@ -1,7 +1,7 @@
 """A discrete-event model of callers, routers, sidecars and the platform.
 
-It decides nothing about budgets: a scheme does.  The simulation knows the truth
-(what ran and what runs) and so is the oracle that judges each refusal.
+Budget decisions are made by a scheme. The simulation knows all spent and running
+tokens, so it can tell whether a refusal was necessary.
 """
 
 import heapq
@@ -17,13 +17,13 @@
 BOUND_TOKENS = (60, 120, 400)
 BOUND_WEIGHTS = (6, 3, 1)
 MEAN_SPEND_TOKENS = 0.5 * (60 * 6 + 120 * 3 + 400) / 10
-"""Tokens a request spends on average: half of its bound."""
+"""Average tokens per request: half of the mean bound."""
 
 DEMAND_TOKENS = int(RUN_SECONDS * REQUESTS_PER_SECOND * MEAN_SPEND_TOKENS)
 ATTEMPT_SECONDS = 3.0
 ATTEMPTS = 3
 REMOVED_AFTER_SECONDS = 8.0
-"""How long the balancer and the live list keep showing a silent instance."""
+"""Time until the balancer and the live list drop an unreachable instance."""
 
 REPLACED_AFTER_SECONDS = 30.0
 PLATFORM_LATENCY_SECONDS = 0.010
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """What goes wrong from `begin` to `end`, and how much is prepaid."""
+    """A fault from `begin` to `end` seconds, and the prepaid tokens."""
 
     name: str
     prepaid: int
@@ -87,7 +87,7 @@
 
 @dataclass(kw_only=True)
 class Request:
-    """One caller's request, over all its attempts."""
+    """A caller's request over all its attempts."""
 
     request_id: int
     bound: int
@@ -103,7 +103,7 @@
 
 @dataclass(kw_only=True)
 class Run:
-    """One run of a request at a sidecar, under one router's account."""
+    """A run of a request at a sidecar, charged to a router's account."""
 
     request: Request
     nonce: int
@@ -115,7 +115,7 @@
 
 @dataclass(kw_only=True)
 class Router:
-    """A router instance; its clock stands still while it is paused."""
+    """A router instance; its clock stops while it is paused."""
 
     index: int
     incarnation: str
@@ -160,12 +160,12 @@
         scheme.begin(self)
 
     def schedule(self, seconds: float, call: Callable, *args) -> None:
-        """Call later; calls at one time keep their order."""
+        """Schedule a call; calls at the same time run in the order of scheduling."""
         entry = (self.now + seconds, next(self._order), call, args)
         heapq.heappush(self._queue, entry)
 
     def play(self) -> "Simulation":
-        """Run to the end, with all faults healed, and return itself."""
+        """Run to the end, after all faults have ended, and return the simulation."""
         self._plan_faults()
         self._plan_requests()
         while self._queue and self._queue[0][0] < RUN_SECONDS + 60:
@@ -175,20 +175,20 @@
         return self
 
     def new_router(self, index: int) -> Router:
-        """Return a fresh router incarnation."""
+        """Return a new router incarnation."""
         return Router(index=index, incarnation=f"r{index}.{next(self._ids)}")
 
     def new_sidecar(self, index: int) -> Sidecar:
-        """Return a fresh sidecar incarnation."""
+        """Return a new sidecar incarnation."""
         return Sidecar(index=index, incarnation=f"s{index}.{next(self._ids)}")
 
     @property
     def in_fault(self) -> bool:
-        """Whether the fault lasts."""
+        """Whether the fault is active."""
         return self.fault.begin <= self.now < self.fault.end
 
     def reaches_platform(self, router: Router) -> bool:
-        """Whether a call of this router would reach the platform now."""
+        """Return whether a call of this router would reach the platform now."""
         if not self.in_fault:
             return True
         return (
@@ -197,11 +197,11 @@
         )
 
     def platform_up(self) -> bool:
-        """Whether the platform answers those who reach it."""
+        """Return whether the platform answers."""
         return not (self.in_fault and self.fault.platform_down)
 
     def loses_answer(self) -> bool:
-        """Whether the answer to this write gets lost."""
+        """Return whether the answer to this write is lost."""
         return self.noise.random() < LOST_ANSWER_FRACTION
 
     # Requests
@@ -215,14 +215,14 @@
                 bound=bound,
                 spend=int(bound * self.random.random()),
                 seconds=self.random.uniform(0.2, 4.0),
-                # Of its own, so that what a scheme does changes no other draw.
+                # A separate generator, so that a scheme doesn't change other draws.
                 random=random.Random(self.random.random()),
             )
             self.requests.append(request)
             self.schedule(at, self.call, request, None)
 
     def call(self, request: Request, avoid: Router | None) -> None:
-        """Let the caller send its request to a router the balancer picks."""
+        """Send the caller's request to a router that the balancer selects."""
         if request.attempts == ATTEMPTS or request.answered or request.refused:
             return
         request.attempts += 1
@@ -249,7 +249,7 @@
             self.call(request, router)
 
     def deliver(self, router: Router, call: Callable, *args) -> None:
-        """Deliver to a router: at once, on waking, or never."""
+        """Deliver a call to a router: now, after its pause, or never if it stopped."""
         if router.paused:
             router.inbox.append((call, args))
         elif router.live:
@@ -259,19 +259,19 @@
         if request.answered or request.refused:
             return
         if request.run is not None and request.run.sidecar.live:
-            # The retry finds the run at its sidecar and follows it.
+            # The retry resumes the run at its sidecar.
             return
         self.scheme.admit(router, request)
 
     def pick_sidecars(self, request: Request) -> list[Sidecar]:
-        """Return the live sidecars in the order this request tries them."""
+        """Return the live sidecars in the order in which this request tries them."""
         draw = random.Random(f"{request.request_id}/{request.attempts}")
         return [s for s in draw.sample(self.sidecars, SIDECARS) if s.live]
 
     def start(
         self, router: Router, request: Request, sidecar: Sidecar, account: str
     ) -> Run | None:
-        """Run the request; None where the run layer follows another run of it."""
+        """Start a run, or return None if another run of the request is resumed."""
         if request.answered or (request.run and request.run.sidecar.live):
             return None
         if request.run is None:
@@ -301,16 +301,15 @@
 
     @property
     def running_bounds(self) -> int:
-        """Tokens that the runs in flight may still spend."""
+        """Tokens that the running requests may still spend."""
         runs = (run for s in self.sidecars for run in s.runs_by_nonce.values())
         return sum(run.request.bound for run in runs)
 
     def refuse(self, request: Request) -> None:
-        """Note a final refusal and judge it.
+        """Record a final refusal and check whether it was necessary.
 
-        The oracle sees the prepaid tokens the platform has accepted, all that
-        ran and the bounds of all that runs: if the bound of this request fits
-        beside them, it could safely have run.
+        The refusal is false if the bound of the request fits into the accepted
+        prepaid tokens, minus all spent tokens and the bounds of all running requests.
         """
         if request.answered or request.refused or request.run is not None:
             return
@@ -323,7 +322,7 @@
     def _plan_faults(self) -> None:
         fault = self.fault
         if fault.top_up:
-            # The operator sends it during the outage; it waits for the platform.
+            # The operator sends the top-up during the outage; it arrives at its end.
             self.schedule(
                 fault.end + PLATFORM_LATENCY_SECONDS, self._top_up, fault.top_up
             )
--- a/benchmarks/_slopes_budget.py
+++ b/benchmarks/_slopes_budget.py
@@ -1,4 +1,4 @@
-"""What a slice renewal and a receipt cost, without the platform's own time."""
+"""Measures the cost of slice renewals and receipts, without the platform's time."""
 
 from benchmarks._slopes_fit import own_cpu_seconds, report_slope
 from ragwortkeel.budget.grant import Renewal
@@ -13,13 +13,13 @@
 
 
 def measure_budget() -> None:
-    """Report the slopes of a renewal by open grants, of a flush by receipts."""
+    """Report the cost of a renewal by open grants and of a flush by receipts."""
     measure_renewals()
     measure_receipts()
 
 
 def measure_renewals() -> None:
-    """Read, renew and write segment ledger, by the grants that it holds."""
+    """Decode, renew and encode a ledger, by its number of open grants."""
     cpu, size = [], []
     for count in ROUTERS:
         ledger = Ledger(prepaid=10**9)
@@ -51,7 +51,7 @@
 
 
 def measure_receipts() -> None:
-    """Put receipts into segments and encode them, by their number."""
+    """Split receipts into segments and encode them, by their number."""
     cpu, size = [], []
     for count in RECEIPTS:
         receipts = [_receipt(number) for number in range(count)]
--- a/benchmarks/_slopes_components.py
+++ b/benchmarks/_slopes_components.py
@@ -1,4 +1,4 @@
-"""What single parts cost in one process: codec, choice of upstream, HTTP."""
+"""Measures single components in one process: codec, choice of upstream, HTTP."""
 
 from collections.abc import Callable
 from random import Random
@@ -20,14 +20,14 @@
 
 
 def measure_components() -> None:
-    """Report the slopes of all parts."""
+    """Report the costs of all components."""
     measure_codec()
     measure_choice()
     measure_streaming()
 
 
 def measure_codec() -> None:
-    """One message encoded and decoded, by its size."""
+    """Encode and decode a message, by its size."""
     points = []
     for size in BODY_BYTES:
         message = Chunk(nonce="n" * 32, offset=0, data=b"x" * size)
@@ -37,7 +37,7 @@
 
 
 def measure_choice() -> None:
-    """One request offered and ended at the scheduler, by upstreams in service."""
+    """Offer and finish a request at the scheduler, by the number of upstreams."""
     points = []
     for count in UPSTREAMS:
         scheduler = Scheduler(zone="a", random=Random(1))
@@ -66,12 +66,12 @@
     )
     decision = scheduler.offer(request, now=1.0)
     if not isinstance(decision, Assignment):
-        raise RuntimeError(f"an idle fleet did not take a request: {decision}")
+        raise RuntimeError(f"scheduler with idle upstreams did not assign: {decision}")
     scheduler.record_finish("r1", now=1.0)
 
 
 def measure_streaming() -> None:
-    """Stream answers by their chunks, server and client in one process."""
+    """Stream answers by their number of chunks, with both ends in one process."""
     with curio.Kernel(taskcls=ContextTask) as kernel:
         points = [(n, kernel.run(_stream_us, n)) for n in CHUNKS]
     report_slope("http_stream_both_ends", "us", "piece", points)
--- a/benchmarks/_slopes_fit.py
+++ b/benchmarks/_slopes_fit.py
@@ -1,4 +1,4 @@
-"""Samples of a cost at several sizes, the straight line through them, and lines."""
+"""Processor time and memory of processes, linear fits, and lines of results."""
 
 import resource
 from dataclasses import dataclass
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Usage:
-    """Processor seconds and resident bytes of a process at one moment."""
+    """CPU seconds and resident bytes of a process."""
 
     cpu_seconds: float
     memory_bytes: int
 
     def __sub__(self, other: "Usage") -> "Usage":
-        """Return what was used since."""
+        """Return the difference to an earlier usage."""
         return Usage(
             cpu_seconds=self.cpu_seconds - other.cpu_seconds,
             memory_bytes=self.memory_bytes - other.memory_bytes,
@@ -23,7 +23,7 @@
 
 
 def usage_of(pid: int | str = "self") -> Usage:
-    """Return the usage of a process; its processor time counts in 10 ms."""
+    """Return the usage of a process; the CPU time has a resolution of 10 ms."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
     with open(f"/proc/{pid}/statm", encoding="ascii") as file:
@@ -33,7 +33,7 @@
 
 
 def own_cpu_seconds() -> float:
-    """Return this process's processor time, in microsecond steps."""
+    """Return the CPU time of this process, with a resolution of 1 microsecond."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
@@ -50,7 +50,7 @@
 
 
 def report(**fields: object) -> None:
-    """Print one line of key=value pairs."""
+    """Print a line of ``key=value`` pairs."""
     print(
         " ".join(f"{key}={_text(value)}" for key, value in fields.items()), flush=True
     )
@@ -63,7 +63,7 @@
 def report_slope(
     what: str, unit: str, per: str, points: list[tuple[float, float]]
 ) -> None:
-    """Print each point, then the line through them."""
+    """Print each point, then the slope and intercept of their linear fit."""
     for size, cost in points:
         report(what=what, unit=unit, size=int(size), cost=float(cost))
     rate, base = slope(points)
--- a/benchmarks/_slopes_links.py
+++ b/benchmarks/_slopes_links.py
@@ -1,8 +1,8 @@
-"""What a link costs: DEALER to ROUTER with heartbeats both ways, nothing else.
+"""Measures the cost of idle links: DEALER to ROUTER with heartbeats both ways.
 
-Run as a process of its own: ``endpoint ADDRESS`` answers heartbeats as a
-sidecar does; ``links ADDRESS COUNT SECONDS`` holds links as a router does and
-prints its usage as JSON.
+Each side runs as a separate process: ``endpoint ADDRESS`` answers heartbeats like a
+sidecar; ``links ADDRESS COUNT SECONDS`` opens links like a router and prints its
+usage as JSON.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 
 def measure_links() -> None:
-    """Report the slopes of both sides, by the number of links."""
+    """Report the cost at both ends by the number of links."""
     router_cpu, router_memory, endpoint_cpu = [], [], []
     for count in LINKS:
         port = _free_port()
@@ -70,7 +70,7 @@
 
 
 async def answer_heartbeats(address: str) -> None:
-    """Answer each heartbeat with one."""
+    """Answer each heartbeat with a heartbeat."""
     endpoint = Endpoint(address=address, incarnation="endpoint", revision=int)
     endpoint.open()
     while True:
@@ -79,7 +79,7 @@
 
 
 async def hold_links(address: str, count: int, seconds: float) -> dict[str, float]:
-    """Hold links for a while and return what that cost."""
+    """Keep links open for `seconds` and return their cost."""
     inbox: curio.Queue = curio.Queue()
     before = usage_of()
     async with curio.TaskGroup(wait=None) as group:
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Run the side that the command line names."""
+    """Run the end that the command line arguments name."""
     with curio.Kernel(taskcls=ContextTask) as kernel:
         match sys.argv[1:]:
             case ["endpoint", address]:
--- a/benchmarks/_slopes_requests.py
+++ b/benchmarks/_slopes_requests.py
@@ -1,8 +1,8 @@
-"""What a request costs each process on its way, by the tokens of its answer.
+"""Measures the cost of a request in each process, by the tokens of its answer.
 
-Router, sidecar, engine and platform run as processes of their own; requests come
-one after the other, so that no waiting is mixed in.  The processor time is read
-from the system for each process, in steps of 10 ms over hundreds of requests.
+Router, sidecar, engine and platform run as separate processes. Requests are sent in
+sequence, so that the cost includes no queueing. The CPU time of each process is read
+from the system, with a resolution of 10 ms over hundreds of requests.
 """
 
 import tempfile
@@ -22,7 +22,7 @@
 
 
 def measure_requests() -> None:
-    """Report the slopes of router and sidecar, whole and streamed."""
+    """Report the cost of complete and streamed answers at router and sidecar."""
     with tempfile.TemporaryDirectory() as directory:
         fleet = Fleet(Path(directory))
         try:
@@ -62,7 +62,7 @@
         prompt = f"answer_tokens={tokens}"
         answer = deployment.chat("router-1", prompt, max_tokens=tokens)
         if answer.status != 200:
-            raise RuntimeError(f"refused: {answer.body}")
+            raise RuntimeError(f"request was refused: {answer.body}")
 
 
 def _streamed(deployment: Deployment, count: int, tokens: int) -> None:
@@ -70,12 +70,12 @@
         prompt = f"answer_tokens={tokens}"
         stream = deployment.stream("router-1", prompt, max_tokens=tokens)
         if list(stream.events())[-1] != "[DONE]":
-            raise RuntimeError("a stream did not end whole")
+            raise RuntimeError("a stream ended without [DONE]")
         stream.close()
 
 
 def _report_idle(deployment: Deployment) -> None:
-    """Report what one router and one sidecar use while nothing is asked."""
+    """Report the CPU time of router and sidecar without requests."""
     before = _usages(deployment)
     time.sleep(IDLE_SECONDS)
     after = _usages(deployment)
--- a/benchmarks/_slopes_store.py
+++ b/benchmarks/_slopes_store.py
@@ -1,7 +1,7 @@
-"""What profiles cost a node: memory and time to hold them, and to take a change.
+"""Measures memory and time to store profiles in a process, and to merge a change.
 
-Each size is filled in a process of its own, so that memory freed by change does
-not hide what the next takes.
+Each size is measured in a separate process, so that memory freed after one size
+doesn't hide the memory of the next.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 def measure_store() -> None:
-    """Report the slopes by the number of profiles."""
+    """Report the costs by the number of profiles."""
     used = {size: _in_child(size) for size in SIZES}
     for what, unit in (
         ("profile_memory", "bytes"),
@@ -38,7 +38,7 @@
 
 
 def fill(size: int) -> dict[str, float]:
-    """Fill a store and change some of it; return what that cost."""
+    """Fill a store, merge changes and return the costs."""
     changes = [_profile(number, version=2) for number in range(CHANGES)]
     store = ConfigurationStore()
     before = usage_of()
@@ -73,7 +73,7 @@
 
 
 def main() -> None:
-    """Fill the size that the command line names and print the cost as JSON."""
+    """Measure the size in the command line arguments and print the costs as JSON."""
     print(json.dumps(fill(int(sys.argv[1]))), flush=True)
 
 
--- a/benchmarks/budget_schemes.py
+++ b/benchmarks/budget_schemes.py
@@ -1,6 +1,6 @@
-"""Budget schemes side by side under the same faults and seeds.
+"""Compares budget schemes under the same faults and seeds.
 
-Run with ``python -m benchmarks.budget_schemes``; ``--seeds N`` takes more.
+Run ``python -m benchmarks.budget_schemes``; ``--seeds N`` sets the number of seeds.
 """
 
 import argparse
@@ -27,14 +27,14 @@
     "transfer": ("hot_router", "nearly_spent", "router_cut_off"),
     "adaptive_slice": ("platform_down", "router_cut_off", "nearly_spent"),
 }
-"""Where each mechanism is meant to help; without it, the other rows are alike."""
+"""The faults against which each mechanism helps; it is disabled only there."""
 
 NARROW_UNDER = ("platform_down", "router_killed", "nearly_spent", RACK_LOST.name)
 
 
 @dataclass(kw_only=True)
 class Row:
-    """Counts of one scheme under one fault, summed over the seeds."""
+    """Counts of one scheme under one fault, added up over the seeds."""
 
     scheme: str
     fault: str
@@ -47,7 +47,7 @@
     ran_twice: int = 0
 
     def add(self, simulation: Simulation) -> None:
-        """Count one run."""
+        """Add the counts of one run."""
         charges = simulation.scheme.charges_by_request
         answered = [r.request_id for r in simulation.requests if r.answered]
         self.seeds += 1
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -1,7 +1,7 @@
-"""How fast a change spreads, and what it costs each node.
+"""Measures how fast a configuration change spreads and its cost for each process.
 
-Plays the exchange of a whole fleet in changed_object process, round by round, with lost
-messages: ``python -m benchmarks.configuration_spread``.  One line a size.
+Simulates the exchange of a fleet in one process, in rounds and with lost messages.
+Run ``python -m benchmarks.configuration_spread``; it prints a line for each size.
 """
 
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """Exchanges of all nodes by address; counts the bytes each sends."""
+    """The exchanges of all processes by address; counts the bytes they send."""
 
     def __init__(self, *, node_count: int, zones: int, random: Random) -> None:
         self.random = random
@@ -34,7 +34,7 @@
         self.sent_bytes = 0
 
     def change(self, version: int) -> None:
-        """Let each zone's watchers learn a change."""
+        """Merge a change at the watchers of each zone."""
         changed_object = VersionedObject(
             kind=PROFILES, name=f"p{version}", version=version, value=VALUE
         )
@@ -44,7 +44,7 @@
                 self.exchange_by_address[address].merge_objects([changed_object])
 
     def rounds_until_everywhere(self) -> int:
-        """Play rounds until all stores are equal; return how many it took."""
+        """Run rounds until all stores are equal and return their number."""
         for round_number in range(MAX_ROUNDS):
             if len({e.store.root(PROFILES) for e in self._exchanges()}) == 1:
                 return round_number
@@ -52,7 +52,7 @@
         return MAX_ROUNDS
 
     def run_round(self, *, compare: bool) -> None:
-        """Play changed_object round of pushes, and of digests where `compare`."""
+        """Run a round of pushes, and of digests if `compare` is true."""
         in_flight = []
         for address, exchange in self.exchange_by_address.items():
             sends = exchange.next_pushes() + (exchange.next_digest() if compare else [])
@@ -92,7 +92,7 @@
 
 
 def main() -> None:
-    """Print changed_object line for each size of fleet."""
+    """Print a line for each fleet size."""
     for nodes, zones in SIZES:
         fleet = Fleet(node_count=nodes, zones=zones, random=Random(1))
         rounds = []
--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -1,8 +1,8 @@
-"""Which tests notice that a guard of the ingress is gone.
+"""Checks which tests fail when a guard of the ingress is removed.
 
-Each guard is cut from a copy of the sources, one at a time, and the ingress's tests
-run against the copy: ``python -m benchmarks.guards_left_out [RULE]``.  One line a
-guard with the tests that fail; a guard without one rests on nothing.
+Each guard is removed from a copy of the sources, one at a time, and the tests run
+against the copy: ``python -m benchmarks.guards_left_out [RULE]``. Each line names a
+guard and the tests that fail without it; a guard without such a test is untested.
 """
 
 import os
@@ -18,18 +18,18 @@
 SOURCES = ROOT / "src" / "ragwortkeel"
 TESTS = ("tests/ingress", "tests/site", "tests/budget")
 BUDGET_TESTS = "tests/budget/test_allowance_machine.py"
-"""Long, and it knows of no other rule than that of the budgets."""
+"""Takes long and checks only the rule ``prepaid``, so it runs only for that."""
 
 RUN_SECONDS = 240
-"""A cut guard may leave a test waiting; the tests take some 30 s."""
+"""Without a guard a test may hang; the tests normally take 30 s."""
 
 COPIES = 4
-"""At a time; the tests mostly wait."""
+"""Copies tested at the same time; the tests use little CPU time."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Guard:
-    """Text of a module under `SOURCES` that guards a rule, and what to put there."""
+    """A text in a module under `SOURCES` that guards a rule, and its replacement."""
 
     rule: str
     name: str
@@ -422,7 +422,7 @@
 
 
 def main() -> None:
-    """Cut the guards of one rule, or all."""
+    """Remove the guards of the named rules, or all guards, one at a time."""
     rules = set(sys.argv[1:]) or {guard.rule for guard in GUARDS}
     guards = [guard for guard in GUARDS if guard.rule in rules]
     with ThreadPoolExecutor(COPIES) as copies:
--- a/benchmarks/load/engine.py
+++ b/benchmarks/load/engine.py
@@ -1,9 +1,8 @@
 """A model of an upstream: continuous batching, prefix cache, priorities.
 
-Between events all sequences decode at one rate, which falls with their number.
-Prompts are read in chunks, by priority and then one after the other, and slow
-decoding meanwhile.  A plain
-service is the same with no prompt and as many slots as it has workers.
+Between events all sequences decode at the same rate, which falls with their number.
+Prompts are read in order of priority and arrival, which slows down decoding. A plain
+service is modelled as an engine without prompts, with a slot per worker.
 """
 
 from collections import OrderedDict
@@ -14,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineKind:
-    """Speed and size of an upstream; seconds and tokens."""
+    """Speed and size of a kind of upstream, in seconds and tokens."""
 
     slots: int
     memory_tokens: int
@@ -45,12 +44,12 @@
 )
 
 PREFILL_DECODE_FACTOR = 0.6
-"""Decoding speed while a prompt is read in chunks beside it."""
+"""Factor on the decoding speed while the engine reads a prompt."""
 
 
 @dataclass(kw_only=True, eq=False)
 class Job:
-    """One dispatched request at an upstream."""
+    """A request that was dispatched to an upstream."""
 
     job_id: str
     prompt: int
@@ -65,20 +64,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FirstToken:
-    """The job's first token (or whole answer) is there."""
+    """Event: the job has its first token."""
 
     job: Job
 
 
 @dataclass(frozen=True, kw_only=True)
 class Finished:
-    """The job is done."""
+    """Event: the job has its complete answer."""
 
     job: Job
 
 
 class PrefixCache:
-    """Least recently used prefixes within a bound of tokens."""
+    """Least recently used cache of prefixes, limited in tokens."""
 
     def __init__(self, *, tokens: int) -> None:
         self._max_tokens = tokens
@@ -86,7 +85,7 @@
         self._tokens_by_prefix: OrderedDict[str, int] = OrderedDict()
 
     def use(self, prefix: str, tokens: int) -> int:
-        """Return how many tokens are cached, and cache the prefix."""
+        """Cache the prefix and return how many of its tokens were cached before."""
         if not prefix or tokens > self._max_tokens:
             return 0
         hit = self._tokens_by_prefix.pop(prefix, 0)
@@ -98,12 +97,12 @@
         return min(hit, tokens)
 
     def contains(self, prefix: str) -> bool:
-        """Tell whether the prefix is cached."""
+        """Return whether the prefix is cached."""
         return prefix in self._tokens_by_prefix
 
 
 class Engine:
-    """One upstream; `advance` to a time before anything else at that time."""
+    """A simulated upstream. Call `advance` before any other method at a time."""
 
     def __init__(self, *, kind: EngineKind, speed: float = 1.0) -> None:
         self.kind = kind
@@ -123,23 +122,23 @@
 
     @property
     def running(self) -> int:
-        """Jobs in the batch."""
+        """Number of jobs in the batch."""
         return len(self._reading) + len(self._decoding)
 
     @property
     def waiting(self) -> int:
-        """Jobs the engine has not started."""
+        """Number of jobs that the engine hasn't started."""
         return len(self._jobs_by_id) - self.running
 
     def submit(self, job: Job) -> None:
-        """Take a job in."""
+        """Add a job to the queue, and start it if it fits."""
         self.version += 1
         self._jobs_by_id[job.job_id] = job
         heappush(self._waiting, (job.priority, next(self._order), job))
         self._fill()
 
     def cancel(self, job_id: str) -> None:
-        """Stop a job."""
+        """Remove a job, whether it waits or runs."""
         job = self._jobs_by_id.pop(job_id, None)
         if job is None:
             return
@@ -160,7 +159,7 @@
         self._fill()
 
     def crash(self) -> None:
-        """Crash: all jobs and the cache are gone."""
+        """Drop all jobs and the cache, as in a crash."""
         self.version += 1
         self._jobs_by_id.clear()
         self._waiting, self._reading, self._decoding = [], [], []
@@ -168,7 +167,7 @@
         self.cache = PrefixCache(tokens=self.kind.cache_tokens)
 
     def advance(self, now: float) -> None:
-        """Let time pass up to `now`."""
+        """Advance the simulation to `now`."""
         seconds, self._now = now - self._now, now
         if seconds <= 0.0:
             return
@@ -177,7 +176,7 @@
             self._reading[0].unread_tokens -= seconds * self._read_rate()
 
     def next_event(self) -> float | None:
-        """Return when something ends next, if nothing else comes."""
+        """Return the time of the next event if no other job arrives."""
         times = []
         if self._reading:
             times.append(max(0.0, self._reading[0].unread_tokens) / self._read_rate())
@@ -187,7 +186,7 @@
         return self._now + min(times) + 1e-9 if times else None
 
     def collect(self) -> list[FirstToken | Finished]:
-        """Return what has ended by now."""
+        """Return the events up to now and start queued jobs."""
         out: list[FirstToken | Finished] = []
         while self._reading and self._reading[0].unread_tokens <= 1e-6:
             job = self._reading.pop(0)
@@ -209,7 +208,7 @@
     def could_serve(
         self, job: Job, first_token_seconds: float, total_seconds: float
     ) -> bool:
-        """Tell whether a job sent now would be in time, if nothing else came."""
+        """Return whether a job sent now would be in time if no other arrived."""
         if self._waiting or not self._fits(job):
             return False
         hit = job.prefix_tokens if self.cache.contains(job.prefix) else 0
--- a/benchmarks/load/fleet.py
+++ b/benchmarks/load/fleet.py
@@ -1,8 +1,8 @@
-"""A run of one scheme on one scenario: callers, routers, sidecars, engines.
+"""Simulates callers, routers, sidecars and engines for a scheme and a scenario.
 
-Events are taken in order of time from one heap; the same seed gives the same
-callers whatever the scheme.  A caller hangs up at its deadline.  Refused or
-late, it calls again up to twice: after the seconds it was told, or after one.
+Events are processed in order of time. The same seed gives the same callers for all
+schemes. A caller disconnects at its deadline. After a refusal or a timeout it sends
+its request again up to twice, after the announced seconds or after one second.
 """
 
 from dataclasses import dataclass
@@ -45,7 +45,7 @@
 RESTART_SECONDS = 3.0
 WARMING_SECONDS = 6.0
 WARMING_SPEED = 0.3
-"""A started engine has cold caches and compiles its kernels on the way."""
+"""Factor on the speed: a started engine has cold caches and compiles kernels."""
 
 PRIORITIES = {
     ServiceClass.INTERACTIVE: 0,
@@ -56,7 +56,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class Call:
-    """One time that a caller sends its request."""
+    """One call of a caller, which may send its request more than once."""
 
     spec: RequestSpec
     request: RequestFacts
@@ -71,7 +71,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class Sidecar:
-    """One upstream with the limit that its sidecar keeps."""
+    """An upstream with the adaptive limit of its sidecar."""
 
     facts: UpstreamFacts
     engine: Engine
@@ -80,23 +80,23 @@
 
     @property
     def load(self) -> int:
-        """Requests running and waiting."""
+        """Number of requests that run or wait."""
         return self.engine.running + self.engine.waiting
 
     def allowed(self) -> int:
-        """Return the limit; zero for none."""
+        """Return the limit in requests, or 0 without a limit."""
         return self.limit.limit if self.limit else 0
 
     def is_full(self) -> bool:
-        """Tell whether one more is refused.
+        """Return whether the sidecar refuses another request.
 
-        Routers decide on reports that lag, so a few more than the limit pass.
+        The threshold is above the limit, because routers act on late load reports.
         """
         return bool(self.limit) and self.load >= self.limit.limit * 1.25 + 2
 
 
 class Fleet:
-    """One run; `run` returns what callers got."""
+    """One simulated run; `run` returns the results for callers."""
 
     def __init__(
         self, *, deployment: Deployment, scenario: Scenario, scheme: Scheme, seed: int
@@ -123,7 +123,7 @@
         self._wakes: list[float | None] = [None] * deployment.routers
 
     def run(self) -> Measures:
-        """Play the scenario to its end."""
+        """Simulate the scenario and return its measures."""
         random = Random(self._callers.random())
         for spec in request_specs(self._deployment, self._scenario, random):
             self._measures.outcomes[spec.number] = Outcome(spec=spec)
@@ -182,7 +182,7 @@
             self._schedule(away, lambda sidecar=sidecar: self._restart(sidecar))
 
     def _restart(self, sidecar: Sidecar) -> None:
-        """Take the upstream out, and bring it back cold and slow."""
+        """Remove the upstream and add it again with a cold cache and low speed."""
         self._removed.add(sidecar.facts.name)
         self._update_upstreams()
         back = self._now + RESTART_SECONDS
@@ -336,7 +336,7 @@
             self._plan(sidecar)
 
     def _collect(self, sidecar: Sidecar) -> None:
-        """Bring the engine up to now, and its answers to the routers."""
+        """Advance the engine to now and report its events to the routers."""
         sidecar.engine.advance(self._now)
         for event in sidecar.engine.collect():
             call = self._calls_by_nonce.get(event.job.job_id)
@@ -375,7 +375,7 @@
         self._apply(router, self._routers[router].record_finish(request_id, self._now))
 
     def _record_answer(self, call: Call) -> None:
-        """Count the answer as in time if it kept what its class promises."""
+        """Count the answer as in time if it met the deadlines of its class."""
         request = call.request
         in_time = self._now <= request.deadline
         if request.service_class is ServiceClass.INTERACTIVE:
@@ -424,7 +424,7 @@
             self._send_again(call, refusal.retry_after_seconds or SEND_AGAIN_SECONDS)
 
     def _servable(self, call: Call) -> bool:
-        """Tell whether some upstream could have served it from now on in time."""
+        """Return whether any upstream could serve the call in time from now on."""
         request = call.request
         total = request.deadline - self._now
         first = total
--- a/benchmarks/load/measures.py
+++ b/benchmarks/load/measures.py
@@ -1,4 +1,4 @@
-"""What callers got, counted by spec and by ask."""
+"""Results for callers, counted by request and by call."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(kw_only=True)
 class Outcome:
-    """What became of one spec over all its calls."""
+    """Result of one request over all its calls."""
 
     spec: RequestSpec
     in_time: bool = False
@@ -17,10 +17,10 @@
 
 @dataclass(kw_only=True)
 class Measures:
-    """Counts of one run; `summary` turns them into the figures of the bench.
+    """Counts of one run; `summary` returns the figures of the benchmark.
 
-    Refusals are answers that it did not run; what broke off after it may have
-    run is counted apart.
+    Refusals are answers that say that the request did not run. Requests that failed
+    after they may have run are counted in `broken_off`.
     """
 
     seconds: float
@@ -38,7 +38,7 @@
     prefix_tokens: int = 0
 
     def summary(self) -> dict[str, float]:
-        """Return the figures by name; shares are in 0..1, times in seconds."""
+        """Return the figures by name: fractions from 0 to 1, and seconds."""
         outcomes = [
             o for o in self.outcomes.values() if not o.spec.disconnects_after_seconds
         ]
--- a/benchmarks/load/schemes.py
+++ b/benchmarks/load/schemes.py
@@ -1,4 +1,4 @@
-"""Routers under comparison: ours, and three that are common elsewhere."""
+"""Routers to compare: the product's scheduler and three common schemes."""
 
 from collections import deque
 from collections.abc import Callable
@@ -25,47 +25,47 @@
 
 
 class Router(Protocol):
-    """What the fleet model asks of one router."""
+    """Interface of a router in the fleet simulation."""
 
     def offer(self, request: RequestFacts, now: float) -> list[FinalDecision]:
-        """Take a new request."""
+        """Offer a new request and return the final decisions."""
 
     def set_upstreams(
         self, upstreams: list[UpstreamFacts], now: float
     ) -> list[FinalDecision]:
-        """Take over the upstreams that may be given new work."""
+        """Replace the upstreams that may receive requests."""
 
     def record_loads(
         self, reports: list[LoadReport], now: float
     ) -> list[FinalDecision]:
-        """Take load reports."""
+        """Record load reports of the sidecars."""
 
     def record_first_token(self, request_id: str, now: float) -> None:
-        """Note a first token."""
+        """Record the first token of an answer."""
 
     def record_finish(self, request_id: str, now: float) -> list[FinalDecision]:
-        """Note an end."""
+        """Record the end of a request."""
 
     def record_failure(
         self, request_id: str, failure: Failure, now: float
     ) -> list[FinalDecision]:
-        """Note a failed attempt."""
+        """Record a failed attempt."""
 
     def record_disconnect(
         self, request_id: str, now: float
     ) -> tuple[str | None, list[FinalDecision]]:
-        """Note a caller that hung up; the first is where to cancel."""
+        """Record a disconnected caller; return the upstream to cancel at, if any."""
 
     def decide_due(self, now: float) -> list[FinalDecision]:
-        """Do what time brings."""
+        """Return the decisions that are due."""
 
     def next_wake_at(self) -> float | None:
-        """Return when to decide_due next."""
+        """Return when `decide_due` has to be called next."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Scheme:
-    """A kind of router, and what it has its sidecars and engines do."""
+    """A kind of router and the features of its sidecars and engines."""
 
     name: str
     router: Callable[[list[UpstreamFacts], str, Random], Router]
@@ -74,7 +74,7 @@
 
 
 class SchedulerRouter:
-    """The scheduler of the product, with its calls in the right order."""
+    """Adapter of the product's scheduler to `Router`."""
 
     def __init__(
         self, scheduler: Scheduler, *, cancels: bool = True, affinity: bool = True
@@ -84,7 +84,7 @@
         self._affinity = affinity
 
     def offer(self, request: RequestFacts, now: float) -> list[FinalDecision]:
-        """Offer, and hand out what that decides."""
+        """Offer a request and return the final decisions."""
         if not self._affinity:
             request = replace(request, prefix="")
         return self._append_due(self._scheduler.offer(request, now), now)
@@ -92,31 +92,31 @@
     def set_upstreams(
         self, upstreams: list[UpstreamFacts], now: float
     ) -> list[FinalDecision]:
-        """Pass it on, and hand out what that decides."""
+        """Replace the upstreams and return the decisions that are due."""
         self._scheduler.set_upstreams(upstreams, now)
         return self.decide_due(now)
 
     def record_loads(
         self, reports: list[LoadReport], now: float
     ) -> list[FinalDecision]:
-        """Report, and hand out what there is room for."""
+        """Record load reports and return the decisions that are due."""
         for report in reports:
             self._scheduler.record_load(report, now)
         return self.decide_due(now)
 
     def record_first_token(self, request_id: str, now: float) -> None:
-        """Pass it on."""
+        """Record the first token of an answer."""
         self._scheduler.record_first_token(request_id, now)
 
     def record_finish(self, request_id: str, now: float) -> list[FinalDecision]:
-        """Pass it on, and fill the place."""
+        """Record the end of a request and return the decisions that are due."""
         self._scheduler.record_finish(request_id, now)
         return self.decide_due(now)
 
     def record_failure(
         self, request_id: str, failure: Failure, now: float
     ) -> list[FinalDecision]:
-        """Pass it on, and hand out what that decides."""
+        """Record a failed attempt and return the final decisions."""
         return self._append_due(
             self._scheduler.record_failure(request_id, failure, now), now
         )
@@ -124,18 +124,18 @@
     def record_disconnect(
         self, request_id: str, now: float
     ) -> tuple[str | None, list[FinalDecision]]:
-        """Pass it on, and fill the place."""
+        """Record a disconnected caller and return where to cancel."""
         if not self._cancels:
             return None, []
         upstream = self._scheduler.record_disconnect(request_id, now)
         return upstream, self.decide_due(now)
 
     def decide_due(self, now: float) -> list[FinalDecision]:
-        """Hand out what is due."""
+        """Return the decisions that are due."""
         return list(self._scheduler.next_decisions(now))
 
     def next_wake_at(self) -> float | None:
-        """Pass it on."""
+        """Return when the scheduler has to be called next."""
         return self._scheduler.next_wake_at()
 
     def _append_due(self, decision: Decision | None, now: float) -> list[FinalDecision]:
@@ -159,7 +159,7 @@
     cancels: bool = True,
     **thresholds: float,
 ) -> Scheme:
-    """Return our scheme, with what is to be left out or set otherwise."""
+    """Return the product's scheme, with changed settings or disabled features."""
     settings = replace(settings, **thresholds)
     if disabled:
         settings = replace(settings, disabled=frozenset([disabled]))
@@ -182,7 +182,7 @@
 
 @dataclass(kw_only=True)
 class _OpenRequest:
-    """A request that a plain router has in flight."""
+    """A request in flight at a `PlainRouter`."""
 
     request: RequestFacts
     upstream: str
@@ -191,11 +191,11 @@
 
 @dataclass(kw_only=True)
 class PlainRouter:
-    """Round robin or least connections, with or without a fixed limit.
+    """Round robin or least connections, optionally with a fixed limit.
 
-    With a limit the rest waits first in, first out, until the caller hangs up;
-    a full queue refuses.  A failed repeatable request is
-    tried up to three times.
+    With a limit, further requests wait in a queue, first in, first out, until the
+    caller disconnects; a full queue refuses requests. A repeatable request that
+    fails is attempted up to three times.
     """
 
     upstreams: list[UpstreamFacts]
@@ -210,7 +210,7 @@
     next_index: int = 0
 
     def offer(self, request: RequestFacts, now: float) -> list[FinalDecision]:
-        """Dispatch, or append to the queue."""
+        """Append the request to the queue and return what can be sent."""
         queue = self.queue_by_pool.setdefault(request.back_ends, deque())
         if self.limit and len(queue) >= MAX_QUEUED_REQUESTS:
             return [_refusal(request, Reason.QUEUE_FULL)]
@@ -220,28 +220,28 @@
     def set_upstreams(
         self, upstreams: list[UpstreamFacts], now: float
     ) -> list[FinalDecision]:
-        """Take them over."""
+        """Replace the upstreams and return what can be sent."""
         self.upstreams = upstreams
         return self.decide_due(now)
 
     def record_loads(
         self, reports: list[LoadReport], now: float
     ) -> list[FinalDecision]:
-        """Ignore it: none of these uses reports."""
+        """Ignore load reports, which these schemes don't use."""
         return []
 
     def record_first_token(self, request_id: str, now: float) -> None:
-        """Ignore it."""
+        """Ignore the first token."""
 
     def record_finish(self, request_id: str, now: float) -> list[FinalDecision]:
-        """Free the place."""
+        """Remove the request and return what can be sent."""
         self._end(request_id)
         return self.decide_due(now)
 
     def record_failure(
         self, request_id: str, failure: Failure, now: float
     ) -> list[FinalDecision]:
-        """Try again elsewhere, whatever the load."""
+        """Retry at an upstream regardless of its load."""
         ended = self._end(request_id)
         if ended is None:
             return []
@@ -253,7 +253,7 @@
     def record_disconnect(
         self, request_id: str, now: float
     ) -> tuple[str | None, list[FinalDecision]]:
-        """Cancel where that is done."""
+        """Remove a queued request, and cancel a running one if enabled."""
         for pool, queue in self.queue_by_pool.items():
             kept = deque(r for r in queue if r.request_id != request_id)
             self.queue_by_pool[pool] = kept
@@ -263,7 +263,7 @@
         return (ended.upstream if ended else None), self.decide_due(now)
 
     def decide_due(self, now: float) -> list[FinalDecision]:
-        """Send what there is room for, in order of arrival."""
+        """Send queued requests within the limit, in order of arrival."""
         out: list[FinalDecision] = []
         for queue in self.queue_by_pool.values():
             while queue and self._has_headroom(queue[0]):
@@ -271,7 +271,7 @@
         return out
 
     def next_wake_at(self) -> float | None:
-        """Return None: those in the queue hang up at their deadline."""
+        """Return None: callers of queued requests disconnect at their deadline."""
         return None
 
     def _pool(self, request: RequestFacts) -> list[str]:
@@ -306,14 +306,14 @@
 
 
 MAX_QUEUED_REQUESTS = 200
-"""A common default for a router's queue."""
+"""A common default for the queue length of a router."""
 
 FIXED_LIMIT_REQUESTS = 8
-"""In flight at each upstream from each of three routers: 24 of 32 slots."""
+"""Per upstream and router: three routers use at most 24 of 32 slots."""
 
 
 def round_robin() -> Scheme:
-    """First in, first out, round robin, no limit, nothing cancelled."""
+    """Return first in, first out with round robin, no limit, no cancellation."""
     return Scheme(
         name="fifo_round_robin",
         router=lambda upstreams, zone, random: PlainRouter(
@@ -323,7 +323,7 @@
 
 
 def least_connections(*, priorities: bool = False) -> Scheme:
-    """Fewest of one's own in flight, no limit; the engine may know classes."""
+    """Return least connections without a limit, optionally with priorities."""
     return Scheme(
         name="least_connections" + ("_priorities" if priorities else ""),
         router=lambda upstreams, zone, random: PlainRouter(
@@ -334,7 +334,7 @@
 
 
 def fixed_limits() -> Scheme:
-    """Least connections within a fixed limit, and a queue behind it."""
+    """Return least connections with a fixed limit and a queue."""
     return Scheme(
         name="fixed_limits",
         router=lambda upstreams, zone, random: PlainRouter(
--- a/benchmarks/load/workloads.py
+++ b/benchmarks/load/workloads.py
@@ -1,4 +1,4 @@
-"""What callers ask: the two deployments of the brief, and patterns of load."""
+"""Requests of callers in two deployments, and patterns of load."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
@@ -7,16 +7,18 @@
 from ragwortkeel.configuration import ServiceClass
 
 DISCONNECT_FRACTION = 0.08
-"""Part of interactive callers who close the window before the answer is whole;
-they are left out of the shares served in time."""
+"""Fraction of interactive callers that disconnect before the answer is complete.
+
+They aren't counted in the fractions served in time.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ProfileLoad:
-    """One profile's promises and sizes; `weight` is its part of all requests.
+    """Deadlines and sizes of a profile; `weight` is its fraction of all requests.
 
     Requests of one conversation (`prefixes` of them) repeat `prefix_fraction` of
-    its length, so their prompts differ by the last turn only.
+    its length, so their prompts differ in the last message only.
     """
 
     name: str
@@ -33,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """One fleet; `rate` is requests a second at about its full load."""
+    """A fleet; `rate` is the requests per second at about full load."""
 
     name: str
     models: int
@@ -52,24 +54,24 @@
     Attributes
     ----------
     load : float
-        Share of the deployment's full rate.
+        Fraction of the deployment's full rate.
     burst : tuple of float
-        From, to, and how many times the rate in between.
+        Start and end in seconds, and the factor on the rate between them.
     greedy : float
-        Part of all requests that one customer sends.
+        Fraction of all requests that one customer sends.
     hot_prefix : float
-        Part of prefixed requests that share one prefix.
+        Fraction of requests with a prefix that share one prefix.
     batch_weight_factor : float
-        How many times the weight of batch profiles.
+        Factor on the weight of batch profiles.
     slow, failing : tuple of float
-        From, to (seconds): the first model server is at a quarter of its speed,
-        or fails each request at once.
+        Start and end in seconds: the first model server runs at a quarter of its
+        speed, or fails each request immediately.
     uneven : bool
-        Every other model server is an older one, of half the speed.
+        Every second model server is an older model with half the speed.
     flaky : float
-        Part of runs that every model server breaks off half-way with an error.
+        Fraction of runs that fail halfway, at every model server.
     restarting : tuple of float
-        From, to: half of the model servers are replaced, one after the other.
+        Start and end in seconds: half of the model servers are replaced in turn.
     """
 
     name: str
@@ -88,9 +90,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RequestSpec:
-    """What one caller wants once; it may ask for it more than once.
+    """A request of one caller, which may send it more than once.
 
-    With `disconnects_after_seconds` it hangs up after as many seconds, whatever comes.
+    With `disconnects_after_seconds` the caller disconnects after so many seconds.
     """
 
     number: int
@@ -259,7 +261,7 @@
 def request_specs(
     deployment: Deployment, scenario: Scenario, random: Random
 ) -> Iterator[RequestSpec]:
-    """Yield what callers want, in order of time."""
+    """Yield the requests of callers in order of time."""
     profiles = [
         replace(
             p,
--- a/benchmarks/load_policies.py
+++ b/benchmarks/load_policies.py
@@ -1,11 +1,11 @@
-"""What callers get under load: our policies against common ones.
+"""Compares the product's policies under load with common ones.
 
-Prints ``key=value`` lines.  ``bench=load`` compares complete schemes on each pattern
-of load; ``bench=load_without`` leaves out one of our mechanisms at a time and gives
-what it gain, the figure with it less the figure without it.  The
-seeds are the same for all, and so are the callers.
+Prints ``key=value`` lines. ``bench=load`` compares complete schemes on each pattern
+of load. ``bench=load_without`` disables one mechanism at a time and prints its gain:
+the figure with it minus the figure without it. Seeds and callers are the same for
+all schemes.
 
-Run ``python -m benchmarks.load_policies``; ``--quick`` takes one seed.
+Run ``python -m benchmarks.load_policies``; ``--quick`` uses one seed.
 """
 
 import argparse
@@ -35,7 +35,7 @@
     "flaky",
     "failing",
 )
-"""Where mechanisms are left out: the patterns that differed largest_gain."""
+"""The patterns of load on which the results differ most."""
 
 OUR_SETTINGS = SchedulerSettings(report_lag_seconds=REPORT_LAG_SECONDS)
 
@@ -54,7 +54,7 @@
 
 
 def schemes() -> list[Scheme]:
-    """Return the schemes to compare; ours first."""
+    """Return the schemes to compare, the product's first."""
     return [
         ours("ours", settings=OUR_SETTINGS),
         round_robin(),
@@ -65,7 +65,7 @@
 
 
 def schemes_without_mechanisms() -> list[Scheme]:
-    """Return ours with one mechanism left out each."""
+    """Return the product's scheme with one mechanism disabled each."""
     left_out = [
         ours(mechanism.value, settings=OUR_SETTINGS, disabled=mechanism)
         for mechanism in Mechanism
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Run:
-    """One run, by index and name so that it can be sent to a worker."""
+    """A run, identified by indices and names so that it can be pickled."""
 
     deployment: int
     scenario: int
@@ -98,14 +98,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Result:
-    """What one run gave."""
+    """The summary of one run."""
 
     run: Run
     summary: dict[str, float]
 
 
 def play(run: Run) -> Result:
-    """Play one run."""
+    """Simulate one run."""
     scheme_by_name = {
         scheme.name: scheme for scheme in (*schemes(), *schemes_without_mechanisms())
     }
@@ -119,7 +119,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run all and print the lines."""
+    """Simulate all runs and print their results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="one seed only")
     seeds = SEEDS[:1] if parser.parse_args(arguments).quick else SEEDS
@@ -172,7 +172,7 @@
 
 
 def _print_without(results: list[Result], left_out: list[str], seeds: str) -> None:
-    """Print what each mechanism gain: with it less without it, means of all."""
+    """Print the gain of each mechanism: the mean with it minus the mean without."""
     chosen = set(_left_out_scenarios())
     results = [result for result in results if result.run.scenario in chosen]
     for d, deployment in enumerate(DEPLOYMENTS):
@@ -192,7 +192,7 @@
 def _largest_gain(
     results: list[Result], name: str, deployment: int
 ) -> tuple[str, float]:
-    """Return the scenario where the mechanism gain largest_gain in-time answers."""
+    """Return the scenario with the largest gain of in-time answers."""
     gain = []
     for s in _left_out_scenarios():
         complete = _mean(_select(results, "ours", deployment, s))
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,8 +1,8 @@
-"""Measured slopes for docs/CAPACITY.md: ``make bench-slopes``.
+"""Measures costs by size for docs/CAPACITY.md: ``make bench-slopes``.
 
-Each cost is taken at three sizes or more; the last line of each is the straight
-line through them, ``rate`` for each unit of ``per`` and ``base`` for none.
-Processor time is that of the process named, not elapsed time.
+Each cost is measured at three or more sizes. The last line of each is a linear fit:
+``rate`` is the cost per unit of ``per``, ``base`` the cost at size 0. Processor time
+is the CPU time of the named process, not elapsed time.
 """
 
 import os
@@ -17,7 +17,7 @@
 
 
 def main() -> None:
-    """Run every measurement, one after the other."""
+    """Run all measurements in sequence."""
     report(bench="slopes", python=platform.python_version(), processors=os.cpu_count())
     measure_components()
     measure_store()
