--- a/benchmarks/_budget_ours.py
+++ b/benchmarks/_budget_ours.py
@@ -125,7 +125,7 @@
         return self.simulation.now - router.clock_lag_seconds
 
     def _try_start(self, router: Router, request: Request) -> bool:
-        """Start the request at a sidecar with tokens; return whether it is settled."""
+        """Start the request at a sidecar with tokens, or return False."""
         holdings, simulation = router.state, self.simulation
         for sidecar in simulation.pick_sidecars(request):
             try:
