--- a/src/ragwortkeel/budget/account.py
+++ b/src/ragwortkeel/budget/account.py
@@ -253,12 +253,12 @@
         """
         unspent = max(0, self.ledger.prepaid - self.ledger.total_spent)
         holders = max(1, self.ledger.holders)
-        starting = int(unspent / holders * INITIAL_SLICE_FRACTION)
+        initial_tokens = int(unspent / holders * INITIAL_SLICE_FRACTION)
         return SliceNeed(
             holding=max(0, self.slice.granted - self.slice.spent),
             demand=self._meter.rate(now=now),
             largest_request=max(
-                starting, int(mean_request_tokens * MIN_SLICE_REQUESTS)
+                initial_tokens, int(mean_request_tokens * MIN_SLICE_REQUESTS)
             ),
             waiting=max(0, self.waiting_tokens - self.held),
             lacking=max(0, self.waiting_tokens - self.available),
@@ -336,8 +336,8 @@
         """
         unspent = max(0, self.ledger.prepaid - self.ledger.total_spent)
         holders = max(1, self.ledger.holders)
-        starting = int(unspent * INITIAL_HEADROOM_FRACTION / holders)
-        headroom = max(starting, int(need.demand / 60 * headroom_seconds))
+        min_headroom = int(unspent * INITIAL_HEADROOM_FRACTION / holders)
+        headroom = max(min_headroom, int(need.demand / 60 * headroom_seconds))
         return self.slice.reserved + headroom + self.waiting_tokens
 
     def _is_due(
--- a/src/ragwortkeel/budget/ledger.py
+++ b/src/ragwortkeel/budget/ledger.py
@@ -276,8 +276,8 @@
                 f"operation id {operation_id} is too old to tell whether it was applied"
             )
         operation = Operation(operation_id=operation_id, tokens=tokens)
-        kept = (*self.operations, operation)
-        removed = kept[:-MAX_KEPT_OPERATIONS]
+        all_operations = (*self.operations, operation)
+        removed = all_operations[:-MAX_KEPT_OPERATIONS]
         floor = max(
             (_operation_count_of(entry.operation_id) + 1 for entry in removed),
             default=0,
@@ -288,7 +288,7 @@
         return self._replace(
             prepaid=self.prepaid + tokens,
             recall_to=recall_to,
-            operations=kept[-MAX_KEPT_OPERATIONS:],
+            operations=all_operations[-MAX_KEPT_OPERATIONS:],
             operation_count=self.operation_count + 1,
             operation_floor=max(self.operation_floor, floor),
         )
--- a/src/ragwortkeel/budget/receipt.py
+++ b/src/ragwortkeel/budget/receipt.py
@@ -49,11 +49,11 @@
     """
 
     def __init__(self) -> None:
-        self._runs: dict[str, RunReceipt] = {}
+        self._receipt_by_nonce: dict[str, RunReceipt] = {}
 
     def add(self, receipt: RunReceipt) -> None:
         """Add a receipt; the same one again changes nothing."""
-        self._runs[receipt.nonce] = receipt
+        self._receipt_by_nonce[receipt.nonce] = receipt
 
     def add_segment(self, segment: Segment) -> None:
         """Add all receipts of a segment."""
@@ -64,7 +64,7 @@
     def by_request(self) -> dict[tuple[str, str], RunReceipt]:
         """The receipt that is charged, by profile and request id."""
         charged: dict[tuple[str, str], RunReceipt] = {}
-        for receipt in self._runs.values():
+        for receipt in self._receipt_by_nonce.values():
             if not receipt.billable:
                 continue
             key = (receipt.profile, receipt.request_id)
@@ -83,7 +83,7 @@
         """Return the tokens that a profile's runs spent and that are not billed."""
         run_tokens = sum(
             receipt.tokens
-            for receipt in self._runs.values()
+            for receipt in self._receipt_by_nonce.values()
             if receipt.profile == profile
         )
         return run_tokens - self.charged(profile)
--- a/src/ragwortkeel/budget/seal.py
+++ b/src/ragwortkeel/budget/seal.py
@@ -45,8 +45,8 @@
     def __init__(self) -> None:
         self.ready = False
         self._sealed: set[str] = set()
-        self._runs_by_nonce: dict[str, _Run] = {}
-        self._ran: defaultdict[str, dict[str, int]] = defaultdict(dict)
+        self._run_by_nonce: dict[str, _Run] = {}
+        self._spend_by_router: defaultdict[str, dict[str, int]] = defaultdict(dict)
 
     def open(self, *, seals: Iterable[str]) -> None:
         """Accept requests; the sidecar has registered and then read these seals."""
@@ -60,23 +60,25 @@
     def start(self, *, nonce: str, router: str, profile: str, reservation: int) -> None:
         """Record a run before it is sent to the upstream."""
         run = _Run(router=router, profile=profile, reservation=reservation)
-        self._runs_by_nonce[nonce] = run
+        self._run_by_nonce[nonce] = run
 
     def finish(self, *, nonce: str, tokens: int) -> bool:
         """Record the spend of a run; return False if it ended already."""
-        run = self._runs_by_nonce.pop(nonce, None)
+        run = self._run_by_nonce.pop(nonce, None)
         if run is None:
             return False
-        ran = self._ran[run.router]
-        ran[run.profile] = ran.get(run.profile, 0) + tokens
+        spend = self._spend_by_router[run.router]
+        spend[run.profile] = spend.get(run.profile, 0) + tokens
         return True
 
     def seal(self, router: str) -> SealReport:
         """Refuse the router from now on and return its spend; idempotent."""
         self._sealed.add(router)
         running: dict[str, int] = {}
-        for run in self._runs_by_nonce.values():
+        for run in self._run_by_nonce.values():
             if run.router == router:
                 reserved = running.get(run.profile, 0)
                 running[run.profile] = reserved + run.reservation
-        return SealReport(ran=dict(self._ran.get(router, {})), running=running)
+        return SealReport(
+            ran=dict(self._spend_by_router.get(router, {})), running=running
+        )
--- a/src/ragwortkeel/budget/sizing.py
+++ b/src/ragwortkeel/budget/sizing.py
@@ -124,17 +124,17 @@
 def target_holding(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
     """Return the unspent tokens that a router should hold, reserved ones included."""
     unspent = max(0, ledger.prepaid - ledger.total_spent)
-    others = sum(
+    others_demand = sum(
         grant.demand for name, grant in ledger.grants.items() if name != router
     )
-    count = ledger.holders + (router not in ledger.grants)
-    demand_fraction = need.demand / max(1, need.demand + others)
+    holder_count = ledger.holders + (router not in ledger.grants)
+    demand_fraction = need.demand / max(1, need.demand + others_demand)
     equal_weight = need.equal_fraction
     slice_tokens = unspent * need.slices_fraction
     if need.slices_fraction_override is not None:
-        ledger_tokens = count * LEDGER_SLICES_PER_HOLDER * need.min_useful_tokens
+        ledger_tokens = holder_count * LEDGER_SLICES_PER_HOLDER * need.min_useful_tokens
         slice_tokens = max(0.0, min(slice_tokens, unspent - ledger_tokens))
-    equal_slice = _equal_slice(slice_tokens, count, need)
+    equal_slice = _equal_slice(slice_tokens, holder_count, need)
     outage_tokens = need.demand / 60 * need.ride_out_seconds
     target = min(
         equal_weight * equal_slice
@@ -153,17 +153,19 @@
     return target
 
 
-def _equal_slice(slice_tokens: float, count: int, need: SliceNeed) -> float:
+def _equal_slice(slice_tokens: float, holder_count: int, need: SliceNeed) -> float:
     """Return this router's share of tokens that are shared equally.
 
     With dozens of routers and a budget of a few requests, equal shares would be too
     small for any request, and each request would need tokens of many routers.  So fewer
     routers hold a share and lend it in an outage.
     """
-    if need.min_useful_tokens * count <= slice_tokens:
-        return slice_tokens / count
+    if need.min_useful_tokens * holder_count <= slice_tokens:
+        return slice_tokens / holder_count
     holders = max(1, int(slice_tokens / need.min_useful_tokens))
-    return slice_tokens / holders if need.selection_hash < holders / count else 0.0
+    return (
+        slice_tokens / holders if need.selection_hash < holders / holder_count else 0.0
+    )
 
 
 def tokens_to_take(ledger: Ledger, *, router: str, need: SliceNeed) -> int:
@@ -232,12 +234,14 @@
     tokens may be reserved.  With `lacking` they are only so many that they hold
     `UNSPENT_FACTOR` times these tokens, as each request may cost a write.
     """
-    spare = {
+    priority_by_router = {
         name: (grant.granted - grant.used) / (1 + grant.demand)
         for name, grant in ledger.grants.items()
         if name != router and _can_give(grant)
     }
-    givers = sorted(spare, key=spare.__getitem__, reverse=True)[:MAX_GIVERS_ASKED]
+    givers = sorted(
+        priority_by_router, key=priority_by_router.__getitem__, reverse=True
+    )[:MAX_GIVERS_ASKED]
     if lacking is None:
         return givers
     chosen, unspent = [], 0
--- a/src/ragwortkeel/budget/summary.py
+++ b/src/ragwortkeel/budget/summary.py
@@ -18,14 +18,14 @@
 def summarize(ledger: Ledger) -> Ledger:
     """Return the ledger with the best givers named and all other grants in one."""
     named = set(best_givers(ledger, router=""))
-    rest = [grant for name, grant in ledger.grants.items() if name not in named]
+    unnamed = [grant for name, grant in ledger.grants.items() if name not in named]
     grants = {name: ledger.grants[name] for name in named}
-    if rest:
+    if unnamed:
         grants[OTHERS] = Grant(
-            granted=sum(grant.held for grant in rest),
-            folded=sum(grant.used for grant in rest),
-            demand=sum(grant.demand for grant in rest),
-            holders=len(rest),
+            granted=sum(grant.held for grant in unnamed),
+            folded=sum(grant.used for grant in unnamed),
+            demand=sum(grant.demand for grant in unnamed),
+            holders=len(unnamed),
         )
     return msgspec.structs.replace(ledger, grants=grants, operations=())
 
--- a/src/ragwortkeel/budget/write_attempts.py
+++ b/src/ragwortkeel/budget/write_attempts.py
@@ -90,7 +90,7 @@
         ):
             self._last_success = attempt.reading
         self._open_by_boot = {
-            started_at: open_attempt
-            for started_at, open_attempt in self._open_by_boot.items()
-            if started_at > boot
+            open_boot: open_attempt
+            for open_boot, open_attempt in self._open_by_boot.items()
+            if open_boot > boot
         }
--- a/src/ragwortkeel/budget/write_order.py
+++ b/src/ragwortkeel/budget/write_order.py
@@ -51,8 +51,8 @@
 MIN_SLOW_WRITERS = 2
 """Number of processes in slow classes that shows that the platform itself is slow."""
 
-MIN_BACKOFF_SECONDS = 0.02
-"""Longest backoff after the first write that lost to another one.
+FIRST_BACKOFF_SECONDS = 0.02
+"""Upper bound of the random backoff after the first write that lost to another one.
 
 A write takes about 10 ms.
 """
@@ -175,7 +175,7 @@
 
 def backoff_seconds(refusals: int, random: Random) -> float:
     """Return the seconds to wait after refused writes in a row, a random backoff."""
-    longest = min(MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS * 2**refusals)
+    longest = min(MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2**refusals)
     return longest * random.random()
 
 
--- a/src/ragwortkeel/policy/choice.py
+++ b/src/ragwortkeel/policy/choice.py
@@ -186,16 +186,22 @@
         ]
     if not preferred:
         return None
-    if prefix and _within(preferred[0], ordered, bound):
+    if prefix and _is_within_bound(preferred[0], ordered, bound):
         return preferred[0]
     if not prefix:
-        own = [c for c in preferred if c.zone == zone and _within(c, ordered, bound)]
-        preferred = own or preferred
+        in_own_zone = [
+            c
+            for c in preferred
+            if c.zone == zone and _is_within_bound(c, ordered, bound)
+        ]
+        preferred = in_own_zone or preferred
     pair = preferred if len(preferred) <= 2 else random.sample(preferred, 2)
     return min(pair, key=lambda candidate: candidate.utilisation)
 
 
-def _within(candidate: Candidate, ordered: Sequence[Candidate], bound: float) -> bool:
+def _is_within_bound(
+    candidate: Candidate, ordered: Sequence[Candidate], bound: float
+) -> bool:
     """Return whether a candidate's utilisation is within the bound of the mean."""
     mean = sum(each.utilisation for each in ordered) / len(ordered)
     return candidate.utilisation <= mean + bound * max(0.0, 1.0 - mean)
--- a/src/ragwortkeel/policy/ejection.py
+++ b/src/ragwortkeel/policy/ejection.py
@@ -173,8 +173,8 @@
                 return False
 
     def _eject(self, upstream: str, ejections: int, now: float) -> bool:
-        pause = min(MAX_BACKOFF_SECONDS, self._first_backoff_seconds * 2**ejections)
+        backoff = min(MAX_BACKOFF_SECONDS, self._first_backoff_seconds * 2**ejections)
         self._health_by_upstream[upstream] = Ejected(
-            until=now + pause, ejections=min(ejections + 1, 16)
+            until=now + backoff, ejections=min(ejections + 1, 16)
         )
         return True
--- a/src/ragwortkeel/policy/fleet_rates.py
+++ b/src/ragwortkeel/policy/fleet_rates.py
@@ -185,8 +185,10 @@
             bucket = _Bucket(level=self._random.random(), updated_at=now)
             self._bucket_by_upstream[upstream] = bucket
         own_rate = self.own_rate(upstream, rate)
-        most = 1.0 + rate.burst_seconds * own_rate
-        bucket.level = min(most, bucket.level + own_rate * (now - bucket.updated_at))
+        max_level = 1.0 + rate.burst_seconds * own_rate
+        bucket.level = min(
+            max_level, bucket.level + own_rate * (now - bucket.updated_at)
+        )
         bucket.updated_at = now
         if bucket.level >= 1.0:
             return 0.0
--- a/src/ragwortkeel/policy/quarantine.py
+++ b/src/ragwortkeel/policy/quarantine.py
@@ -100,7 +100,7 @@
 
         A new crash has to be forwarded.
         """
-        updated = [name for name in crash.fingerprints if self._add(name, crash, now)]
+        updated = [each for each in crash.fingerprints if self._add(each, crash, now)]
         self._discard_old(now)
         return bool(updated)
 
--- a/src/ragwortkeel/policy/upstreams.py
+++ b/src/ragwortkeel/policy/upstreams.py
@@ -31,7 +31,7 @@
         self._limit_by_name: dict[str, int] = {}
         self._isolated_request_by_name: dict[str, str] = {}
         self._names_by_pool: dict[tuple[str, ...], list[str]] = {}
-        self._full: set[tuple[tuple[str, ...], ServiceClass]] = set()
+        self._full_pools: set[tuple[tuple[str, ...], ServiceClass]] = set()
         self._ejections = Ejections(failures_to_eject=settings.failures_to_eject)
         self._slow_start = SlowStart(rise_per_second=settings.rise_per_second)
 
@@ -39,7 +39,7 @@
         """Replace the upstreams that may receive new requests."""
         self._facts_by_name = {facts.name: facts for facts in upstreams}
         self._names_by_pool.clear()
-        self._full.clear()
+        self._full_pools.clear()
         names = set(self._facts_by_name)
         self._slow_start.retain(names, now)
         self._ejections.retain(names)
@@ -55,7 +55,7 @@
         load = self._load_by_name.get(report.upstream)
         if load is None:
             return
-        self._full.clear()
+        self._full_pools.clear()
         taken_at = now - self._settings.report_lag_seconds
         load.record_report(report.running + report.waiting, taken_at)
         if report.limit:
@@ -83,15 +83,15 @@
         """
         # Without headroom, nothing changes until a request ends or a report arrives;
         # a saturated router calls this many times in between.
-        pool = (request.back_ends, request.service_class)
-        if pool in self._full:
+        pool_and_class = (request.back_ends, request.service_class)
+        if pool_and_class in self._full_pools:
             return None
         names = self._open_upstreams(request, now)
         names = [name for name in names if name not in avoid] or names
         by_name = {n: self._candidate(n, request.service_class, now) for n in names}
         if not any(candidate.has_headroom for candidate in by_name.values()):
             if not avoid:
-                self._full.add(pool)
+                self._full_pools.add(pool_and_class)
             return None
         key = request.prefix or request.request_id
         chosen = choose(
@@ -110,10 +110,10 @@
         Only one upstream of a back end runs a suspect at a time, so that suspects can't
         make the back end unavailable to all other requests.
         """
-        pool = self.serving(request.back_ends)
-        if any(name in self._isolated_request_by_name for name in pool):
+        upstreams = self.serving(request.back_ends)
+        if any(name in self._isolated_request_by_name for name in upstreams):
             return None
-        usable = self._ejections.usable(pool, now)
+        usable = self._ejections.usable(upstreams, now)
         not_probed = [name for name, probe in usable.items() if not probe]
         return min(
             not_probed, key=lambda name: self._load_by_name[name].load, default=None
@@ -130,7 +130,7 @@
 
     def record_end(self, request_id: str, name: str, now: float) -> None:
         """Count a request that no longer runs there."""
-        self._full.clear()
+        self._full_pools.clear()
         self._load_by_name[name].record_end(now)
         if self._isolated_request_by_name.get(name) == request_id:
             del self._isolated_request_by_name[name]
@@ -140,17 +140,17 @@
     def record_success(self, name: str, now: float) -> None:
         """Record an answer, or its first token."""
         if self._ejections.record_success(name):
-            self._full.clear()
+            self._full_pools.clear()
             self._slow_start.reset(name, now)
 
     def record_no_verdict(self, name: str, now: float) -> None:
         """Record a request that ended without a verdict on the upstream."""
-        self._full.clear()
+        self._full_pools.clear()
         self._ejections.record_no_verdict(name, now)
 
     def record_failure(self, name: str, failure: Failure, now: float) -> None:
         """Record a failed attempt."""
-        self._full.clear()
+        self._full_pools.clear()
         if failure is Failure.OVERLOADED and name in self._load_by_name:
             self._load_by_name[name].assume_full(self._limit(name))
         if not self._settings.uses(Mechanism.EJECTION):
@@ -159,9 +159,12 @@
             self._slow_start.reset(name, now)
 
     def _open_upstreams(self, request: RequestFacts, now: float) -> list[str]:
-        """Return the usable upstreams; no probes if the request must not repeat."""
-        pool = self.serving(request.back_ends)
-        usable = self._ejections.usable(pool, now)
+        """Return the usable upstreams.
+
+        A request that must not repeat gets a probe only if no other upstream is left.
+        """
+        upstreams = self.serving(request.back_ends)
+        usable = self._ejections.usable(upstreams, now)
         names = [name for name in usable if name not in self._isolated_request_by_name]
         if request.repeatable:
             return names
@@ -170,9 +173,11 @@
     def _limit(self, name: str) -> float:
         return float(self._limit_by_name.get(name, self._settings.initial_limit))
 
-    def _candidate(self, name: str, service: ServiceClass, now: float) -> Candidate:
+    def _candidate(
+        self, name: str, service_class: ServiceClass, now: float
+    ) -> Candidate:
         limit = self._limit(name) * self._slow_start.fraction(name, now)
-        if service is ServiceClass.BATCH:
+        if service_class is ServiceClass.BATCH:
             limit *= self._settings.batch_fraction
         limit = max(1.0, limit)
         load = self._load_by_name[name]
--- a/src/ragwortkeel/runs/answer.py
+++ b/src/ragwortkeel/runs/answer.py
@@ -63,9 +63,9 @@
         self._max_bytes = max_bytes
         self._max_answer_bytes = max_answer_bytes
         self._answer_by_nonce: dict[str, Answer] = {}
-        self._droppable: dict[str, None] = {}
+        self._removable: dict[str, None] = {}
         self._bytes = 0
-        self._droppable_bytes = 0
+        self._removable_bytes = 0
 
     def __len__(self) -> int:
         return len(self._answer_by_nonce)
@@ -78,7 +78,7 @@
     @property
     def is_nearly_full(self) -> bool:
         """Whether new runs should not begin because memory is short."""
-        needed = self._bytes - self._droppable_bytes
+        needed = self._bytes - self._removable_bytes
         return needed > NEARLY_FULL_FRACTION * self._max_bytes
 
     def get(self, nonce: str) -> Answer | None:
@@ -114,9 +114,9 @@
     def unpin(self, nonce: str) -> None:
         """Allow the removal of a finished answer when memory is short."""
         answer = self._answer_by_nonce.get(nonce)
-        if answer is not None and nonce not in self._droppable:
-            self._droppable[nonce] = None
-            self._droppable_bytes += len(answer.data)
+        if answer is not None and nonce not in self._removable:
+            self._removable[nonce] = None
+            self._removable_bytes += len(answer.data)
 
     def remove(self, nonce: str) -> None:
         """Remove an answer; no effect if there is none."""
@@ -124,12 +124,12 @@
         if answer is None:
             return
         self._bytes -= len(answer.data)
-        if nonce in self._droppable:
-            del self._droppable[nonce]
-            self._droppable_bytes -= len(answer.data)
+        if nonce in self._removable:
+            del self._removable[nonce]
+            self._removable_bytes -= len(answer.data)
 
     def _free_bytes(self, size: int) -> None:
         while self._bytes + size > self._max_bytes:
-            if not self._droppable:
+            if not self._removable:
                 raise AnswerTooLarge("answer store is full of answers in use")
-            self.remove(next(iter(self._droppable)))
+            self.remove(next(iter(self._removable)))
--- a/src/ragwortkeel/runs/journal.py
+++ b/src/ragwortkeel/runs/journal.py
@@ -53,7 +53,7 @@
     "refused": RunState.TOMBSTONED,
 }
 
-_END_EVENTS = {RunState.FINISHED: "finish", RunState.FAILED: "fail"}
+_END_EVENT_BY_STATE = {RunState.FINISHED: "finish", RunState.FAILED: "fail"}
 
 
 def _new_lifecycle() -> Lifecycle:
@@ -202,7 +202,7 @@
         run = entry.run
         if entry.lifecycle.state == "admitted":
             entry.lifecycle.fire("start")
-        entry.lifecycle.fire(_END_EVENTS[state])
+        entry.lifecycle.fire(_END_EVENT_BY_STATE[state])
         entry.tokens = min(max(tokens, 0), run.reservation)
         self._record_end(nonce, entry.tokens)
         receipt = RunReceipt(
