--- a/src/ragwortkeel/budget/account.py
+++ b/src/ragwortkeel/budget/account.py
@@ -1,8 +1,8 @@
 """One customer's tokens at one ingress process: slice, cap and loans.
 
 Requests spend the slice directly at upstreams, which the ledger records as one sidecar
-called `DIRECT`.  `budget.ledger` and `budget.slice` say why the slice can't be
-overspent when answers are lost, `budget.allowance` what the cap is for.
+called `DIRECT`.  `budget.ledger` and `budget.slice` explain why the slice can't
+be overspent when answers are lost, `budget.allowance` explains the cap.
 """
 
 from dataclasses import dataclass
@@ -34,7 +34,8 @@
 GROWTH_FACTOR = 1.5
 """Growth rate of a cap as a multiple of the demand.
 
-The cap has to catch up with the outage so far, and demand may rise during it.
+The cap has to catch up with the demand since the outage began, and demand may rise
+during the outage.
 """
 
 MIN_GROWTH_PERIOD_SECONDS = 8.0
@@ -62,7 +63,7 @@
 
 Most requests need a renewal for headroom in the cap anyway, and it takes the tokens as
 well.  With all tokens in the slices of 21 processes, no slice covers a request, and
-each request needs tokens of several slices, at two writes for each.
+each request needs tokens of several slices, at two writes for each slice.
 """
 
 INITIAL_SLICE_FRACTION = 0.25
@@ -331,8 +332,8 @@
         """Return the unreported spend to allow once this renewal has settled all spend.
 
         Waiting requests count with all their tokens, as the renewal also ends the
-        headroom of the earlier cap.  With only the shortfall a request would be
-        refused.
+        headroom of the earlier cap.  A cap that covered only their shortfall would
+        refuse them.
         """
         unspent = max(0, self.ledger.prepaid - self.ledger.total_spent)
         holders = max(1, self.ledger.holders)
--- a/src/ragwortkeel/budget/allowance.py
+++ b/src/ragwortkeel/budget/allowance.py
@@ -38,9 +38,9 @@
 """Demand that the headroom of a cap covers at least: one interval between renewals.
 
 A request beyond it waits 15 ms for the next renewal.  A crash of the process charges
-all headroom without use: after a loss of power that followed a burst, caps and open
-requests took 0.79 of 8.75 million prepaid tokens; with headroom for 1.2 s it is 0.95
-million.
+all headroom without use: a loss of power after a burst, for example, charges 0.79
+million of 8.75 million prepaid tokens for caps and open requests, and 0.95 million with
+headroom for 1.2 s.
 """
 
 HEADROOM_RENEWALS = 2.5
--- a/src/ragwortkeel/budget/delegation.py
+++ b/src/ragwortkeel/budget/delegation.py
@@ -1,14 +1,14 @@
 """Renewals that one process delegates and a peer writes.
 
-They must not undo newer figures.  That would happen if a message was delayed, or if its
-sender stopped waiting and wrote by itself before the peer wrote the message; tokens
-that were given back and granted again would be spent twice.  So of each holder only a
-later stamp is accepted.
+Delegated renewals must not undo newer figures.  A delayed message would do so, and so
+would one whose sender stopped waiting and wrote by itself before the peer did; tokens
+that were given back and granted again would be spent twice.  So a holder's renewals are
+accepted only with a later stamp than that in the shard.
 
 A holder without a stamp in the shard has never written, was stopped, or crashed and was
 charged by its successor.  Its renewals are accepted only with a `Start`, and only if
-that names all other starts of the same process in the shard, as an unnamed one may be
-live.
+the `Start` names all other starts of the same process in the shard, as an unnamed one
+may be live.
 """
 
 import msgspec
--- a/src/ragwortkeel/budget/grant.py
+++ b/src/ragwortkeel/budget/grant.py
@@ -27,7 +27,7 @@
     dropped : tuple of str
         Sidecars without open reservations through which nothing more will be spent.
     want, give_back : int
-        Tokens to add to the grant; tokens to return, already off the router's slice.
+        Tokens to add to the grant; tokens to return, already removed from the slice.
     give_to : str
         Router that gets the returned tokens; it needs an open grant.
     cap : int
--- a/src/ragwortkeel/budget/ledger.py
+++ b/src/ragwortkeel/budget/ledger.py
@@ -208,7 +208,8 @@
         """Return the ledger with a deleted sidecar marked to be charged its bound.
 
         The charge is made when the grant closes.  An earlier one could use tokens of
-        the grant that another sidecar has yet to report.
+        the grant that another sidecar has yet to report, and the sum would exceed the
+        grant.
         """
         grant = self.grants.get(router)
         if grant is None or not grant.sealed or sidecar not in grant.settled:
--- a/src/ragwortkeel/budget/receipt.py
+++ b/src/ragwortkeel/budget/receipt.py
@@ -2,7 +2,7 @@
 
 A segment is named by its writer and a digest of its content, so a repeated write finds
 it and changes nothing.  A receipt may be stored twice, by the router and by the
-sidecar; the bill charges one for each request, in whatever order they are added.
+sidecar; the bill charges one for each request, in whatever order receipts are added.
 """
 
 import hashlib
--- a/src/ragwortkeel/budget/shards.py
+++ b/src/ragwortkeel/budget/shards.py
@@ -83,8 +83,8 @@
 """Compression level of zlib.
 
 Names of holders and fields repeat in each grant: 504 grants take 69 KB plain and 23 KB
-compressed, at 0.2 ms of processor time.  A link of 5 Mbit/s transfers that in 36 ms
-instead of 110 ms, for each write and each refusal.
+compressed, at 0.2 ms of processor time.  A link of 5 Mbit/s transfers 23 KB in 36 ms
+and 69 KB in 110 ms, for each write and each refusal.
 """
 
 
--- a/src/ragwortkeel/budget/sizing.py
+++ b/src/ragwortkeel/budget/sizing.py
@@ -26,15 +26,15 @@
 """Fraction of the tokens in slices that is shared equally, not by demand.
 
 The demand of a minute is noisy, and an outage of the platform causes more false
-refusals the more tokens follow it: 11, 20 and 35 at fractions of 1.0, 0.9 and 0.8, in
-four benchmark runs.  Idle routers still hold few tokens, as no slice exceeds its
-router's demand in an outage.
+refusals the more tokens are shared by demand: 11, 20 and 35 refusals at fractions of
+1.0, 0.9 and 0.8, in four benchmark runs with all unspent tokens in slices.  Idle
+routers still hold few tokens, as no slice exceeds its router's demand in an outage.
 """
 
 CAP_SKEW_BY_SPREAD = {Spread.WIDE: 1.5, Spread.NARROW: 1.1}
 """Cap of a sidecar as a multiple of an equal share of the slice.
 
-It is how uneven the spend through a router's sidecars may be.
+The excess is how uneven the spend through a router's sidecars may be.
 """
 
 MIN_CAP_REQUESTS = 4
@@ -43,8 +43,8 @@
 LEDGER_SLICES_PER_HOLDER = 0.5
 """Slices of the smallest useful size that stay in the ledger, for each holder.
 
-There the next renewal of any holder can get them.  Tokens spread over dozens of slices
-would cover a request only together.
+From the ledger the next renewal of any holder can get them.  Tokens spread over dozens
+of slices would cover a request only together.
 """
 
 GIVE_BACK_FACTOR = 1.25
@@ -54,15 +54,16 @@
 """
 
 UNSPENT_FACTOR = 4
-"""Unspent tokens to find before no more peers are asked, as a multiple of the need.
+"""Unspent tokens that the peers to ask hold together, as a multiple of those lacking.
 
 Running requests have reserved some of the tokens that a ledger shows as unspent.
 """
 
 MAX_GIVERS_ASKED = 3
-"""Most peers to ask for tokens at once.
+"""Maximum number of peers to ask for tokens at once.
 
-Three find tokens at the end of a budget, and each request to a peer may cost a write.
+Three peers find tokens at the end of a budget, and each request to a peer may cost a
+write.
 """
 
 
@@ -76,10 +77,14 @@
         Unspent tokens in the slice, reserved ones included.
     demand : int
         Recent demand in tokens a minute.
+    largest_request : int
+        Tokens of the largest request to serve; a lower bound of the target.
     waiting : int
         Tokens that waiting callers need.
     lacking : int
         Tokens missing for the smallest waiting request.
+    ride_out_seconds : float
+        Length of an outage of the platform that the slice covers.
     slices_fraction_override : float or None
         Replaces `SLICES_FRACTION_BY_SPREAD`.  Equally shared tokens then go to only so
         many holders that each holds a useful slice.
@@ -230,9 +235,9 @@
 ) -> list[str]:
     """Return the routers to ask for tokens, the best one first.
 
-    They have the most unspent tokens for their demand.  There are several, as unspent
-    tokens may be reserved.  With `lacking` they are only so many that they hold
-    `UNSPENT_FACTOR` times these tokens, as each request may cost a write.
+    These routers have the most unspent tokens for their demand.  Several are returned,
+    as unspent tokens may be reserved.  With `lacking` the list ends once its routers
+    hold `UNSPENT_FACTOR` times that many tokens, as each request may cost a write.
     """
     priority_by_router = {
         name: (grant.granted - grant.used) / (1 + grant.demand)
--- a/src/ragwortkeel/budget/write_order.py
+++ b/src/ragwortkeel/budget/write_order.py
@@ -5,12 +5,13 @@
 attempts grow with the square of the number of processes: with 21 processes that all
 write, most have not completed a write 14 s after their start.
 
-So one process writes the renewals of all, and a process that was renewed by it doesn't
+So one process writes the renewals of all, and a process whose renewals it wrote doesn't
 write.  All processes use the same order of names: the first of those that are connected
-writes each `RENEWAL_INTERVAL_SECONDS`, the second only after `RANK_DELAY_SECONDS` more
-without a renewal, and so on.  This needs no election and no agreement: two processes
-that write at once, as in a partition, cost a refused write, and when the first one is
-killed, suspended or disconnected, the next one writes after a rank delay.
+to each other writes each `RENEWAL_INTERVAL_SECONDS`, the second only after
+`RANK_DELAY_SECONDS` more without a renewal, and so on.  This needs no election and no
+agreement: two processes that write at once, as in a partition, cost a refused write,
+and when the first one is killed, suspended or disconnected, the next one writes after a
+rank delay.
 """
 
 from collections.abc import Iterable
@@ -40,13 +41,13 @@
 """
 
 FALLBACK_WRITES_PER_SECOND = 8.0
-"""Rate of writes of all processes together that aren't the first in the order."""
+"""Rate of the writes of all processes together, without the first in the order."""
 
 UNREACHABLE_LATENCY_CLASS = 9
 """Class of a process that can't reach the platform, after all that can."""
 
 SLOW_LATENCY_CLASS = 4
-"""Class, from 0.16 s on, that a slow instance or link alone does not explain."""
+"""First class, from 0.16 s on, that a slow instance or link alone does not explain."""
 
 MIN_SLOW_WRITERS = 2
 """Number of processes in slow classes that shows that the platform itself is slow."""
@@ -58,7 +59,7 @@
 """
 
 MAX_BACKOFF_SECONDS = 0.6
-"""Longest backoff after many writes in a row that lost to another one.
+"""Upper bound of the random backoff after many such writes in a row.
 
 With it, dozens of processes that start at once and each have to write collide rarely.
 """
@@ -112,9 +113,10 @@
 def _equalize_slow_writers(writers: Iterable[Writer]) -> list[Writer]:
     """Return the writers, all as slow as the slowest reachable one on a slow platform.
 
-    Only a process that writes measures a slow platform.  By its measured class it would
-    be replaced by a process that has not written yet and first has to connect to the
-    platform and to read the ledgers, and so on through all processes.
+    Only a process that writes measures a slow platform, for example one that takes
+    0.25 s for a write.  By its measured class it would be replaced by a process that
+    has not written yet and first has to connect to the platform and to read the
+    ledgers, and so on through all processes.
     """
     writers = list(writers)
     slow = [
--- a/src/ragwortkeel/policy/admission.py
+++ b/src/ragwortkeel/policy/admission.py
@@ -10,11 +10,13 @@
 the class down: other classes, other routers, limits, lost upstreams.  Before the
 first request leaves the queue, the interval follows from Little's law: mean duration
 divided by the requests in flight.  Little's law alone underestimates the wait of
-batch work, because it leaves out the time that interactive work takes.
+batch work, because it leaves out the time that interactive work takes: batch requests
+would be queued until they are too late.
 
 The estimate applies only to requests that have to wait.  A request that an upstream
 has headroom for is dispatched: refusing it because earlier ones were slow would
-produce no new sample, so the refusals would never end.
+produce no new sample, so the refusals would never end.  A fleet at 70% load would
+refuse half of its interactive requests for good.
 
 A refusal is final and is sent at once.
 """
@@ -42,7 +44,8 @@
 MIN_RETRY_SECONDS = 0.5
 """Lower bound on the retry delay given to a refused caller."""
 MAX_RETRY_SECONDS = 30.0
-"""Upper bound on the retry delay; longer forecasts of a queue are unreliable."""
+"""Upper bound on the retry delay given to a refused caller; longer forecasts of a queue
+are unreliable."""
 
 RETRY_SPREAD_FRACTION = 0.25
 """Random extra delay as a fraction of the delay.  It spreads the retries of callers
--- a/src/ragwortkeel/policy/announced_limits.py
+++ b/src/ragwortkeel/policy/announced_limits.py
@@ -13,8 +13,8 @@
 from ragwortkeel.policy.fleet_rates import FleetRate
 
 MIN_REQUESTS_PER_SECOND = 0.25
-"""Requests per second that a limit near zero still permits.  Without any request no
-process would receive the end of the limit."""
+"""Rate that a limit near zero still permits.  Without any request no process would
+receive the end of the limit."""
 
 MIN_SENDERS = 3
 """Processes that share the lowest limit; two of them may have stopped or lack
@@ -27,7 +27,7 @@
 few requests."""
 
 BURST_SECONDS = 0.5
-"""Seconds of its rate that an idle sender accumulates; requests come in bursts."""
+"""Time for which an idle sender accumulates its rate; requests come in bursts."""
 
 CONFIRMATION_SECONDS = 5.0
 """Age at which a limit that no answer has confirmed is shared equally by all processes.
--- a/src/ragwortkeel/policy/ejection.py
+++ b/src/ragwortkeel/policy/ejection.py
@@ -34,7 +34,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Healthy:
-    """In use, with consecutive `failures`, and `ejections` since the last success."""
+    """An upstream in use.
+
+    `failures` counts consecutive failures, `ejections` counts the ejections since the
+    last success other than a probe's.
+    """
 
     failures: int = 0
     ejections: int = 0
@@ -42,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Ejected:
-    """Receives no requests before `until`, then one probe."""
+    """An upstream that gets no request before `until`, and then one probe."""
 
     until: float
     ejections: int
@@ -50,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Probing:
-    """One probe has been sent, at `since`; its result decides."""
+    """An upstream that got its probe at `since`; the result decides its health."""
 
     since: float
     ejections: int
--- a/src/ragwortkeel/policy/facts.py
+++ b/src/ragwortkeel/policy/facts.py
@@ -52,7 +52,8 @@
     profile, customer : str
         Owner of the request; estimates are per profile, fair shares per customer.
     service_class : ServiceClass
-        Selects the queue, the deadline that binds, and whether it may be repeated.
+        Selects the queue, the binding deadline, and whether the request may be
+        repeated.
     back_ends : tuple of str
         Back ends that may serve the request.
     deadline, first_token_deadline : float
@@ -110,7 +111,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Assignment:
-    """Dispatch this request to this upstream now.
+    """The decision to dispatch a request to an upstream now.
 
     `attempt` counts from 1.  With `alone` the sidecar waits for its running requests
     to end, then runs this one with no other beside it.
@@ -124,7 +125,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Queued:
-    """The request is queued; `Scheduler.next_decisions` assigns or refuses it later."""
+    """The decision to queue; `Scheduler.next_decisions` assigns or refuses it later."""
 
     request: RequestFacts
     estimated_wait_seconds: float
@@ -132,7 +133,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refusal:
-    """The final answer, to be sent at once.
+    """The decision to refuse a request; it is final and sent at once.
 
     `may_have_run` is true only after an attempt with an unknown outcome.
     `retry_after_seconds` is zero if a retry does not help.
--- a/src/ragwortkeel/policy/fleet_rates.py
+++ b/src/ragwortkeel/policy/fleet_rates.py
@@ -61,14 +61,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EqualShare:
-    """Sharing among `processes` that each use the same fraction."""
+    """Sharing of a rate among `processes` that each use the same fraction."""
 
     processes: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ChosenSenders:
-    """Sharing among a few chosen senders; `own` is this process, `names` are all."""
+    """Sharing of a rate among a few senders, chosen from `own` and `names`.
+
+    `own` is this process, `names` are the other processes.
+    """
 
     own: str
     names: frozenset[str]
--- a/src/ragwortkeel/policy/limits.py
+++ b/src/ragwortkeel/policy/limits.py
@@ -21,20 +21,22 @@
 
 INITIAL_LIMIT_REQUESTS = 16
 MIN_LIMIT_REQUESTS = 2
-"""One request running and one arriving; below, an upstream idles between requests."""
+"""One request running and one arriving; with a limit of one an upstream idles between
+requests."""
 
 MAX_LIMIT_REQUESTS = 1024
 
 WINDOW_SECONDS = 1.0
-"""Window of one change; longer than most times to the first token, so that each change
-shows its effect."""
+"""Shortest time between two changes of the limit; longer than most times to the first
+token, so that each change shows its effect before the next."""
 
 MIN_WINDOW_SAMPLES = 15
 """Samples that a window needs before it ends.  With four samples one slow answer is a
 quarter of them, which lowers limits to a third of the engines' capacity."""
 
 MIN_SLOW_SAMPLES = 5
-"""Slow samples that end a window early, because a slow upstream yields few samples."""
+"""Slow samples that also suffice to end a window, as a slow upstream yields few
+samples."""
 
 MAX_SLOW_FRACTION = 0.25
 """Fraction of slow samples above which the limit decreases.  Promises are for 95% of
@@ -52,7 +54,7 @@
 
 INCREASE_FRACTION = 0.1
 """Growth per window as a fraction of the limit, at least one request: the initial limit
-doubles in about ten windows.  Half that speed refuses more requests in bursts, twice
+doubles in about eight windows.  Half that speed refuses more requests in bursts, twice
 that speed serves fewer on uneven engines."""
 
 IN_USE_FRACTION = 0.6
--- a/src/ragwortkeel/policy/quarantine.py
+++ b/src/ragwortkeel/policy/quarantine.py
@@ -25,8 +25,8 @@
 crashes, and a false suspicion costs one isolated run, not a refusal."""
 
 CRASHES_TO_REFUSE = 3
-"""Crashes after which a request is refused.  The third was to be the isolated run.
-Counting it bounds a crashing request also if the router crashed before it reported
+"""Crashes after which a request is refused.  The third is normally that of the isolated
+run.  Counting it stops a crashing request even if the router crashed before it reported
 that the run was isolated."""
 
 RETENTION_SECONDS = 24 * 3600.0
@@ -96,7 +96,7 @@
         self._suspicion_by_fingerprint: OrderedDict[str, Suspicion] = OrderedDict()
 
     def record_crash(self, crash: Crash, now: float) -> bool:
-        """Record an own or a reported crash; return whether it is new to this process.
+        """Record a crash, own or reported; return whether it is new to this process.
 
         A new crash has to be forwarded.
         """
--- a/src/ragwortkeel/policy/retries.py
+++ b/src/ragwortkeel/policy/retries.py
@@ -42,7 +42,7 @@
 
 
 def process_reserve(*, processes: int, most: float = RESERVE_RETRIES) -> float:
-    """Return one process's part of the fleet's reserve: one retry at the least.
+    """Return one process's share of the fleet's reserve, at least one retry.
 
     Parameters
     ----------
@@ -85,7 +85,7 @@
 
     @property
     def available_retries(self) -> float:
-        """Retries that may be spent now; only integral retries can be spent."""
+        """Retries that may be spent now; a fraction of one can't be spent."""
         return self._available_retries
 
     def record_first_attempt(self) -> None:
--- a/src/ragwortkeel/policy/scheduler.py
+++ b/src/ragwortkeel/policy/scheduler.py
@@ -145,7 +145,7 @@
         return tuple(decisions)
 
     def next_wake_at(self) -> float | None:
-        """Return the latest time of the next `next_decisions` call; None if never."""
+        """Return the time by which `next_decisions` must be called; None if never."""
         times = [queue.next_expiry_at() for queue in self._queue_by_pool.values()]
         times += [queued.latest_start for queued in self._alone_by_id.values()]
         return min((each for each in times if each is not None), default=None)
@@ -275,7 +275,7 @@
         return self._dequeue_intervals_by_queue.setdefault(key, DequeueIntervals())
 
     def _dispatch_from(self, queue: FairQueue, now: float) -> list[Assignment]:
-        """Assign the next requests of each class while an upstream has headroom."""
+        """Assign the queued requests of each class while an upstream has headroom."""
         assignments: list[Assignment] = []
         open_services = {s for s in ServiceClass if queue.length(s)}
         while open_services:
--- a/src/ragwortkeel/policy/settings.py
+++ b/src/ragwortkeel/policy/settings.py
@@ -33,7 +33,7 @@
     Attributes
     ----------
     report_lag_seconds : float
-        The age of a load report on arrival.
+        Age of a load report on arrival.
     disabled : frozenset of Mechanism
         Empty except in measurements.
     """
--- a/src/ragwortkeel/policy/slow_start.py
+++ b/src/ragwortkeel/policy/slow_start.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class TrafficFraction:
-    """A fraction between 0 and 1, as of `updated_at` seconds."""
+    """A fraction between 0 and 1 at `updated_at`, in monotonic seconds."""
 
     value: float
     updated_at: float
--- a/src/ragwortkeel/policy/timeouts.py
+++ b/src/ragwortkeel/policy/timeouts.py
@@ -27,7 +27,7 @@
     Parameters
     ----------
     max_seconds : float
-        Upper bound of the timeout.
+        Upper bound of the timeout, which also holds before the first answer.
 
     Examples
     --------
@@ -47,7 +47,7 @@
 
     @property
     def seconds(self) -> float:
-        """Timeout of the next call."""
+        """Timeout of the next call, in seconds."""
         if self._mean_seconds is None:
             return self._max_seconds
         timeout = max(MIN_TIMEOUT_SECONDS, MEAN_FACTOR * self._mean_seconds)
--- a/src/ragwortkeel/policy/upstreams.py
+++ b/src/ragwortkeel/policy/upstreams.py
@@ -138,7 +138,7 @@
             self._remove_if_idle(name)
 
     def record_success(self, name: str, now: float) -> None:
-        """Record an answer, or its first token."""
+        """Record a complete answer or the first token of one."""
         if self._ejections.record_success(name):
             self._full_pools.clear()
             self._slow_start.reset(name, now)
--- a/src/ragwortkeel/runs/answer.py
+++ b/src/ragwortkeel/runs/answer.py
@@ -11,10 +11,10 @@
 from ragwortkeel.exceptions import RunError
 
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
-"""Maximum size of an answer, the same as of a request; a longer answer fails."""
+"""Maximum size of an answer, equal to that of a request; a longer answer fails."""
 
 MAX_STORE_BYTES = 64 * 1024 * 1024
-"""Maximum size of all answers, a quarter of the 256 MB of an instance."""
+"""Maximum size of all answers together, a quarter of the 256 MB of an instance."""
 
 REPLAY_CHUNK_BYTES = 64 * 1024
 """Size of one replay message, small enough not to delay the tokens of other answers."""
--- a/src/ragwortkeel/runs/filing.py
+++ b/src/ragwortkeel/runs/filing.py
@@ -98,7 +98,7 @@
         self._continue(after_read(self.wanted, stored))
 
     def on_unreadable(self) -> None:
-        """Continue without the platform, which can't be read."""
+        """Continue without the intent, which can't be read from the platform."""
         self._continue(without_platform(first=self._first))
 
     def on_tombstone(self, state: RunState | None) -> None:
@@ -120,7 +120,7 @@
         )
 
     def on_sent(self) -> None:
-        """Record that the dispatch is sent, for the first time or again."""
+        """Record that the dispatch is being sent, for the first time or again."""
         self._dispatch_count += 1
         if self._dispatch_count > 1:
             # An earlier copy may have run, so only the platform knows the outcome.
--- a/src/ragwortkeel/runs/intent.py
+++ b/src/ragwortkeel/runs/intent.py
@@ -255,8 +255,9 @@
         case RunState.RUNNING | RunState.FINISHED:
             return ResumeRun(sidecar=found.sidecar, nonce=found.nonce)
         case RunState.TOMBSTONED:
-            # Failure: two retries receive the promise and both run.  The update is
-            # conditional on the version read, so only one of them succeeds.
+            # Failure: two retries receive the sidecar's promise never to run the nonce,
+            # and both run the request.  The update is conditional on the version read,
+            # so only one of them succeeds.
             return TakeOver(intent=wanted, version=stored.version)
         case RunState.FAILED:
             reason = "run_failed"
--- a/src/ragwortkeel/runs/journal.py
+++ b/src/ragwortkeel/runs/journal.py
@@ -122,7 +122,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether there is no capacity for another receipt.
+        """Whether there is no capacity for the receipt or outcome of another run.
 
         Failure: a long platform outage exhausts the memory, and a dropped receipt is a
         request that is never billed.  So new requests are refused instead; no receipt
@@ -173,7 +173,7 @@
         )
 
     def begin(self, nonce: str) -> None:
-        """Record that the upstream answers, after which a run can't be retracted."""
+        """Record that the upstream began to answer; the run can't be retracted then."""
         self._entry_by_nonce[nonce].lifecycle.fire("start")
 
     def cancel(self, nonce: str) -> None:
@@ -270,14 +270,15 @@
     def record_durable_outcome(self, nonce: str) -> None:
         """Stop protecting a must-not-repeat run whose intent has its outcome.
 
-        A retry that read the intent before that and gets a tombstone now still can't
-        run: its conditional update names an outdated version.
+        A retry may have read the intent before the outcome was written and get a
+        tombstone now.  It can't run the request, because its conditional update names
+        an outdated version.
         """
         if self._undecided_since_by_nonce.pop(nonce, None) is not None:
             self._retain(nonce, self._entry_by_nonce[nonce])
 
     def undecided_before(self, since: float) -> tuple[Run, ...]:
-        """Return must-not-repeat runs that ended by `since`, outcome not durable."""
+        """Return must-not-repeat runs that ended by `since` without durable outcome."""
         return tuple(
             self._entry_by_nonce[nonce].run
             for nonce, ended in self._undecided_since_by_nonce.items()
