--- a/src/ragwortkeel/budget/ledger.py
+++ b/src/ragwortkeel/budget/ledger.py
@@ -208,7 +208,8 @@
         """Return the ledger with a deleted sidecar marked to be charged its bound.
 
         The charge is made when the grant closes.  An earlier one could use tokens of
-        the grant that another sidecar has yet to report.
+        the grant that another sidecar has yet to report, and the sum would exceed the
+        grant.
         """
         grant = self.grants.get(router)
         if grant is None or not grant.sealed or sidecar not in grant.settled:
@@ -276,8 +277,8 @@
                 f"operation id {operation_id} is too old to tell whether it was applied"
             )
         operation = Operation(operation_id=operation_id, tokens=tokens)
-        kept = (*self.operations, operation)
-        removed = kept[:-MAX_KEPT_OPERATIONS]
+        all_operations = (*self.operations, operation)
+        removed = all_operations[:-MAX_KEPT_OPERATIONS]
         floor = max(
             (_operation_count_of(entry.operation_id) + 1 for entry in removed),
             default=0,
@@ -288,7 +289,7 @@
         return self._replace(
             prepaid=self.prepaid + tokens,
             recall_to=recall_to,
-            operations=kept[-MAX_KEPT_OPERATIONS:],
+            operations=all_operations[-MAX_KEPT_OPERATIONS:],
             operation_count=self.operation_count + 1,
             operation_floor=max(self.operation_floor, floor),
         )
--- a/src/ragwortkeel/policy/fleet_rates.py
+++ b/src/ragwortkeel/policy/fleet_rates.py
@@ -61,14 +61,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EqualShare:
-    """Sharing among `processes` that each use the same fraction."""
+    """Sharing of a rate among `processes` that each use the same fraction."""
 
     processes: int
 
 
 @dataclass(frozen=True, kw_only=True)
 class ChosenSenders:
-    """Sharing among a few chosen senders; `own` is this process, `names` are all."""
+    """Sharing of a rate among a few senders, chosen from `own` and `names`.
+
+    `own` is this process, `names` are the other processes.
+    """
 
     own: str
     names: frozenset[str]
@@ -185,8 +188,10 @@
             bucket = _Bucket(level=self._random.random(), updated_at=now)
             self._bucket_by_upstream[upstream] = bucket
         own_rate = self.own_rate(upstream, rate)
-        most = 1.0 + rate.burst_seconds * own_rate
-        bucket.level = min(most, bucket.level + own_rate * (now - bucket.updated_at))
+        max_level = 1.0 + rate.burst_seconds * own_rate
+        bucket.level = min(
+            max_level, bucket.level + own_rate * (now - bucket.updated_at)
+        )
         bucket.updated_at = now
         if bucket.level >= 1.0:
             return 0.0
