--- a/src/ragwortkeel/router/attempt.py
+++ b/src/ragwortkeel/router/attempt.py
@@ -179,7 +179,7 @@
             case Failed(reason=reason, tokens=tokens, may_have_run=ran):
                 return Broken(reason=reason, tokens=tokens, may_have_run=ran)
             case TombstoneResult(state=state):
-                return await self._after_tombstone(state)
+                return await self._handle_tombstone_result(state)
         return None
 
     async def _add_chunk(self, offset: int, data: bytes) -> None:
@@ -229,7 +229,7 @@
         with suppress(LinkLost):
             await self._pool.send(self.upstream, message)
 
-    async def _after_tombstone(self, state: RunState) -> AttemptEnd | None:
+    async def _handle_tombstone_result(self, state: RunState) -> AttemptEnd | None:
         if state is RunState.TOMBSTONED:
             return Declined(reason=RefusalReason.TOMBSTONED)
         if state is RunState.UNSEEN:
--- a/src/ragwortkeel/router/budget_account.py
+++ b/src/ragwortkeel/router/budget_account.py
@@ -46,7 +46,7 @@
 EXHAUSTED_RETRY_SECONDS = 60.0
 """Delay that a refused caller is asked for when the budget is spent.
 
-Only an operator's top-up changes that, so that early retries are useless.
+Only an operator's top-up changes that, so early retries are useless.
 """
 
 OUTAGE_RETRY_SECONDS = 5.0
@@ -164,9 +164,10 @@
         need = self.need()
         if tokens_to_give_back(self.ledger, router=router, need=need):
             return True
-        take = tokens_to_take(self.ledger, router=router, need=need)
-        # Without waiting callers, a write has to add over a quarter of the slice.
-        return take > (0 if self.waiters else need.holding // 4)
+        want = tokens_to_take(self.ledger, router=router, need=need)
+        # Without waiting callers, a write has to add over a quarter of the slice; fewer
+        # tokens are not worth a write.
+        return want > (0 if self.waiters else need.holding // 4)
 
     def cannot_be_served(self, waiter: Waiter) -> bool:
         """Return whether more waiting cannot provide the waiter's tokens."""
@@ -336,7 +337,7 @@
             grant = self.ledger.grants.get(loan.router)
             if grant is None:
                 continue
-            asker = SliceNeed(
+            borrower = SliceNeed(
                 holding=max(0, grant.granted - grant.used),
                 demand=grant.demand,
                 largest_request=need.largest_request,
@@ -344,7 +345,7 @@
                 ride_out_seconds=need.ride_out_seconds,
                 spread=need.spread,
             )
-            tokens = tokens_to_lend(free=self.slice.free, own=need, asker=asker)
+            tokens = tokens_to_lend(free=self.slice.free, own=need, asker=borrower)
             if tokens:
                 return Loan(router=loan.router, tokens=tokens)
         return None
--- a/src/ragwortkeel/router/budget_keeper.py
+++ b/src/ragwortkeel/router/budget_keeper.py
@@ -178,8 +178,8 @@
         """Wake the account's task, and return the acknowledgment of the transfer.
 
         The lender's write has already added the tokens to this router's grant.  The
-        message only makes the account read its ledger sooner if callers wait, so that
-        no tokens are lost with a lost message.
+        message only makes the account read its ledger sooner if callers wait, so its
+        loss costs no tokens.
         """
         account = self._accounts_by_profile.get(transfer.profile)
         if account is not None:
--- a/src/ragwortkeel/router/budgeting.py
+++ b/src/ragwortkeel/router/budgeting.py
@@ -85,7 +85,7 @@
             platform=platform,
             incarnation=incarnation,
             failed_routers=self._failed_routers,
-            is_responsible=self._responsible,
+            is_responsible=self._is_responsible,
             is_removed=self._is_superseded,
             request_seal=self._request_seal,
             clock=monotonic,
@@ -110,7 +110,7 @@
         )
 
     async def close(self) -> int:
-        """Make receipts durable and return all slices; return the unfinished work.
+        """Make receipts durable and give slices back; return the unfinished work.
 
         Returns
         -------
@@ -124,7 +124,17 @@
         return undone + (not await self.keeper.return_slices())
 
     async def receive(self, peer: str, sender: str, message: AnyMessage) -> bool:
-        """Handle a router's message about slices; return whether it was one."""
+        """Handle a message about slices; return False for any other message.
+
+        Parameters
+        ----------
+        peer : str
+            Name of the peer in `PeerLinks`, for the answer.
+        sender : str
+            Incarnation of the router that sent the message.
+        message : AnyMessage
+            The message.
+        """
         match message:
             case SliceRequest():
                 await self.keeper.receive_slice_request(sender, message)
@@ -179,10 +189,10 @@
         return [
             node.incarnation
             for node in failed
-            if node.role == Role.ROUTER and self._responsible(node.incarnation)
+            if node.role == Role.ROUTER and self._is_responsible(node.incarnation)
         ]
 
-    def _responsible(self, router: str) -> bool:
+    def _is_responsible(self, router: str) -> bool:
         return self._membership.is_responsible(router, monotonic(), self._incarnation())
 
     def _is_superseded(self, sidecar: str) -> bool:
--- a/src/ragwortkeel/router/directory.py
+++ b/src/ragwortkeel/router/directory.py
@@ -9,7 +9,10 @@
 _upstream_decoder = msgspec.json.Decoder(Upstream)
 
 MAX_DECODED_PROFILES = 10_000
-"""Bounds memory; a router uses far fewer profiles at a time than exist."""
+"""Greatest number of cached profiles, which bounds memory.
+
+A router uses far fewer profiles at a time than exist.
+"""
 
 
 class Directory:
@@ -46,7 +49,10 @@
         return rv
 
     def upstream(self, name: str) -> tuple[Upstream, int] | None:
-        """Return an upstream and its version, even if it is retired."""
+        """Return an upstream and its version, even if it is retired.
+
+        Return None if the upstream is unknown or can't be decoded.
+        """
         return self.upstreams().get(name)
 
     def upstreams(self) -> dict[str, tuple[Upstream, int]]:
--- a/src/ragwortkeel/router/dispatcher.py
+++ b/src/ragwortkeel/router/dispatcher.py
@@ -25,7 +25,10 @@
 from ragwortkeel.router.observer import Observer
 
 IDLE_WAKE_SECONDS = 1.0
-"""Longest time between two queries for due decisions."""
+"""Longest time between two queries for due decisions.
+
+It also applies if the scheduler names no time for the next decision.
+"""
 
 
 class Dispatcher:
--- a/src/ragwortkeel/router/exchange.py
+++ b/src/ragwortkeel/router/exchange.py
@@ -52,7 +52,7 @@
 """
 
 MIN_SERVER_ERROR_STATUS = 500
-"""Lowest HTTP status that marks an upstream's failure; another may succeed."""
+"""Lowest HTTP status that marks an upstream's failure; another upstream may succeed."""
 
 MAX_LOCATE_SIDECARS = 16
 """Greatest number of sidecars that are asked for an earlier run.
@@ -187,7 +187,7 @@
         with self._components.tracing.span(
             "dispatch", parent=self._call.traceparent, upstream=upstream
         ) as span:
-            order = build_dispatch(
+            dispatch = build_dispatch(
                 call=self._call,
                 body=self._body(),
                 idempotent=True,
@@ -199,13 +199,13 @@
                 traceparent=traceparent_of(span),
                 alone=assignment.alone,
             )
-            return await self._run_attempt(attempt, reservation, order)
+            return await self._run_attempt(attempt, reservation, dispatch)
 
     async def _run_attempt(
-        self, attempt: Attempt, reservation: Reservation, order: Dispatch
+        self, attempt: Attempt, reservation: Reservation, dispatch: Dispatch
     ) -> AttemptEnd:
         current = self._components.is_current(reservation)
-        if not current or not await attempt.open(order):
+        if not current or not await attempt.open(dispatch):
             await self._components.budgets.settle(reservation, 0)
             return Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
         ran_before, self.may_have_run = self.may_have_run, True
@@ -225,7 +225,8 @@
         self, reservation: Reservation, attempt: Attempt, end: AttemptEnd | None
     ) -> None:
         if end is None or (isinstance(end, Lost) and attempt.may_continue):
-            # Abandoned, or disconnected while the sidecar may still be running it.
+            # The request was abandoned, or the link was lost while the sidecar may
+            # still be running it.
             stop = not self._call.key_given
             await self._components.closing.follow_in_background(
                 reservation, attempt, self._call, cancel=stop
--- a/src/ragwortkeel/router/filing_runs.py
+++ b/src/ragwortkeel/router/filing_runs.py
@@ -44,7 +44,10 @@
 from ragwortkeel.traces import traceparent_of
 
 TOMBSTONE_TIMEOUT_SECONDS = 1.0
-"""A reachable sidecar answers in well under a millisecond."""
+"""Time to wait for the answer to a tombstone.
+
+A reachable sidecar answers in well under a millisecond.
+"""
 
 
 class FilingRuns:
@@ -62,7 +65,7 @@
         self._call = call
         self._version = version
         self._facts = facts
-        self._parts = parts
+        self._components = parts
         self._sink = sink
 
     def new_attempt(self, upstream: str, nonce: str, sidecar: str) -> Attempt:
@@ -76,23 +79,23 @@
             nonce=nonce,
             upstream=upstream,
             sidecar=sidecar,
-            pool=self._parts.pool,
+            pool=self._components.pool,
             emit=emit,
         )
         return rv
 
     async def request_tombstone(self, step: AskSidecar) -> RunState | None:
-        """Ask the sidecar to never run a nonce, and return the state of its run.
+        """Ask the sidecar never to run a nonce, and return the state of its run.
 
         Return None if the sidecar is unreachable.
         """
-        upstream = self._parts.pool.upstream_of(step.sidecar)
+        upstream = self._components.pool.upstream_of(step.sidecar)
         if upstream is None:
             return None
-        reader = self._parts.pool.subscribe(step.nonce, upstream)
+        reader = self._components.pool.subscribe(step.nonce, upstream)
         try:
             message = Tombstone(nonce=step.nonce, sidecar=step.sidecar)
-            await self._parts.pool.send(upstream, message)
+            await self._components.pool.send(upstream, message)
             async with curio.timeout_after(TOMBSTONE_TIMEOUT_SECONDS):
                 while True:
                     event = await reader.queue.get()
@@ -101,7 +104,7 @@
         except (LinkLost, curio.TaskTimeout):
             return None
         finally:
-            self._parts.pool.unsubscribe(reader)
+            self._components.pool.unsubscribe(reader)
 
     async def run(
         self, stored: StoredIntent, reservation: Reservation, *, alone: bool
@@ -115,7 +118,7 @@
     ) -> AttemptEnd:
         intent = stored.intent
         attempt = self.new_attempt(intent.upstream, intent.nonce, intent.sidecar)
-        with self._parts.tracing.span(
+        with self._components.tracing.span(
             "dispatch", parent=self._call.traceparent, upstream=intent.upstream
         ) as span:
             dispatch = build_dispatch(
@@ -126,7 +129,7 @@
                 facts=self._facts,
                 attempt=attempt,
                 reservation=reservation,
-                components=self._parts,
+                components=self._components,
                 traceparent=traceparent_of(span),
                 alone=alone,
             )
@@ -145,14 +148,14 @@
         dispatch: Dispatch,
     ) -> AttemptEnd:
         end = Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
-        if self._parts.is_current(reservation) and await attempt.open(dispatch):
+        if self._components.is_current(reservation) and await attempt.open(dispatch):
             end = await attempt.follow()
         if isinstance(end, Lost) and attempt.may_continue:
-            await self._parts.closing.follow_in_background(
+            await self._components.closing.follow_in_background(
                 reservation, attempt, self._call, cancel=False
             )
             return end
-        await self._parts.closing.settle(reservation, attempt, end, self._call)
+        await self._components.closing.settle(reservation, attempt, end, self._call)
         await self.start_recording(end, stored, attempt)
         return end
 
@@ -169,10 +172,10 @@
 
     async def _record(self, intent: Intent, version: int, attempt: Attempt) -> None:
         """Make an outcome durable and notify the sidecar, which may then drop it."""
-        if await self._parts.intents.record(intent, version):
+        if await self._components.intents.record(intent, version):
             message = OutcomeDurable(nonces=(intent.nonce,))
             with suppress(LinkLost):
-                await self._parts.pool.send(attempt.upstream, message)
+                await self._components.pool.send(attempt.upstream, message)
 
     def _outcome_of(self, end: AttemptEnd) -> Outcome | None:
         match end:
--- a/src/ragwortkeel/router/filings.py
+++ b/src/ragwortkeel/router/filings.py
@@ -50,7 +50,7 @@
 )
 
 SHORT_RETRY_SECONDS = 1.0
-"""After this delay a concurrent attempt has ended or is recorded as running."""
+"""Delay after which a concurrent attempt has ended or is recorded as running."""
 
 RETRY_SECONDS_BY_REASON = {
     Reason.PLATFORM_UNAVAILABLE: 10.0,
@@ -58,7 +58,10 @@
     Reason.REFUSED_BY_UPSTREAM: SHORT_RETRY_SECONDS,
     Reason.SIDECAR_GONE: 10.0,
 }
-"""Reasons for which a retry can succeed; an operator resolves the others."""
+"""Delays for the reasons for which a retry can succeed.
+
+An operator has to resolve the others.
+"""
 
 
 class FilingExchange:
@@ -87,7 +90,7 @@
         self.tokens = 0
         self._call = call
         self._facts = facts
-        self._parts = parts
+        self._components = parts
         self._intents = parts.intents
         self._sink = sink
         self._filing = Filing(wanted=self._new_intent(), first=not call.key_given)
@@ -110,8 +113,8 @@
             return refusal
         finally:
             if self._reservation is not None:
-                await self._parts.budgets.settle(self._reservation, 0)
-            await self._parts.dispatcher.record_disconnect(self._facts.request_id)
+                await self._components.budgets.settle(self._reservation, 0)
+            await self._components.dispatcher.record_disconnect(self._facts.request_id)
 
     async def _decide(self) -> Refusal | None:
         while True:
@@ -160,7 +163,7 @@
             nonce=uuid4().hex,
             sidecar="",
             upstream="",
-            router=self._parts.incarnation(),
+            router=self._components.incarnation(),
         )
 
     async def _read(self) -> None:
@@ -207,7 +210,7 @@
         refusal = await self._prepare()
         if refusal is not None:
             return refusal
-        view = self._parts.pool.views_by_upstream.get(self._assignment.upstream)
+        view = self._components.pool.views_by_upstream.get(self._assignment.upstream)
         self._filing.wanted = replace(
             self._filing.wanted,
             sidecar=self._reservation.sidecar,
@@ -229,17 +232,17 @@
         Return the refusal if either fails.
         """
         if self._assignment is None:
-            decision = await self._parts.dispatcher.admit(self._facts)
+            decision = await self._components.dispatcher.admit(self._facts)
             if not isinstance(decision, Assignment):
                 return refusal_of(decision, may_have_run=False)
             self._assignment = decision
         if self._reservation is not None:
             return None
-        view = self._parts.pool.views_by_upstream.get(self._assignment.upstream)
+        view = self._components.pool.views_by_upstream.get(self._assignment.upstream)
         if view is None:
             return _not_run(Reason.NO_UPSTREAM, SHORT_RETRY_SECONDS)
         try:
-            self._reservation = await self._parts.budgets.reserve(
+            self._reservation = await self._components.budgets.reserve(
                 self._call.profile, self._call.bound_tokens, view.incarnation
             )
         except BudgetRefused as exc:
@@ -257,7 +260,7 @@
 
     async def _finish(self, end: Completed) -> None:
         self.tokens = end.tokens
-        await self._parts.dispatcher.record_finish(self._facts.request_id)
+        await self._components.dispatcher.record_finish(self._facts.request_id)
         await self._sink.finish(end.status, end.content_type)
 
     async def _handle_failed_run(self, end: Declined | Broken | Lost) -> Refusal | None:
@@ -279,10 +282,10 @@
     async def _admit_elsewhere(self, end: Declined | Broken) -> Intent | None:
         """Return an intent for another upstream, None if the scheduler has none.
 
-        The present upstream never runs the nonce.
+        The present upstream will never run the nonce.
         """
         self.may_have_run = self._call.key_given
-        decision = await self._parts.dispatcher.retry(
+        decision = await self._components.dispatcher.retry(
             self._facts.request_id, failure_of(end)
         )
         if not isinstance(decision, Assignment):
@@ -292,7 +295,7 @@
 
     async def _resume(self, step: ResumeRun) -> Refusal | None:
         """Send the caller the answer of a run that an earlier attempt started."""
-        upstream = self._parts.pool.upstream_of(step.sidecar)
+        upstream = self._components.pool.upstream_of(step.sidecar)
         if upstream is None:
             return _outcome_unknown(Reason.SIDECAR_GONE)
         attempt = self._runs.new_attempt(upstream, step.nonce, step.sidecar)
--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP requests: receives each and sends its answer or refusal."""
+"""Receives callers' HTTP requests and sends their answers or refusals."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -33,12 +33,12 @@
     Parameters
     ----------
     components : Components
-        What all requests share.
+        The components that all requests share.
     observe : callable
-        Called with an `Observed` for each ended request.
+        Called with an `EndedRequest` for each request that has ended.
     refresh : async callable
-        Fetches the newest version of an object, by kind and name, if its rate limit
-        allows; returns whether it tried.
+        Requests the newest version of an object, by kind and name, if its rate limit
+        allows; returns whether it was requested.
 
     Attributes
     ----------
--- a/src/ragwortkeel/router/intents.py
+++ b/src/ragwortkeel/router/intents.py
@@ -22,7 +22,10 @@
 
 OUTCOME_RETRY_SECONDS = 1.0
 OUTCOME_WRITE_ATTEMPTS = 30
-"""The sidecar records the outcome of each run too, so that giving up loses none."""
+"""Greatest number of attempts to write an outcome.
+
+The sidecar also records the outcome of each run, so none is lost if all attempts fail.
+"""
 
 
 class IntentStore:
--- a/src/ragwortkeel/router/interfaces.py
+++ b/src/ragwortkeel/router/interfaces.py
@@ -28,10 +28,10 @@
     """The methods of the configuration in force that requests use."""
 
     def profile(self, name: str) -> tuple[Profile, int] | None:
-        """Return a profile, which may be retired, and its version."""
+        """Return a profile, which may be retired, and its version; None if unknown."""
 
     def upstream(self, name: str) -> tuple[Upstream, int] | None:
-        """Return an upstream and its version."""
+        """Return an upstream and its version; None if unknown."""
 
     def upstreams_of(self, back_ends: tuple[str, ...]) -> list[str]:
         """Return the names of the upstreams of some back ends."""
--- a/src/ragwortkeel/router/neighbours.py
+++ b/src/ragwortkeel/router/neighbours.py
@@ -15,7 +15,8 @@
 
 PEERS_IN_ZONE = 4
 PEERS_IN_OTHER_ZONES = 2
-"""All six links together carry about 1 KB of heartbeats per second."""
+"""All six links together carry about 1 KB per second, with one heartbeat per second in
+each direction of a link."""
 
 UPSTREAM_LINKS_IN_ZONE = 8
 UPSTREAM_LINKS_IN_OTHER_ZONES = 2
@@ -25,7 +26,10 @@
 (docs/CAPACITY.md)."""
 
 MIN_ROUTERS_PER_UPSTREAM = 2
-"""Two, because one router may fail or restart at any moment."""
+"""Least number of routers of a zone that link to each of its upstreams.
+
+One of them may fail or restart at any moment.
+"""
 
 
 def zone_router_addresses(nodes: Iterable[Node], zone: str) -> tuple[str, ...]:
@@ -61,7 +65,7 @@
 
     Parameters
     ----------
-    routers
+    routers : collection of str, optional
         Addresses of the zone's routers.  At least `MIN_ROUTERS_PER_UPSTREAM` of
         them link to each upstream of the zone.  If each router selected its
         upstreams independently, one upstream in thirty would have no link and
--- a/src/ragwortkeel/router/node_cleanup.py
+++ b/src/ragwortkeel/router/node_cleanup.py
@@ -1,7 +1,7 @@
 """Removes failed processes from the platform's list of nodes.
 
-In a fleet of the target size 140 instances fail per day without deregistering,
-so that the list would grow without bound.
+In a fleet of the target size 140 instances fail per day without deregistering, so
+the list would grow without bound.
 """
 
 from collections.abc import Callable
@@ -18,8 +18,11 @@
 CHECK_INTERVAL_SECONDS = 10.0
 
 REMOVAL_DELAY_SECONDS = 120.0
-"""Most pauses and network partitions are shorter.  A sidecar that is removed and
-still runs registers again and reads the seals again."""
+"""Time from the failure of a process to its removal.
+
+Most pauses and network partitions are shorter.  A sidecar that is removed and still
+runs registers again and reads the seals again.
+"""
 
 
 class NodeCleanup:
@@ -51,7 +54,7 @@
         self._incarnation = incarnation
         self._clock = clock
         self._removal_delay_seconds = removal_delay_seconds
-        self._failed_since: dict[str, float] = {}
+        self._failed_at_by_incarnation: dict[str, float] = {}
 
     async def run(self) -> None:
         """Remove failed processes periodically until cancelled."""
@@ -66,13 +69,13 @@
         """
         now = self._clock()
         failed = self._membership.nodes(now, Liveness.FAILED)
-        self._failed_since = {
-            node.incarnation: self._failed_since.get(node.incarnation, now)
+        self._failed_at_by_incarnation = {
+            node.incarnation: self._failed_at_by_incarnation.get(node.incarnation, now)
             for node in failed
         }
         for node in failed:
             if (
-                now - self._failed_since[node.incarnation]
+                now - self._failed_at_by_incarnation[node.incarnation]
                 >= self._removal_delay_seconds
             ):
                 await self._remove(node, now)
--- a/src/ragwortkeel/router/reaper.py
+++ b/src/ragwortkeel/router/reaper.py
@@ -143,9 +143,9 @@
         ]
 
     async def _process_seal(self, router: str) -> None:
-        # The seal was written before this list is read, so that a sidecar that
-        # is not in the list yet reads the seal before it accepts runs.
-        result = await self._ask_sidecars(router)
+        # The seal was written before this list is read, so a sidecar that is
+        # not in the list yet reads the seal before it accepts runs.
+        result = await self._request_reports(router)
         await self._write_receipts(router, result)
         open_ledgers = 0
         listing = await self._platform.list(LEDGERS)
@@ -155,7 +155,7 @@
         if not open_ledgers and not result.receipts_pending:
             await self._close_seal(router)
 
-    async def _ask_sidecars(self, router: str) -> _RoundResult:
+    async def _request_reports(self, router: str) -> _RoundResult:
         result = _RoundResult()
         listing = await self._platform.list(NODES)
         nodes = [
@@ -165,10 +165,12 @@
         result.registered = {node.incarnation for node in sidecars}
         async with curio.TaskGroup() as group:
             for node in sidecars:
-                await group.spawn(self._ask_one, node, router, result)
+                await group.spawn(self._request_report, node, router, result)
         return result
 
-    async def _ask_one(self, node: Node, router: str, result: _RoundResult) -> None:
+    async def _request_report(
+        self, node: Node, router: str, result: _RoundResult
+    ) -> None:
         if self._is_removed(node.incarnation):
             result.removed.add(node.incarnation)
             return
@@ -230,14 +232,14 @@
 ) -> Ledger:
     ledger = ledger.seal(router)
     for sidecar, sealed in result.sealed_by_sidecar.items():
-        # Running attempts may still spend tokens, so that their sidecar
-        # stays charged with its cap.
+        # Running attempts may still spend tokens, so their sidecar stays
+        # charged with its cap.
         if profile not in sealed.running:
             spent = sealed.ran.get(profile, 0)
             ledger = ledger.report(router=router, sidecar=sidecar, tokens=spent)
     grant = ledger.grants.get(router)
     for sidecar in sorted(grant.settled if grant else ()):
-        # A sidecar that is not registered any more sends no further report.
+        # A removed or unregistered sidecar sends no further report.
         if sidecar in result.removed or sidecar not in result.registered:
             ledger = ledger.write_off(router=router, sidecar=sidecar)
     return ledger
--- a/src/ragwortkeel/router/refusals.py
+++ b/src/ragwortkeel/router/refusals.py
@@ -74,7 +74,10 @@
 }
 
 UNAVAILABLE_STATUS = 503
-"""Status for all other reasons: the fleet may be able to serve the request later."""
+"""Status for reasons that are not in `_STATUS_BY_REASON`.
+
+The fleet may be able to serve the request later.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -62,15 +62,15 @@
 
     Parameters
     ----------
-    settings
+    settings : RouterSettings
         Names, addresses and the stop deadline.
-    incarnation
+    incarnation : str
         Unique name of this start of the process.
-    platform
+    platform : Platform
         The platform's client.
-    observer
+    observer : Observer
         Records requests, decisions and lost links.
-    tracing
+    tracing : Tracing
         Records the spans.
 
     Examples
@@ -319,8 +319,8 @@
         if known != state:
             self._state_by_upstream[upstream] = state
             if known is not None and known[0] != sender:
-                # Another incarnation answers at the address, so that the old one
-                # runs nothing more.
+                # Another incarnation answers at the address, so the old one runs
+                # nothing more.
                 self.budgeting.keeper.remove_sidecar(known[0])
             await self._update_scheduler()
         report = LoadReport(
--- a/src/ragwortkeel/router/sidecars.py
+++ b/src/ragwortkeel/router/sidecars.py
@@ -30,7 +30,10 @@
 )
 
 ANSWER_TIMEOUT_SECONDS = 1.0
-"""A reachable sidecar answers in well under a millisecond."""
+"""Time to wait for the answer to a `Locate` or a `Seal`.
+
+A reachable sidecar answers in well under a millisecond.
+"""
 
 RunEvent = (
     Started | Chunk | Finished | Failed | Refused | TombstoneResult | LinkUp | LinkDown
@@ -66,9 +69,11 @@
 
     Parameters
     ----------
-    incarnation, revision
-        As for `Link`.
-    on_crash
+    incarnation : callable
+        Returns the router's incarnation.
+    revision : callable
+        Returns the configuration revision in force.
+    on_crash : async callable
         Awaited with each crash before later messages of that sidecar are
         delivered, so that a run that the crash broke isn't retried before the
         crash is recorded.
--- a/src/ragwortkeel/router/sinks.py
+++ b/src/ragwortkeel/router/sinks.py
@@ -22,9 +22,11 @@
 EVENT_STREAM = "text/event-stream"
 EVENT_END = b"\n\n"
 TOKEN_PATTERN = re.compile(rb'"content":\s*"(?!")')
-"""Matches the content of each event that carries a token.  The first event of an
-engine has empty content; if it were counted, a resumed stream would skip a
-token."""
+"""Matches the content of each event that carries a token, and nothing in other events.
+
+The first event of an engine has empty content; if it were counted, a resumed stream
+would skip a token.
+"""
 
 HEADER_REQUEST_ID = "idempotency-key"
 HEADER_TRACE = "traceparent"
@@ -82,7 +84,7 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether the answer's head is sent, so that no status can follow."""
+        """Whether the answer's head was sent, after which no status can be sent."""
         return self.started_at is not None
 
     @property
@@ -93,7 +95,7 @@
     async def write(self, data: bytes, content_type: str) -> None:
         """Send the events that `data` completes."""
         if not content_type.startswith(EVENT_STREAM):
-            # Engines refuse a stream request with a plain body.
+            # An engine that refuses a stream request answers with a plain body.
             self._plain_chunks.append(data)
             return
         await self._send_events(self._splitter.add(data))
--- a/src/ragwortkeel/router/worker.py
+++ b/src/ragwortkeel/router/worker.py
@@ -60,7 +60,7 @@
         await run_together(
             self._router.run,
             self._update_neighbours,
-            self._follow_list,
+            self._poll_node_list,
             self._stay_registered,
         )
 
@@ -93,7 +93,7 @@
             while node.incarnation == self._router.incarnation:
                 await curio.sleep(NEIGHBOURS_INTERVAL_SECONDS)
 
-    async def _follow_list(self) -> None:
+    async def _poll_node_list(self) -> None:
         await poll_list(self._platform, self._router.membership)
 
     async def _update_neighbours(self) -> None:
@@ -116,10 +116,10 @@
         probed = {
             n.address for n in membership.nodes_to_probe() if n.role == Role.ROUTER
         }
-        followed = (addresses | probed) - {settings.address}
-        await self._router.peers.set_addresses(followed)
+        linked_addresses = (addresses | probed) - {settings.address}
+        await self._router.peers.set_addresses(linked_addresses)
         for node in nodes:
-            if node.address in followed or self._router.is_linked_to(node):
+            if node.address in linked_addresses or self._router.is_linked_to(node):
                 membership.record_probe(node.incarnation, now)
         members = zone_router_addresses(present, settings.zone)
         await self._router.set_zone_routers(members)
