--- a/src/ragwortkeel/ingress/budget_keeper.py
+++ b/src/ragwortkeel/ingress/budget_keeper.py
@@ -94,18 +94,20 @@
         """
         account = self.allowances.account(customer.name)
         self.allowances.record_demand(customer.name, tokens, monotonic())
-        hold = account.reserve(tokens)
-        if hold is None:
+        reservation = account.reserve(tokens)
+        if reservation is None:
             self.renewals.grow()
-            hold = account.reserve(tokens)
-        if hold is None:
+            reservation = account.reserve(tokens)
+        if reservation is None:
             wait = max(RENEWAL_WAIT_SECONDS, RENEWAL_WAIT_FRACTION * seconds_left)
-            hold = await self._reserve_after_wait(account, customer, tokens, wait)
-        return hold
+            reservation = await self._reserve_after_wait(
+                account, customer, tokens, wait
+            )
+        return reservation
 
-    def settle(self, hold: AccountReservation, *, spent: int) -> None:
+    def settle(self, reservation: AccountReservation, *, spent: int) -> None:
         """Replace a reservation by the tokens that the request spent."""
-        self.allowances.account(hold.customer).settle(hold, spent=spent)
+        self.allowances.account(reservation.customer).settle(reservation, spent=spent)
 
     def is_exhausted(self, customer: Customer, tokens: int) -> bool:
         """Return whether the budget certainly can't cover a request of this size."""
@@ -208,9 +210,9 @@
         account.waiting_tokens += tokens
         try:
             if self.renewals.reachable:
-                hold = await self._wait_for_renewal(account, tokens, wait)
-                if hold is not None or self.is_exhausted(customer, tokens):
-                    return hold
+                reservation = await self._wait_for_renewal(account, tokens, wait)
+                if reservation is not None or self.is_exhausted(customer, tokens):
+                    return reservation
             await self._ask_peers(customer.name, account)
             return await self._wait_for_loan(account, tokens)
         finally:
@@ -228,9 +230,9 @@
         deadline = begun + seconds
         while self.renewals.reachable and monotonic() < deadline:
             await self.renewals.wake()
-            hold = await self._reserve_after_change(account, tokens, deadline)
-            if hold is not None:
-                return hold
+            reservation = await self._reserve_after_change(account, tokens, deadline)
+            if reservation is not None:
+                return reservation
             is_short = account.held < tokens
             if is_short and account.read_at >= begun and not account.ledger.rest:
                 return None
@@ -241,10 +243,10 @@
     ) -> AccountReservation | None:
         seconds = RECALL_WAIT_SECONDS if self.renewals.reachable else LOAN_WAIT_SECONDS
         deadline = monotonic() + seconds
-        hold = None
-        while hold is None and monotonic() < deadline:
-            hold = await self._reserve_after_change(account, tokens, deadline)
-        return hold
+        reservation = None
+        while reservation is None and monotonic() < deadline:
+            reservation = await self._reserve_after_change(account, tokens, deadline)
+        return reservation
 
     async def _reserve_after_change(
         self, account: Account, tokens: int, until: float
--- a/src/ragwortkeel/ingress/events.py
+++ b/src/ragwortkeel/ingress/events.py
@@ -7,8 +7,8 @@
 
 from ragwortkeel.exceptions import ExchangeBroken
 
-_END = b"\n\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_ID_FIELD = b"id:"
 
 
 class EventSplitter:
@@ -39,12 +39,12 @@
             The id of an event does not follow the id before it.
         """
         data = self._buffer + data.replace(b"\r\n", b"\n")
-        end = data.rfind(_END)
+        end = data.rfind(_EVENT_END)
         if end < 0:
             self._buffer = data
             return b""
         complete, self._buffer = data[: end + 2], data[end + 2 :]
-        for event in complete[:-2].split(_END):
+        for event in complete[:-2].split(_EVENT_END):
             self._check_order(event)
         return complete
 
@@ -69,7 +69,7 @@
 
 def _event_id(event: bytes) -> int | None:
     for line in event.split(b"\n"):
-        if line.startswith(_ID):
-            text = line[len(_ID) :].strip()
+        if line.startswith(_ID_FIELD):
+            text = line[len(_ID_FIELD) :].strip()
             return int(text) if text.isdigit() else None
     return None
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -137,9 +137,9 @@
         if self._parts.crashes.is_quarantined(accepted.fingerprint):
             await self._send_error(QUARANTINED)
             return
-        hold = await self._reserve()
-        if isinstance(hold, ErrorResponse):
-            await self._send_error(hold)
+        reservation = await self._reserve()
+        if isinstance(reservation, ErrorResponse):
+            await self._send_error(reservation)
             return
         self._retries.record_first_attempt()
         try:
@@ -147,14 +147,14 @@
             if error is not None:
                 await self._send_error(error)
         finally:
-            if hold is not None:
+            if reservation is not None:
                 spent = self._spent_tokens()
-                self._parts.keeper.settle(hold, spent=spent)
+                self._parts.keeper.settle(reservation, spent=spent)
                 log_info(
                     "settled",
                     request=accepted.call.request_id,
-                    customer=hold.customer,
-                    reserved=hold.tokens,
+                    customer=reservation.customer,
+                    reserved=reservation.tokens,
                     spent=spent,
                 )
 
@@ -164,11 +164,11 @@
         if customer is None or customer.prepaid is None or usage is None:
             return None
         seconds_left = accepted.call.deadline - monotonic()
-        hold = await keeper.reserve(
+        reservation = await keeper.reserve(
             customer, usage.total_tokens, seconds_left=seconds_left
         )
-        if hold is not None:
-            return hold
+        if reservation is not None:
+            return reservation
         keeper.log_shortage(accepted.call.request_id, customer, usage.total_tokens)
         if keeper.is_exhausted(customer, usage.total_tokens):
             return BUDGET_EXHAUSTED
--- a/src/ragwortkeel/ingress/limit_reader.py
+++ b/src/ragwortkeel/ingress/limit_reader.py
@@ -81,10 +81,10 @@
         now = monotonic()
         return {
             name: AnnouncedLimit(
-                per_second=statement.per_second,
-                age_seconds=round(now - statement.effective_at, 3),
+                per_second=announcement.per_second,
+                age_seconds=round(now - announcement.effective_at, 3),
             )
-            for name, statement in self.limits.recent_own(now).items()
+            for name, announcement in self.limits.recent_own(now).items()
         }
 
     def merge(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
@@ -92,12 +92,12 @@
         now = monotonic()
         for name, reported in limit_by_upstream.items():
             previous = self.limits.limit_of(name)
-            statement = LimitAnnouncement(
+            announcement = LimitAnnouncement(
                 per_second=reported.per_second,
                 effective_at=now - reported.age_seconds,
                 own=False,
             )
-            if self.limits.merge(name, statement):
+            if self.limits.merge(name, announcement):
                 self._log_change(name, previous, source="peer")
 
     def record_start(self, upstream: Upstream) -> None:
--- a/src/ragwortkeel/ingress/mesh.py
+++ b/src/ragwortkeel/ingress/mesh.py
@@ -119,8 +119,8 @@
         self._introductions = introductions
         self._is_relay = is_relay
         self._new_link = new_link
-        self._opened_at: dict[str, float] = {}
-        self._unneeded_since: dict[str, float] = {}
+        self._opened_at_by_address: dict[str, float] = {}
+        self._unneeded_since_by_address: dict[str, float] = {}
 
     def live_links(self) -> list[Link]:
         """Return the links that are up."""
@@ -154,14 +154,16 @@
                 heartbeat, silence = RELAY_HEARTBEAT_SECONDS, RELAY_SILENCE_SECONDS
             link = self._new_link(address, heartbeat, silence)
             self.link_by_address[address] = link
-            self._opened_at[address] = monotonic()
+            self._opened_at_by_address[address] = monotonic()
         return [self.link_by_address[address] for address in new]
 
     def remove_unneeded(self, now: float | None = None) -> list[str]:
         """Remove the links that have been unneeded for long; return their addresses."""
         now = monotonic() if now is None else now
         unneeded = self.link_by_address.keys() - self._needed_addresses()
-        since = {name: self._unneeded_since.get(name, now) for name in unneeded}
+        since = {
+            name: self._unneeded_since_by_address.get(name, now) for name in unneeded
+        }
         removed = [
             name
             for name, unneeded_at in since.items()
@@ -170,8 +172,8 @@
         for name in removed:
             del since[name]
             del self.link_by_address[name]
-            del self._opened_at[name]
-        self._unneeded_since = since
+            del self._opened_at_by_address[name]
+        self._unneeded_since_by_address = since
         return removed
 
     def set_heartbeat_pace(self, full_pace: Iterable[str]) -> None:
@@ -197,7 +199,9 @@
         link = self.link_by_address.get(address)
         if link is None or link.up:
             return False
-        return monotonic() - self._opened_at[address] >= CONNECT_GRACE_SECONDS
+        return (
+            monotonic() - self._opened_at_by_address[address] >= CONNECT_GRACE_SECONDS
+        )
 
     def _in_own_order(self, names: Iterable[str]) -> list[str]:
         return rendezvous_order(self._address, names)
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -328,9 +328,9 @@
         ingress_links = (
             [] if self._is_relay else list(self._mesh.ingress_links().values())
         )
-        parts = self._handler.drain_prompt_blocks()
+        prompt_blocks = self._handler.drain_prompt_blocks()
         for first in range(0, max(1, len(ingress_links)), PEERS_AT_FULL_RATE):
-            state, now = self._state(introduction, parts), monotonic()
+            state, now = self._state(introduction, prompt_blocks), monotonic()
             group = ingress_links[first : first + PEERS_AT_FULL_RATE]
             due = [
                 link for link in group if self._reports.mark_due(link.name, state, now)
@@ -348,7 +348,7 @@
     def _state(
         self,
         introduction: Introduction,
-        parts: dict[str, dict[int, int]] | None = None,
+        prompt_blocks: dict[str, dict[int, int]] | None = None,
     ) -> IngressState:
         evacuated = self._handler.evacuated_zones()
         return IngressState(
@@ -358,7 +358,7 @@
             relays=introduction.relays,
             load_by_upstream=_wire_loads(self._handler.own_loads()),
             writing_step=self._handler.writing_step(),
-            parts_by_upstream=parts or {},
+            parts_by_upstream=prompt_blocks or {},
             upstreams_revision=self._handler.upstreams_revision(),
             evacuations_revision=evacuated.revision,
             evacuated_zones=evacuated.zones,
@@ -571,24 +571,24 @@
         self._handler.merge_limits(state.limit_by_upstream)
         hold = hold_seconds(self.ingress_count)
         await self._handler.merge_loads(state.node, loads, hold_seconds=hold)
-        for name, parts in state.parts_by_upstream.items():
-            self._handler.merge_prompt_blocks(name, parts)
+        for name, prompt_blocks in state.parts_by_upstream.items():
+            self._handler.merge_prompt_blocks(name, prompt_blocks)
 
     async def _handle_configuration(self, message) -> ConfigurationPush | None:
         match message:
             case ConfigurationPull() as pull:
                 return self._configuration_push(pull)
             case ConfigurationPush(objects=objects):
-                for one in objects:
-                    await self._handler.receive_configuration(one)
+                for pushed in objects:
+                    await self._handler.receive_configuration(pushed)
         return None
 
     async def _handle_renewals(self, message) -> HandedRenewals | None:
         match message:
             case RenewalCall():
                 return self._handler.receive_renewal_call()
-            case HandedRenewals() as handed:
-                await self._handler.receive_renewals(handed)
+            case HandedRenewals() as delegated:
+                await self._handler.receive_renewals(delegated)
             case RenewalsWritten() as answer:
                 await self._handler.receive_renewals_written(answer)
         return None
--- a/src/ragwortkeel/ingress/relaying.py
+++ b/src/ragwortkeel/ingress/relaying.py
@@ -91,10 +91,10 @@
     def __init__(self, *, direct: Platform, relays: Callable[[], list[Relay]]) -> None:
         self._direct = direct
         self._relays = relays
-        self._ids = count(1)
+        self._call_ids = count(1)
         self._answer_by_id: dict[int, PlatformAnswer | None] = {}
         self._arrived_by_id: dict[int, curio.Event] = {}
-        self._avoided_until: dict[str, float] = {}
+        self._avoided_until_by_relay: dict[str, float] = {}
         self._direct_failed = False
         self._probe_at = 0.0
 
@@ -116,7 +116,7 @@
             kind=kind,
             name=prefix,
         )
-        by_name = {one.name: _decode_stored(one) for one in answer.objects}
+        by_name = {found.name: _decode_stored(found) for found in answer.objects}
         return Listing(by_name=by_name, revision=answer.version)
 
     async def create(self, kind: str, name: str, value: bytes) -> int:
@@ -155,7 +155,7 @@
             version=revision,
             seconds=timeout,
         )
-        changes = tuple(decode_change(one) for one in answer.objects)
+        changes = tuple(decode_change(found) for found in answer.objects)
         return Changes(changes=changes, revision=answer.version, gap=answer.gap)
 
     async def live(self) -> dict[str, Instance]:
@@ -199,7 +199,7 @@
             except PlatformUnavailable as exc:
                 self._record_direct_failure(str(exc))
         return await self._call_through_peers(
-            PlatformCall(call_id=next(self._ids), **fields)
+            PlatformCall(call_id=next(self._call_ids), **fields)
         )
 
     def _record_direct_failure(self, error: str) -> None:
@@ -214,13 +214,13 @@
         relays = [
             relay
             for relay in self._relays()
-            if self._avoided_until.get(relay.name, 0.0) <= now
+            if self._avoided_until_by_relay.get(relay.name, 0.0) <= now
         ]
         for relay in relays[:MAX_RELAYS_TRIED]:
             answer = await self._call_through(relay, call)
             if answer.error is not PlatformError.UNAVAILABLE:
                 return _raise_error(answer)
-            self._avoided_until[relay.name] = monotonic() + AVOID_SECONDS
+            self._avoided_until_by_relay[relay.name] = monotonic() + AVOID_SECONDS
         raise PlatformUnavailable("platform unreachable directly and through peers")
 
     async def _call_through(self, relay: Relay, call: PlatformCall) -> PlatformAnswer:
@@ -298,7 +298,7 @@
     changes = await platform.watch(kind, revision, seconds)
     return PlatformAnswer(
         call_id=0,
-        objects=tuple(encode_change(kind, one) for one in changes.changes),
+        objects=tuple(encode_change(kind, change) for change in changes.changes),
         version=changes.revision,
         gap=changes.gap,
     )
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -313,8 +313,8 @@
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
     ) -> None:
         """Replace the loads of a peer; they count for `hold_seconds`."""
-        holds_until = monotonic() + hold_seconds
-        self._placement.merge_loads(node, load_by_upstream, holds_until)
+        valid_until = monotonic() + hold_seconds
+        self._placement.merge_loads(node, load_by_upstream, valid_until)
 
     def receive_revision(self, peer: str, revision: int) -> None:
         """Record which configuration a peer has in force; 0 for none."""
@@ -404,9 +404,9 @@
         """Return renewals for a peer that is about to write, None if there are none."""
         return self._budget_keeper.renewals.receive_renewal_call()
 
-    async def receive_renewals(self, handed: HandedRenewals) -> None:
+    async def receive_renewals(self, delegated: HandedRenewals) -> None:
         """Receive renewals that a peer delegates to this process."""
-        await self._budget_keeper.renewals.receive_renewals(handed)
+        await self._budget_keeper.renewals.receive_renewals(delegated)
 
     async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
         """Receive the results of renewals that were delegated to a peer."""
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -71,7 +71,7 @@
         self._address_by_node: dict[str, str] = {}
         self._latency_class_by_address: dict[str, int] = {}
         self._leaving: set[str] = set()
-        self._avoided_until: dict[str, float] = {}
+        self._avoided_until_by_address: dict[str, float] = {}
 
     def record_writer(self, *, node: str, address: str, latency_class: int) -> None:
         """Record the address of a process and how slowly it writes."""
@@ -161,7 +161,7 @@
         The link to a process that was just killed stays up for a while, and all callers
         that wait for tokens would wait for that process first.
         """
-        self._avoided_until[address] = monotonic() + AVOID_SECONDS
+        self._avoided_until_by_address[address] = monotonic() + AVOID_SECONDS
 
     async def send_outcome(self, holder: str, answer: RenewalsWritten) -> None:
         """Send a process the outcome of the renewals that it delegated."""
@@ -185,5 +185,5 @@
             )
             for address in self._links()
             if address not in self._leaving
-            and self._avoided_until.get(address, 0.0) <= now
+            and self._avoided_until_by_address.get(address, 0.0) <= now
         ]
