--- a/src/ragwortkeel/ingress/__init__.py
+++ b/src/ragwortkeel/ingress/__init__.py
@@ -4,7 +4,7 @@
 query and body reach the upstream unchanged.  An ingress process calls upstreams
 directly, without a sidecar beside them.
 
-The modules that make decisions (`routing`, `directory`, `placement`, `waiting`,
+The modules that make decisions (`routing`, `directory`, `placement`, `request_queue`,
 `prefixes` and `budget.allowance`) use no clock and no socket, so they can be embedded
 alone.
 """
--- a/src/ragwortkeel/ingress/attempt.py
+++ b/src/ragwortkeel/ingress/attempt.py
@@ -38,19 +38,20 @@
 EVENT_STREAM = "text/event-stream"
 
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-"""Largest plain response, as it is held in memory; a larger one counts as broken."""
+"""Largest plain response, which is held in memory; a larger one counts as broken."""
 
 MAX_SILENCE_SECONDS = 1.5
 """Pause in a resumable stream after which it is resumed at another upstream.
 
-Over twice the longest pause that callers count as on time, and less than the 2 s after
-which they leave.
+It is over twice the longest pause that callers count as on time, and less than the 2 s
+after which they leave.
 """
 
 MAX_FIRST_SILENCE_SECONDS = 3.0
 """Pause before the first event of a resumable stream after which it runs elsewhere.
 
-Longer than between events, because the engine may be reading long prompts.
+It is longer than the pause between events, because the engine may be reading long
+prompts.
 """
 
 MISDIRECTED = 421
@@ -105,8 +106,8 @@
     Parameters
     ----------
     on_head : callable
-        Called with the head of a response unless another instance sent it, and the
-        monotonic second at which the request was sent.
+        Called with the head of a response and the monotonic second at which the request
+        was sent, unless another instance responded.
     on_first_event : callable
         Called when the response shows that the prompt has been read, and again for
         each later chunk of a stream.
--- a/src/ragwortkeel/ingress/budget_keeper.py
+++ b/src/ragwortkeel/ingress/budget_keeper.py
@@ -20,7 +20,7 @@
 from ragwortkeel.platform import Platform
 
 RENEWAL_WAIT_SECONDS = 0.7
-"""How long a request waits at least for a renewal.
+"""How long a request waits for a renewal unless `RENEWAL_WAIT_FRACTION` allows longer.
 
 The platform answers in 4 ms, or in 250 ms while it is slow.  When all processes are
 disconnected from it, the writer detects that after 0.25 s and the processes that
--- a/src/ragwortkeel/ingress/configuration.py
+++ b/src/ragwortkeel/ingress/configuration.py
@@ -37,7 +37,7 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """A host and path prefix whose requests go to services, and their promises.
+    """A host and path prefix, its services, and the promises to its callers.
 
     Attributes
     ----------
@@ -175,7 +175,7 @@
         Wall clock time of its start in milliseconds, stored as ``born``.  After a
         restart under the same name its prefix cache is empty.
     cold_seconds : float
-        Time that it would still stay cold when it wrote the entry.
+        Cold time that was left when it wrote the entry.
     """
 
     name: str
--- a/src/ragwortkeel/ingress/directory.py
+++ b/src/ragwortkeel/ingress/directory.py
@@ -10,8 +10,9 @@
   instance than intended.  So an address belongs to that upstream of a service which
   started last.
 - The platform was unreachable and let entries expire: on its return nearly all
-  upstreams look deleted at once.  So entries that disappear around an outage count for
-  another `OUTAGE_GRACE_SECONDS`, in which live upstreams write them again.
+  upstreams look deleted at once.  So entries that disappear around an outage stay
+  valid for `OUTAGE_GRACE_SECONDS` after its end, in which live upstreams write them
+  again.
 """
 
 from collections.abc import Mapping
@@ -24,7 +25,8 @@
 OUTAGE_GRACE_SECONDS = 2.3
 """How long after an outage of the platform a deleted entry may still be written again.
 
-Live upstreams write their entries within about 2 seconds of the platform's return.
+Live upstreams write their entries within about 2 seconds of the platform's return; the
+other 0.3 seconds are a margin.
 """
 
 
@@ -39,8 +41,8 @@
     upstream : Upstream or None
         None once the entry is deleted.
     expires_at : float or None
-        Not None while the platform no longer has the entry but the outage may be the
-        reason; see `Directory.expire`.
+        Monotonic second; set while the platform lacks the entry, possibly because of an
+        outage.  See `Directory.expire`.
     """
 
     version: int
--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -20,13 +20,13 @@
 """
 
 MAX_DISPATCH_DELAY_SECONDS = 2 * QUEUE_CHECK_SECONDS
-"""Time by which a queued request may be sent later than its rate limit allows.
+"""Longest time from when a rate limit allows a queued request until it is sent.
 
-A request that could be sent this close to its latest start is refused at once.
+A request that could miss its latest start by this delay is refused at once.
 """
 
 RETRY_ELSEWHERE_SECONDS = 1.0
-"""Estimated wait where other processes share all of the upstreams' rate limits.
+"""Estimated wait if other processes may send all that the upstreams' rate limits allow.
 
 The next connection of the caller probably reaches one of those processes.
 """
@@ -92,8 +92,8 @@
         Pattern of load: a service is full, and more requests are queued for it than it
         can serve before their deadlines.  A request that is not expected to start
         before `latest_start` is refused at once, because a caller that is held until
-        then has no time left to come back.  The estimate rests on the rate at which
-        requests left the queue lately.  The first request in the queue always waits;
+        then has no time left to retry.  The estimate rests on the rate at which
+        requests left the queue recently.  The first request in the queue always waits;
         otherwise no request would leave the queue to correct the estimate.
 
         Two other requests are refused at once: one that must not use any of the ready
--- a/src/ragwortkeel/ingress/events.py
+++ b/src/ragwortkeel/ingress/events.py
@@ -36,7 +36,7 @@
         Raises
         ------
         ExchangeBroken
-            The id of an event does not follow the id before it.
+            The id of an event is not the previous id plus 1.
         """
         data = self._buffer + data.replace(b"\r\n", b"\n")
         end = data.rfind(_EVENT_END)
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -43,7 +43,7 @@
 from ragwortkeel.policy.facts import Failure
 
 MAX_REJECTED_SENDS = 2
-"""Rejected sends of a request after which it is sent once more, at the most.
+"""Number of rejected sends after which a request may still be sent once more.
 
 Each send adds load to a busy service, and a later one finds no more headroom than the
 ones before.
@@ -69,7 +69,8 @@
     Attributes
     ----------
     fingerprint : str
-        Hash of target, customer and body, by which the quarantine knows the request.
+        Hash of target, customer and body, which identifies the request in the
+        quarantine.
     arrived_at : float
         Monotonic second at which the request arrived.
     revision : int
@@ -100,7 +101,7 @@
 
     Parameters
     ----------
-    parts : FrontParts
+    parts : FrontComponents
         Objects that all requests share.
     to : Responder
         Sends the response to the caller.
--- a/src/ragwortkeel/ingress/fleet_time.py
+++ b/src/ragwortkeel/ingress/fleet_time.py
@@ -3,9 +3,10 @@
 After a loss of power only the time of day shows how long ago a process wrote last, and
 the clock of one instance may just have been set back or ahead by seconds.  The bound of
 a crashed process's spend would be too low, so that its customer gets more than it paid
-for.  With an allowance for any jump it would be far too high, and callers are refused.
-So each process requests its peers' time of day.  More than half of the clocks of a
-fleet include a right one, hence the right time lies between the lowest and the highest.
+for.  With an allowance for any jump it would be far too high, and callers would be
+refused.  So each process requests its peers' time of day.  Among the clocks of more
+than half of a fleet at least one is right, hence the right time lies between the lowest
+and the highest.
 """
 
 from collections.abc import Callable
--- a/src/ragwortkeel/ingress/following.py
+++ b/src/ragwortkeel/ingress/following.py
@@ -38,8 +38,8 @@
 WATCH_TIMEOUT_SECONDS = 3.0
 """How long a watch waits for changes.
 
-A watch without an answer is detected after this and the client's own timeout.  Shorter
-waits cost more calls, which are paid for.
+A watch without an answer is detected after this time plus the client's own timeout.
+Shorter waits cost more calls, which are paid for.
 """
 
 RETRY_DELAY_SECONDS = 0.4
--- a/src/ragwortkeel/ingress/front.py
+++ b/src/ragwortkeel/ingress/front.py
@@ -45,7 +45,7 @@
     table : RoutingTable or None
         The routes of the configuration in force, None before the first one.
     stopping : bool
-        Whether a planned stop has gone so far that a new request might be cut off.
+        Whether new requests are refused, because a planned stop might cut them off.
     """
 
     def __init__(self, *, components: FrontComponents) -> None:
--- a/src/ragwortkeel/ingress/introductions.py
+++ b/src/ragwortkeel/ingress/introductions.py
@@ -5,6 +5,7 @@
 it would be two thirds of what an idle process sends.  So peers are sent only what is
 new.  The full list goes over each link that comes up.  It also goes to one random peer
 at a time, since a connection may break and return unnoticed while messages are lost.
+All processes do so, hence each receives the full list about as often as it sends it.
 """
 
 from dataclasses import dataclass
--- a/src/ragwortkeel/ingress/ledger_store.py
+++ b/src/ragwortkeel/ingress/ledger_store.py
@@ -27,7 +27,7 @@
         Whether the ledgers read last are of a later version than any that an own write
         was conditional on: a write that is still in transit will be refused.
     in_doubt : bool
-        Whether a write with an unknown outcome may have succeeded or may still.
+        Whether a write with an unknown outcome may have succeeded or may still succeed.
     """
 
     def __init__(self, *, platform: Platform) -> None:
@@ -81,8 +81,8 @@
         """
         value = encode_shard(shard)
         version = self._base.version if self._base is not None else 0
-        # It never decreases: an earlier write, conditional on a later version, may
-        # still succeed.
+        # The highest version counts: an earlier write that was conditional on a later
+        # version than this one may still succeed.
         self._newest_version_tried = max(self._newest_version_tried, version)
         try:
             version = await self._store(value)
--- a/src/ragwortkeel/ingress/limit_reader.py
+++ b/src/ragwortkeel/ingress/limit_reader.py
@@ -12,7 +12,7 @@
 from ragwortkeel.policy.announced_limits import AnnouncedLimits, LimitAnnouncement
 
 MAX_LOGGED_CHARACTERS = 40
-"""Longest part of an invalid header value in a log line."""
+"""Number of characters of an invalid header value that a log line contains."""
 
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{0,12})?|\.[0-9]{1,12}")
 
@@ -77,7 +77,7 @@
             self._log_change(upstream, previous, source="answer")
 
     def recent(self) -> dict[str, AnnouncedLimit]:
-        """Return the limits that upstreams lately announced here, for peers."""
+        """Return the limits that upstreams recently announced here, for peers."""
         now = monotonic()
         return {
             name: AnnouncedLimit(
--- a/src/ragwortkeel/ingress/load_reports.py
+++ b/src/ragwortkeel/ingress/load_reports.py
@@ -24,7 +24,7 @@
 """Shortest validity of a report: several report intervals in a small fleet."""
 
 HOLD_ROUNDS = 2.5
-"""Validity of a report in rounds of its sender, so that one report may be lost."""
+"""Rounds of its sender for which a report is valid, so that one may be lost."""
 
 
 def round_seconds(peers: int) -> float:
--- a/src/ragwortkeel/ingress/mesh.py
+++ b/src/ragwortkeel/ingress/mesh.py
@@ -67,7 +67,7 @@
 def first_live(
     order: Iterable[str], *, is_down: Callable[[str], bool], count: int
 ) -> list[str]:
-    """Return the shortest beginning of the order with `count` names that are not down.
+    """Return the shortest prefix of the order with `count` names that are not down.
 
     A name whose link was never opened counts as not down.
     """
--- a/src/ragwortkeel/ingress/outcomes.py
+++ b/src/ragwortkeel/ingress/outcomes.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FullResponse:
-    """The upstream's complete response, unless that is a stream."""
+    """A complete response of the upstream that is not a stream."""
 
     head: ResponseHead
     body: bytes
--- a/src/ragwortkeel/ingress/peer_handler.py
+++ b/src/ragwortkeel/ingress/peer_handler.py
@@ -63,7 +63,7 @@
         """Receive a peer's configuration; apply it if it is newer."""
 
     def receive_crash(self, crash: CrashSeen) -> None:
-        """Receive a crash that a peer found."""
+        """Receive a crash that a peer detected."""
 
     def announced_limits(self) -> dict[str, AnnouncedLimit]:
         """Return the rate limits that upstreams' answers announced lately."""
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -238,7 +238,7 @@
         return select_watchers([self._address, *self._mesh.ingress_links()])
 
     async def send_crash(self, crash: CrashSeen) -> None:
-        """Send a crash and what ran there to all ingress processes."""
+        """Send a crash and the requests suspected of it to all ingress processes."""
         await self._send(crash, list(self._mesh.ingress_links().values()))
 
     async def request_loan(self, customer: str, account: Account) -> None:
@@ -423,7 +423,7 @@
     async def _greet(self, link: Link) -> None:
         """Send a peer the known processes; request prompt blocks once after a start.
 
-        Kept small: after a partition many links come up at once.
+        The messages are small, because many links come up at once after a partition.
         """
         await self._send(self._state(self._introductions.snapshot()), [link])
         await self._query_clocks([link])
@@ -495,7 +495,7 @@
             if isinstance(message, HandedRenewals):
                 self.writers.record_identity(message.holder, received.peer)
             if isinstance(message, PlatformCall | LoanRequest):
-                # A task of their own: they wait for the platform, later messages don't.
+                # These wait for the platform; later messages must not wait for them.
                 call = self._handle_slow_message, received.peer, message
                 await self._tasks.spawn(*call, daemon=True)
                 continue
--- a/src/ragwortkeel/ingress/placement.py
+++ b/src/ragwortkeel/ingress/placement.py
@@ -55,20 +55,21 @@
 """
 
 SHARED_TOKEN_COST_FACTOR = 4.0
-"""Cost of reading a token of a shared block, relative to a token of the own block.
+"""Cost of reading a token of a shared block, relative to one of the last block.
 
 Besides the time to read it, a shared token displaces cached blocks that are in use, and
 the other requests of the engine wait for it too.
 """
 
 PLAIN_QUEUE_FRACTION = 1.0
-"""Requests that all processes together may assign to a plain upstream beyond its slots.
-
-A fraction of its slots; one process alone never assigns more than the slots.  Most
-requests that count as running are on their way to the upstream or back: a slow process
-holds an assignment for 0.2 s around 22 ms of work, and loads are reported up to 0.5 s
-late.  Without the extra requests, an upstream that is working on 1.2 requests at a time
-may count as full.
+"""Requests that a plain upstream may have beyond its slots, as a fraction of its slots.
+
+A plain upstream has no engine.  The bound is for all processes together; one process
+alone never assigns more than the slots.  The upstream queues a few requests itself, and
+most requests that count as running are on their way to it or back: a slow process holds
+an assignment for 0.2 s around 22 ms of work, and loads are reported up to 0.5 s late.
+Without the extra requests, an upstream that is working on 1.2 requests at a time may
+count as full.
 """
 
 MAX_CONNECTIONS_FRACTION = 0.8
--- a/src/ragwortkeel/ingress/relay_worker.py
+++ b/src/ragwortkeel/ingress/relay_worker.py
@@ -73,7 +73,7 @@
         return Leftover(counts={})
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return that nothing is in force: a relay has no configuration."""
+        """Return revision 0: a relay has no configuration in force."""
         return InForce(revision=0)
 
     # The methods of `PeerHandler`.  A relay has no state to send and discards what it
@@ -123,7 +123,7 @@
         """Discard a peer's configuration."""
 
     def receive_crash(self, crash: CrashSeen) -> None:
-        """Discard a crash that a peer found."""
+        """Discard a crash that a peer detected."""
 
     def announced_limits(self) -> dict[str, AnnouncedLimit]:
         """Return no limits: a relay receives no answers of upstreams."""
--- a/src/ragwortkeel/ingress/relaying.py
+++ b/src/ragwortkeel/ingress/relaying.py
@@ -52,7 +52,8 @@
 """How long a relay that can't reach the platform is not used."""
 
 MAX_RELAYS_TRIED = 2
-"""Limit for one call: if two can't reach the platform, it is probably down."""
+"""Number of relays that one call tries; if two can't reach the platform, it is
+probably down."""
 
 _ERROR_BY_CLASS: dict[type[ClientError], PlatformError] = {
     PlatformUnavailable: PlatformError.UNAVAILABLE,
--- a/src/ragwortkeel/ingress/renewals.py
+++ b/src/ragwortkeel/ingress/renewals.py
@@ -107,10 +107,10 @@
 """Interval of writes while a customer has no grant here: callers may wait."""
 
 MAX_WRITE_ATTEMPTS = 8
-"""Attempts in a row while other processes write first; a random backoff follows."""
+"""Attempts at one write while other processes write first; a random backoff follows."""
 
 MAX_ATTEMPTS_WITH_OTHER_WRITER = 2
-"""Attempts in a row where a peer could write for this process.
+"""Attempts at one write if a peer could write for this process.
 
 A refused write shows that a peer is writing, and the attempts of a slow process could
 be refused for seconds.
@@ -167,7 +167,7 @@
         Whether the last renewal with a known outcome reached the ledgers.
     read_at : float
         Monotonic second at which the newest ledgers known here were read.
-    merged : bool
+    predecessors_charged : bool
         Whether earlier starts of this process have been charged.
     """
 
@@ -272,7 +272,7 @@
             except VersionConflict:
                 await curio.sleep(backoff_seconds(refusals, self._random))
             except (PlatformUnavailable, OutcomeUnknown) as exc:
-                # The unspent tokens stay charged: that is safe, but fewer are left.
+                # The unspent tokens stay charged: safe, but customers have fewer.
                 log_warning("slices_not_returned", error=str(exc))
                 return False
             else:
@@ -518,7 +518,7 @@
             self._allowances.record_renewal_seconds(seconds)
         if outcome is WriteOutcome.DONE and requests_renewals:
             # A write for waiting callers doesn't delay the next regular one.  The
-            # interval includes the write's own duration: with a longer one the next
+            # interval includes the write's own duration: after a longer one the next
             # processes of the write order would write first.
             self._renewed_at = begun
         await self._changed.set()
--- a/src/ragwortkeel/ingress/request_queue.py
+++ b/src/ragwortkeel/ingress/request_queue.py
@@ -53,11 +53,11 @@
         self._queued_by_service.get(job.service, {}).pop(job.request_id, None)
 
     def record_started(self, job: Job) -> None:
-        """Count one more running request of the customer."""
+        """Add one to the running requests of the customer."""
         self._running_by_customer[job.customer] += 1
 
     def record_ended(self, job: Job) -> None:
-        """Count one running request of the customer less."""
+        """Subtract one from the running requests of the customer."""
         self._running_by_customer[job.customer] -= 1
         if not self._running_by_customer[job.customer]:
             del self._running_by_customer[job.customer]
--- a/src/ragwortkeel/ingress/upstream_connection.py
+++ b/src/ragwortkeel/ingress/upstream_connection.py
@@ -59,7 +59,7 @@
 MAX_IDLE_CONNECTIONS = 24
 """Idle connections kept for each upstream.
 
-More than one process's share of the upstream's slots in most services.
+In most services this exceeds the share of one process in the upstream's slots.
 """
 
 
@@ -207,7 +207,7 @@
                 raise ExchangeBroken("connection closed within a response")
 
     async def close(self) -> None:
-        """Close at once, so that the upstream drops the work of the request."""
+        """Close at once, so that the upstream stops working on the request."""
         await self._sock.close()
 
     async def _skip_response(self) -> None:
@@ -215,7 +215,8 @@
         while await self.receive_chunk() is not None:
             pass
         rest, _ = self._conn.trailing_data
-        # h11 accepts one response per request, so the request is repeated to h11.
+        # h11 accepts one response per request, so a new h11 connection is given a
+        # placeholder request, which is not sent.
         self._conn = h11.Connection(h11.CLIENT)
         self._conn.send(h11.Request(method="GET", target="/", headers=[("host", "-")]))
         self._conn.send(h11.EndOfMessage())
@@ -261,7 +262,7 @@
         return await UpstreamConnection.open(upstream, id_header=self._id_header)
 
     async def release(self, upstream: Upstream, connection: UpstreamConnection):
-        """Keep a connection that can be used again; close any other."""
+        """Return a reusable connection to the pool; close any other."""
         idle = self._idle_by_upstream.setdefault(
             (upstream.name, upstream.started_ms), []
         )
--- a/src/ragwortkeel/ingress/watching.py
+++ b/src/ragwortkeel/ingress/watching.py
@@ -3,8 +3,8 @@
 Pattern of load: each pending watch is a call that is paid for, and each change answers
 all watches at once, with a copy for each.  So only a few processes watch and forward
 changes to the others: the first of the mutually reachable ones in an order of names
-that all share.  There is no election.  A process that reaches no peer watches itself,
-and one that lacks a change which a peer knows reads it from the platform.
+that all share.  There is no election.  A process that reaches no peer watches the
+platform itself, and one that lacks a change which a peer knows reads it there.
 """
 
 from collections.abc import Iterable
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -71,7 +71,7 @@
 
 RETRY_RESERVE = 6.0
 """Retries at a service that an idle process of a small fleet may save up; processes of
-a larger fleet save fewer, see `policy.retries.reserve_of_one`."""
+a larger fleet save fewer, see `policy.retries.process_reserve`."""
 
 UPKEEP_SECONDS = 0.2
 """Interval at which expired entries, idle connections and new crashes are handled."""
@@ -336,7 +336,7 @@
         await self._apply_configuration(configuration, pushed.value, source="peer")
 
     def receive_crash(self, crash: CrashSeen) -> None:
-        """Record a crash that a peer found."""
+        """Record a crash that a peer detected."""
         self._crashes.receive_crash(
             Crash(crash_id=crash.crash_id, fingerprints=frozenset(crash.fingerprints))
         )
@@ -354,7 +354,7 @@
         return self._upstreams.newest_revision
 
     def receive_upstreams_revision(self, revision: int) -> None:
-        """Record the revision of the newest such change that a peer knows."""
+        """Record the revision of the newest change of an entry that a peer knows."""
         self._upstreams.receive_newest_revision(revision)
 
     async def receive_upstream_changes(self, changes: UpstreamChanges) -> None:
@@ -397,7 +397,7 @@
         await self._budget_keeper.receive_loan(loan)
 
     def writing_step(self) -> int:
-        """Return how slowly this process writes ledgers; see `budget.turns`."""
+        """Return how slowly this process writes ledgers; see `budget.write_order`."""
         return self._budget_keeper.renewals.writing_step
 
     def receive_renewal_call(self) -> HandedRenewals | None:
@@ -409,7 +409,7 @@
         await self._budget_keeper.renewals.receive_renewals(delegated)
 
     async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
-        """Receive the results of renewals that were delegated to a peer."""
+        """Receive the outcome of renewals that were delegated to a peer."""
         await self._budget_keeper.renewals.receive_renewals_written(answer)
 
     async def receive_platform_answer(self, answer: PlatformAnswer) -> None:
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -107,7 +107,7 @@
         return next(iter(self.links_of([node])), None)
 
     def links_of(self, nodes: Iterable[str]) -> list[Link]:
-        """Return those links to processes, by their names, that are up."""
+        """Return the links that are up to the processes with these names."""
         links = self._links()
         addresses = [self._address_by_node.get(node) for node in nodes]
         return [links[address] for address in addresses if address in links]
@@ -156,7 +156,7 @@
         return False
 
     def avoid(self, address: str) -> None:
-        """Leave a process that did not write delegated renewals out of the order.
+        """Exclude a process that did not write delegated renewals from the write order.
 
         The link to a process that was just killed stays up for a while, and all callers
         that wait for tokens would wait for that process first.
