--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -43,7 +43,7 @@
 from ragwortkeel.policy.facts import Failure
 
 MAX_REJECTED_SENDS = 2
-"""Rejected sends of a request after which it is sent once more, at the most.
+"""Number of rejected sends after which a request may still be sent once more.
 
 Each send adds load to a busy service, and a later one finds no more headroom than the
 ones before.
@@ -69,7 +69,8 @@
     Attributes
     ----------
     fingerprint : str
-        Hash of target, customer and body, by which the quarantine knows the request.
+        Hash of target, customer and body, which identifies the request in the
+        quarantine.
     arrived_at : float
         Monotonic second at which the request arrived.
     revision : int
@@ -100,7 +101,7 @@
 
     Parameters
     ----------
-    parts : FrontParts
+    parts : FrontComponents
         Objects that all requests share.
     to : Responder
         Sends the response to the caller.
@@ -137,9 +138,9 @@
         if self._parts.crashes.is_quarantined(accepted.fingerprint):
             await self._send_error(QUARANTINED)
             return
-        hold = await self._reserve()
-        if isinstance(hold, ErrorResponse):
-            await self._send_error(hold)
+        reservation = await self._reserve()
+        if isinstance(reservation, ErrorResponse):
+            await self._send_error(reservation)
             return
         self._retries.record_first_attempt()
         try:
@@ -147,14 +148,14 @@
             if error is not None:
                 await self._send_error(error)
         finally:
-            if hold is not None:
+            if reservation is not None:
                 spent = self._spent_tokens()
-                self._parts.keeper.settle(hold, spent=spent)
+                self._parts.keeper.settle(reservation, spent=spent)
                 log_info(
                     "settled",
                     request=accepted.call.request_id,
-                    customer=hold.customer,
-                    reserved=hold.tokens,
+                    customer=reservation.customer,
+                    reserved=reservation.tokens,
                     spent=spent,
                 )
 
@@ -164,11 +165,11 @@
         if customer is None or customer.prepaid is None or usage is None:
             return None
         seconds_left = accepted.call.deadline - monotonic()
-        hold = await keeper.reserve(
+        reservation = await keeper.reserve(
             customer, usage.total_tokens, seconds_left=seconds_left
         )
-        if hold is not None:
-            return hold
+        if reservation is not None:
+            return reservation
         keeper.log_shortage(accepted.call.request_id, customer, usage.total_tokens)
         if keeper.is_exhausted(customer, usage.total_tokens):
             return BUDGET_EXHAUSTED
--- a/src/ragwortkeel/ingress/limit_reader.py
+++ b/src/ragwortkeel/ingress/limit_reader.py
@@ -12,7 +12,7 @@
 from ragwortkeel.policy.announced_limits import AnnouncedLimits, LimitAnnouncement
 
 MAX_LOGGED_CHARACTERS = 40
-"""Longest part of an invalid header value in a log line."""
+"""Number of characters of an invalid header value that a log line contains."""
 
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{0,12})?|\.[0-9]{1,12}")
 
@@ -77,14 +77,14 @@
             self._log_change(upstream, previous, source="answer")
 
     def recent(self) -> dict[str, AnnouncedLimit]:
-        """Return the limits that upstreams lately announced here, for peers."""
+        """Return the limits that upstreams recently announced here, for peers."""
         now = monotonic()
         return {
             name: AnnouncedLimit(
-                per_second=statement.per_second,
-                age_seconds=round(now - statement.effective_at, 3),
+                per_second=announcement.per_second,
+                age_seconds=round(now - announcement.effective_at, 3),
             )
-            for name, statement in self.limits.recent_own(now).items()
+            for name, announcement in self.limits.recent_own(now).items()
         }
 
     def merge(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
@@ -92,12 +92,12 @@
         now = monotonic()
         for name, reported in limit_by_upstream.items():
             previous = self.limits.limit_of(name)
-            statement = LimitAnnouncement(
+            announcement = LimitAnnouncement(
                 per_second=reported.per_second,
                 effective_at=now - reported.age_seconds,
                 own=False,
             )
-            if self.limits.merge(name, statement):
+            if self.limits.merge(name, announcement):
                 self._log_change(name, previous, source="peer")
 
     def record_start(self, upstream: Upstream) -> None:
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -71,7 +71,7 @@
 
 RETRY_RESERVE = 6.0
 """Retries at a service that an idle process of a small fleet may save up; processes of
-a larger fleet save fewer, see `policy.retries.reserve_of_one`."""
+a larger fleet save fewer, see `policy.retries.process_reserve`."""
 
 UPKEEP_SECONDS = 0.2
 """Interval at which expired entries, idle connections and new crashes are handled."""
@@ -313,8 +313,8 @@
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
     ) -> None:
         """Replace the loads of a peer; they count for `hold_seconds`."""
-        holds_until = monotonic() + hold_seconds
-        self._placement.merge_loads(node, load_by_upstream, holds_until)
+        valid_until = monotonic() + hold_seconds
+        self._placement.merge_loads(node, load_by_upstream, valid_until)
 
     def receive_revision(self, peer: str, revision: int) -> None:
         """Record which configuration a peer has in force; 0 for none."""
@@ -336,7 +336,7 @@
         await self._apply_configuration(configuration, pushed.value, source="peer")
 
     def receive_crash(self, crash: CrashSeen) -> None:
-        """Record a crash that a peer found."""
+        """Record a crash that a peer detected."""
         self._crashes.receive_crash(
             Crash(crash_id=crash.crash_id, fingerprints=frozenset(crash.fingerprints))
         )
@@ -354,7 +354,7 @@
         return self._upstreams.newest_revision
 
     def receive_upstreams_revision(self, revision: int) -> None:
-        """Record the revision of the newest such change that a peer knows."""
+        """Record the revision of the newest change of an entry that a peer knows."""
         self._upstreams.receive_newest_revision(revision)
 
     async def receive_upstream_changes(self, changes: UpstreamChanges) -> None:
@@ -397,19 +397,19 @@
         await self._budget_keeper.receive_loan(loan)
 
     def writing_step(self) -> int:
-        """Return how slowly this process writes ledgers; see `budget.turns`."""
+        """Return how slowly this process writes ledgers; see `budget.write_order`."""
         return self._budget_keeper.renewals.writing_step
 
     def receive_renewal_call(self) -> HandedRenewals | None:
         """Return renewals for a peer that is about to write, None if there are none."""
         return self._budget_keeper.renewals.receive_renewal_call()
 
-    async def receive_renewals(self, handed: HandedRenewals) -> None:
+    async def receive_renewals(self, delegated: HandedRenewals) -> None:
         """Receive renewals that a peer delegates to this process."""
-        await self._budget_keeper.renewals.receive_renewals(handed)
+        await self._budget_keeper.renewals.receive_renewals(delegated)
 
     async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
-        """Receive the results of renewals that were delegated to a peer."""
+        """Receive the outcome of renewals that were delegated to a peer."""
         await self._budget_keeper.renewals.receive_renewals_written(answer)
 
     async def receive_platform_answer(self, answer: PlatformAnswer) -> None:
