--- a/src/ragwortkeel/cli/budgets.py
+++ b/src/ragwortkeel/cli/budgets.py
@@ -30,7 +30,8 @@
 
 MAX_WRITE_ATTEMPTS = 30
 """Bounds the attempts at one change.  Up to 1,000 routers write a busy ledger
-several times a second, so most attempts meet a version conflict."""
+several times a second, so most attempts meet a version conflict: of 30
+attempts one succeeds."""
 
 Transition = Callable[[Ledger], Ledger]
 
--- a/src/ragwortkeel/cli/fleet.py
+++ b/src/ragwortkeel/cli/fleet.py
@@ -57,17 +57,19 @@
 async def fetch_states(
     platform: Platform, nodes: Iterable[Node], *, kind: str = "", name: str = ""
 ) -> list[ProcessState]:
-    """Return what each process has in force, of one object if `kind` is given."""
-    live = await _live_addresses(platform)
+    """Return the state of each process; `kind` and `name` select one object."""
+    listed_addresses = await _live_addresses(platform)
     target = f"/in-force?kind={kind}&name={name}"
-    asked = await _ask_all(nodes, target, InForce)
+    answers = await _ask_all(nodes, target, InForce)
     return [
         ProcessState(
             node=node,
             in_force=answer,
-            listed=None if live is None else node.address in live,
+            listed=None
+            if listed_addresses is None
+            else node.address in listed_addresses,
         )
-        for node, answer in asked
+        for node, answer in answers
     ]
 
 
@@ -86,10 +88,10 @@
         nodes = processes_to_update(
             await list_registered(platform), kind=kind, name=name
         )
-        found = await fetch_states(platform, nodes, kind=kind, name=name)
-        lagging = lagging_processes(found, version)
+        states = await fetch_states(platform, nodes, kind=kind, name=name)
+        lagging = lagging_processes(states, version)
         if not lagging:
-            return len(found)
+            return len(states)
         if monotonic() >= deadline:
             raise CommandLagging(
                 f"{kind}/{name} version {version} is accepted, but after {seconds:g} s "
@@ -133,13 +135,13 @@
 
 
 async def fetch_spans(platform: Platform, trace_id: str) -> list[SpanRecord]:
-    """Return the spans of a trace from all processes that answer, by start."""
+    """Return the spans of a trace from all processes that answer, by start time."""
     nodes = await list_registered(platform)
-    asked = await _ask_all(nodes, f"/traces/{trace_id}", TraceReport)
-    found = {
-        span.span_id: span for _, report in asked if report for span in report.spans
+    answers = await _ask_all(nodes, f"/traces/{trace_id}", TraceReport)
+    span_by_id = {
+        span.span_id: span for _, report in answers if report for span in report.spans
     }
-    return sorted(found.values(), key=lambda span: span.start_ns)
+    return sorted(span_by_id.values(), key=lambda span: span.start_ns)
 
 
 async def _live_addresses(platform: Platform) -> set[str] | None:
@@ -152,10 +154,10 @@
 async def _ask_all(
     nodes: Iterable[Node], target: str, cls: type[Body]
 ) -> list[tuple[Node, Body | None]]:
-    slots = curio.Semaphore(MAX_CONCURRENT_REQUESTS)
+    semaphore = curio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
     async def ask(node: Node) -> tuple[Node, Body | None]:
-        async with slots:
+        async with semaphore:
             return node, await _ask(node, target, cls)
 
     async with curio.TaskGroup() as group:
@@ -181,7 +183,7 @@
 async def in_force_note(
     platform: Platform, *, kind: str, name: str, version: int, wait: float
 ) -> str:
-    """Wait if `wait` is given; return the addition to the command's output."""
+    """Wait up to `wait` seconds; return a note on the processes, empty without wait."""
     if not wait:
         return ""
     count = await wait_in_force(
--- a/src/ragwortkeel/cli/ingress.py
+++ b/src/ragwortkeel/cli/ingress.py
@@ -37,7 +37,10 @@
 
 
 class BudgetRow(msgspec.Struct, frozen=True, kw_only=True):
-    """The budget in one customer's ledger, in tokens."""
+    """The budget in one customer's ledger, in tokens.
+
+    `held` tokens are committed but not spent; `free` tokens can still be granted.
+    """
 
     customer: str
     prepaid: int
@@ -190,7 +193,7 @@
     try:
         return msgspec.json.decode(value, type=Evacuation).since or None
     except msgspec.DecodeError:
-        # The name of an entry is enough to evacuate the zone.
+        # The entry evacuates the zone by its name, whatever its value.
         return None
 
 
--- a/src/ragwortkeel/cli/plan.py
+++ b/src/ragwortkeel/cli/plan.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Session:
-    """The platform that a command uses, and its output format."""
+    """The platform and the output format of a command."""
 
     settings: str
     platform: str
@@ -32,8 +32,11 @@
     def connect(self) -> HttpPlatform:
         """Return a client for the platform in the settings, flags or environment."""
         if self.settings:
-            read = load(self.settings, CommandSettings)
-            return HttpPlatform(address=read.platform, timeout=read.timeout_seconds)
+            command_settings = load(self.settings, CommandSettings)
+            return HttpPlatform(
+                address=command_settings.platform,
+                timeout=command_settings.timeout_seconds,
+            )
         address = self.platform or os.environ.get(PLATFORM_VARIABLE, "")
         if not address:
             raise CommandError(
--- a/src/ragwortkeel/cli/profiles.py
+++ b/src/ragwortkeel/cli/profiles.py
@@ -269,7 +269,8 @@
             current = await _objects(platform).all()
             ledgers = await Budgets(platform=platform).all()
             rows = [
-                profile_row(one, ledgers.get(name)) for name, one in current.items()
+                profile_row(versioned, ledgers.get(name))
+                for name, versioned in current.items()
             ]
             return Result(data=rows, text=profile_table(rows))
 
@@ -286,7 +287,7 @@
 
 
 async def _await_second_write(second_write: Awaitable, text: str) -> None:
-    """Await the second of two writes; the error has to report the first."""
+    """Await the second of two writes; its error must not deny the first write."""
     try:
         await second_write
     except CommandError as exc:
--- a/src/ragwortkeel/cli/report.py
+++ b/src/ragwortkeel/cli/report.py
@@ -24,7 +24,7 @@
 MAX_SHOWN_CUSTOMERS = 10
 
 MAX_REQUEST_LINES = 10_000
-"""Maximum number of lines shown for one request; a normal request has five."""
+"""Maximum number of lines shown for one request; a normal request has five lines."""
 
 OTHERS = "(others)"
 
@@ -45,7 +45,10 @@
 
 
 class Retries(msgspec.Struct, frozen=True, kw_only=True):
-    """Retry decisions at one service; `most` is the maximum in any ten seconds."""
+    """Retry decisions at one service.
+
+    `allowed` counts charged retries only; `most` is their maximum in any ten seconds.
+    """
 
     allowed: int
     refused: int
@@ -105,10 +108,10 @@
         )
 
     def _at(self, fraction: float) -> float:
-        wanted, seen = fraction * self._count_by_bucket.total(), 0
+        wanted_count, seen_count = fraction * self._count_by_bucket.total(), 0
         for bucket in sorted(self._count_by_bucket):
-            seen += self._count_by_bucket[bucket]
-            if seen >= wanted:
+            seen_count += self._count_by_bucket[bucket]
+            if seen_count >= wanted_count:
                 return round(_FIRST_BUCKET_SECONDS * _BUCKET_FACTOR**bucket, 4)
         return 0.0
 
@@ -265,9 +268,9 @@
                 self._lacks_by_customer[customer] += 1
                 self._count(line, "lacked")
 
-    def _count(self, line: DecisionLine, what: str) -> None:
+    def _count(self, line: DecisionLine, outcome: str) -> None:
         span = int(line.at // SPAN_SECONDS)
-        self._counts_by_span.setdefault(span, Counter())[what] += 1
+        self._counts_by_span.setdefault(span, Counter())[outcome] += 1
 
 
 def shortage_cause(line: DecisionLine) -> str:
@@ -323,14 +326,14 @@
         raise CommandError(f"no line names request {request}")
     lines.sort(key=lambda line: line.at)
     rows = [
-        (f"{line.at:.3f}", line.process, line.event, _pairs(line))
+        (f"{line.at:.3f}", line.process, line.event, _fields_text(line))
         for line in lines[:MAX_REQUEST_LINES]
     ]
     data = [{"at": at, "process": p, "event": e, "fields": f} for at, p, e, f in rows]
     return Result(data=data, text=format_table(("at", "process", "event", ""), rows))
 
 
-def _pairs(line: DecisionLine) -> str:
+def _fields_text(line: DecisionLine) -> str:
     shown = (
         f"{k}={v}" for k, v in line.fields.items() if k not in ("request", "level")
     )
@@ -389,8 +392,9 @@
     return "\n\n".join(blocks)
 
 
-def _quantiles_text(what: str, found: Quantiles) -> str:
+def _quantiles_text(label: str, quantiles: Quantiles) -> str:
     return (
-        f"{what}, s: half within {found.half}, nine tenths {found.nine_tenths}, "
-        f"all but one in 100 {found.all_but_one_in_100} ({found.count})"
+        f"{label}, s: half within {quantiles.half}, "
+        f"nine tenths {quantiles.nine_tenths}, "
+        f"all but one in 100 {quantiles.all_but_one_in_100} ({quantiles.count})"
     )
--- a/src/ragwortkeel/cli/reports.py
+++ b/src/ragwortkeel/cli/reports.py
@@ -52,14 +52,18 @@
     upstreams = await Objects(
         platform=platform, kind=UPSTREAMS, cls=Upstream, noun="upstream"
     ).all()
-    serving = [one.value for one in upstreams.values() if not one.value.retired]
-    retired = sum(one.value.retired for one in profiles.values())
+    serving = [
+        versioned.value
+        for versioned in upstreams.values()
+        if not versioned.value.retired
+    ]
+    retired = sum(versioned.value.retired for versioned in profiles.values())
     data = Status(
         nodes=[_process_row(state) for state in found],
         profiles=len(profiles) - retired,
         retired_profiles=retired,
         upstreams=len(serving),
-        draining_upstreams=sum(one.state == "draining" for one in serving),
+        draining_upstreams=sum(upstream.state == "draining" for upstream in serving),
     )
     return Result(data=data, text=_status_text(data))
 
@@ -82,11 +86,13 @@
     lines = []
 
     def show(span: SpanRecord, depth: int) -> None:
-        at = (span.start_ns - start) / 1e6
-        took = (span.end_ns - span.start_ns) / 1e6
+        start_ms = (span.start_ns - start) / 1e6
+        duration_ms = (span.end_ns - span.start_ns) / 1e6
         failed = " FAILED" if span.failed else ""
         name = "  " * depth + span.name
-        lines.append(f"{at:9.1f} ms  {took:9.1f} ms  {name}  [{span.node}]{failed}")
+        lines.append(
+            f"{start_ms:9.1f} ms  {duration_ms:9.1f} ms  {name}  [{span.node}]{failed}"
+        )
         for child in found:
             if child.parent_id == span.span_id:
                 show(child, depth + 1)
--- a/src/ragwortkeel/cli/runs.py
+++ b/src/ragwortkeel/cli/runs.py
@@ -73,8 +73,9 @@
 
 
 async def _check_sidecar_deregistered(platform: Platform, sidecar: str) -> None:
-    # A disconnected sidecar may have run the request, or still do so; releasing the
-    # key would allow a second run.  A sidecar deregisters last when it stops.
+    # A disconnected sidecar may have run the request or may still hold it; releasing
+    # the key would allow a second run.  Deregistration is the last action of a sidecar
+    # that stops.
     try:
         registered = await platform.get(NODES, sidecar)
     except PlatformUnavailable as exc:
--- a/src/ragwortkeel/cli/upstreams.py
+++ b/src/ragwortkeel/cli/upstreams.py
@@ -1,4 +1,4 @@
-"""Implement ``ragwortkeel upstream``: put upstreams in and out of service."""
+"""Implement ``ragwortkeel upstream``: add, drain and retire upstreams."""
 
 import msgspec
 from fire.decorators import SetParseFns
@@ -21,7 +21,7 @@
 
 
 class UpstreamCommands:
-    """Put upstreams in and out of service."""
+    """Add, drain and retire upstreams."""
 
     def __init__(self, *, session: Session) -> None:
         self._session = session
@@ -127,8 +127,8 @@
         async def action(platform: Platform) -> Result:
             current = await _objects(platform).all()
             rows = [
-                UpstreamRow(upstream=one.value, version=one.version)
-                for one in current.values()
+                UpstreamRow(upstream=versioned.value, version=versioned.version)
+                for versioned in current.values()
             ]
             return Result(data=rows, text=_table(rows))
 
--- a/src/ragwortkeel/standins/engine.py
+++ b/src/ragwortkeel/standins/engine.py
@@ -42,7 +42,9 @@
     The process exits when a request body contains `crash_on`, or when an answer
     has `die_after_tokens` tokens.  `slow` multiplies the duration of a batch step.
     With `silent`, requests are accepted and never answered.  A stream ends after
-    `truncate` tokens, without usage and end marker.
+    `truncate` tokens, without usage and end marker, but its HTTP response ends as if
+    it were complete.  `crash_on`, `die_after_tokens` and `truncate` are off if empty or
+    zero.
     """
 
     crash_on: str = ""
@@ -164,7 +166,7 @@
             os._exit(CRASH_EXIT_CODE)
 
     def _token_range(self, chat: ChatRequest) -> tuple[int, int]:
-        """Return the first token of the answer and the end of its range."""
+        """Return the positions of the first token and after the last token."""
         end = min(natural_length(chat.prompt), chat.max_tokens)
         if self.switches.ignore_max_tokens:
             end = chat.max_tokens * OVERRUN_FACTOR
@@ -211,7 +213,7 @@
 
 
 class _Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """The wire form of one answer."""
+    """One answer, and its encoding as events or as a JSON document."""
 
     chat: ChatRequest
     request_id: str
--- a/src/ragwortkeel/standins/engine_answers.py
+++ b/src/ragwortkeel/standins/engine_answers.py
@@ -56,7 +56,7 @@
 
 
 def usage_of(prompt: str, completion_tokens: int) -> Usage:
-    """Return the usage of a completion with that many tokens."""
+    """Return the usage of a completion of `completion_tokens` tokens."""
     prompt_tokens = count_tokens(prompt)
     return Usage(
         prompt_tokens=prompt_tokens,
@@ -66,7 +66,7 @@
 
 
 def natural_length(prompt: str) -> int:
-    """Return the number of tokens of the answer without a limit.
+    """Return the number of tokens of an answer that no limit shortens.
 
     A prompt that holds ``answer_tokens=N`` is answered with N tokens.
     """
--- a/src/ragwortkeel/standins/engine_batch.py
+++ b/src/ragwortkeel/standins/engine_batch.py
@@ -13,7 +13,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BatchSpeed:
-    """Duration of the steps of a batch, and its maximum number of streams."""
+    """Duration of the steps of a batch, and its maximum number of streams.
+
+    `growth` is the fraction of `token_seconds` that each running stream adds to a step.
+    """
 
     token_seconds: float = 0.002
     growth: float = 0.05
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Load:
-    """Numbers of running and waiting generations, and the maximum running."""
+    """Numbers of running and queued generations; `limit` bounds the running ones."""
 
     running: int = 0
     waiting: int = 0
--- a/src/ragwortkeel/standins/local_platform.py
+++ b/src/ragwortkeel/standins/local_platform.py
@@ -1,8 +1,8 @@
 """The platform's object service in memory, with switches for its failures.
 
-It guarantees no more than the interface: one revision counts all writes, the version
-of an object is the revision of its last write, and the history for watches is bounded,
-so that a watch from an older revision reports a gap.
+The stand-in guarantees no more than the interface: one revision counts all writes, the
+version of an object is the revision of its last write, and the history for watches is
+bounded, so that a watch from an older revision reports a gap.
 """
 
 from collections import deque
@@ -22,7 +22,7 @@
 from ragwortkeel.platform import Change, Changes, Instance, Listing, Stored
 
 HISTORY_LIMIT_CHANGES = 10_000
-"""Changes stored for watches: those of a third of a day at the design size."""
+"""Bounds the changes stored for watches, to 8 hours of changes at the design size."""
 
 
 class Switches(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
@@ -35,15 +35,15 @@
     slow_seconds : float
         Delay before each call is processed, in seconds.
     lost_answers : int
-        Number of next writes that take effect and lose their answer.
+        Number of subsequent writes that take effect but whose answers are lost.
     watch_late_seconds : float
         Delay before a watch reports its changes, in seconds.
     watch_skips : int
-        Number of next changes that no watch reports.
+        Number of subsequent changes that no watch reports.
     watch_gaps : bool
-        Every watch reports a gap.
+        Report a gap from every watch.
     live_frozen : bool
-        The list of instances does not change.
+        Stop updating the list of instances.
     """
 
     down: bool = False
@@ -157,7 +157,7 @@
             self.counts.open_watches -= 1
 
     async def live(self) -> dict[str, Instance]:
-        """Return the listed instances by name; a frozen list does not change."""
+        """Return the live and leaving instances by name; a frozen list is stale."""
         self.counts.reads += 1
         await self._call()
         if not self.switches.live_frozen:
--- a/src/ragwortkeel/standins/platform.py
+++ b/src/ragwortkeel/standins/platform.py
@@ -1,7 +1,7 @@
 """Serve the stand-in platform over HTTP to separate processes.
 
 In addition to the object service it accepts ``POST /switches`` (failures, as JSON),
-``POST /live`` (what the list of instances shows) and ``GET /counts``.
+``POST /live`` (the instances to list) and ``GET /counts``.
 """
 
 from urllib.parse import unquote
@@ -49,9 +49,9 @@
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answer one request."""
-        parts = [unquote(part) for part in request.path.strip("/").split("/")]
+        segments = [unquote(segment) for segment in request.path.strip("/").split("/")]
         try:
-            await self._route(request, parts, responder)
+            await self._route(request, segments, responder)
         except OutcomeUnknown:
             await responder.abort()
         except tuple(_STATUS_BY_ERROR) as exc:
@@ -59,8 +59,8 @@
         except (KeyError, ValueError, msgspec.DecodeError) as exc:
             await _refuse(responder, 400, repr(exc))
 
-    async def _route(self, request: Request, parts: list[str], responder) -> None:
-        match (request.method, parts):
+    async def _route(self, request: Request, segments: list[str], responder) -> None:
+        match (request.method, segments):
             case ("GET", ["v1", "objects", kind]):
                 await self._list(request, kind, responder)
             case ("GET", ["v1", "objects", kind, name]):
@@ -73,10 +73,10 @@
                 instances = await self.platform.live()
                 await _send(responder, LiveBody(instances=tuple(instances.values())))
             case _:
-                await self._control(request, parts, responder)
+                await self._control(request, segments, responder)
 
-    async def _control(self, request: Request, parts: list[str], responder) -> None:
-        match (request.method, parts):
+    async def _control(self, request: Request, segments: list[str], responder) -> None:
+        match (request.method, segments):
             case ("POST", ["switches"]):
                 switches = msgspec.json.decode(request.body, type=Switches)
                 self.platform.switches = switches
--- a/src/ragwortkeel/standins/service.py
+++ b/src/ragwortkeel/standins/service.py
@@ -18,8 +18,8 @@
 class ServiceSwitches(msgspec.Struct, frozen=True, kw_only=True):
     """Faults that a test can switch on.
 
-    `slow` delays each call by that many seconds.  `answer_lost` drops the connection
-    after the execution, `down` before it.
+    `slow` is the delay of each call in seconds.  `answer_lost` drops the connection
+    after the execution; `down` drops it before the execution.
     """
 
     slow: float = 0.0
@@ -28,7 +28,10 @@
 
 
 class Execution(msgspec.Struct, frozen=True, kw_only=True):
-    """One executed call; `at` is in seconds of the monotonic clock."""
+    """One executed call.
+
+    `number` counts the calls from 1; `at` is in seconds of the monotonic clock.
+    """
 
     request_id: str
     number: int
