--- a/src/ragwortkeel/configuration_exchange.py
+++ b/src/ragwortkeel/configuration_exchange.py
@@ -172,7 +172,7 @@
         if push is None:
             return []
         # Peers that send digests here also receive pushes: some processes are
-        # among nobody's exchange peers and would depend on their own digests.
+        # exchange peers of no process and would depend on their own digests.
         peers = sorted({*self.exchange_peers, *self._last_round_by_sender})
         chosen = self._random.sample(peers, min(PUSH_PEERS, len(peers)))
         return [Send(peer=peer, message=push) for peer in chosen]
--- a/src/ragwortkeel/configuration_schedule.py
+++ b/src/ragwortkeel/configuration_schedule.py
@@ -16,7 +16,10 @@
 from ragwortkeel.configuration_exchange import UNKNOWN
 
 WATCHERS_PER_ZONE = 2
-"""Two, so that one may fail or be partitioned; a third would only cost calls."""
+"""Number of watchers in a zone.
+
+One of the two may fail or be partitioned; a third would only cost calls.
+"""
 
 WATCH_SECONDS = 5.0
 """Duration of one watch.
@@ -28,9 +31,9 @@
 STALE_RANGE_SECONDS = (10.0, 20.0)
 """Range of the age of the content at which a process starts a fallback watch.
 
-Two watches and the seconds that a digest takes to reach all processes fit in.  Each
-process draws its own bound from the range, so that a few start first and their
-confirmations keep the others from it.
+The range covers two watches and the seconds that a digest takes to reach all
+processes.  Each process draws its own bound from it, so that a few start first and
+their confirmations prevent fallback watches of the others.
 """
 
 SIDECAR_STALE_FACTOR = 4.0
@@ -41,7 +44,7 @@
 """
 
 FALLBACK_WATCH_SECONDS = 60.0
-"""Duration of fallback watching, before it is left to the zone's watchers again."""
+"""Time after which a fallback watcher leaves watching to the zone's watchers again."""
 
 FIRST_BACKOFF_SECONDS = 10.0
 MAX_BACKOFF_SECONDS = 120.0
@@ -123,8 +126,8 @@
         Monotonic seconds.
     random : random.Random
         Spreads the calls of many processes over time.
-    patience : float
-        Factor on the age at which a router starts a fallback watch.
+    stale_factor : float
+        Factor on `STALE_RANGE_SECONDS`; `SIDECAR_STALE_FACTOR` for a sidecar.
     """
 
     def __init__(
--- a/src/ragwortkeel/configuration_store.py
+++ b/src/ragwortkeel/configuration_store.py
@@ -41,7 +41,10 @@
 """
 
 MAX_VERSION = 2**63
-"""Upper bound of versions; stored versions have eight bytes."""
+"""Bound of versions, which are stored in eight bytes.
+
+An object whose version is not below it is ignored.
+"""
 
 _HEAD = Struct(">?Q")
 
--- a/src/ragwortkeel/exceptions.py
+++ b/src/ragwortkeel/exceptions.py
@@ -159,7 +159,7 @@
 
 
 class CommandError(RagwortkeelError):
-    """A command did not succeed; the text says what the operator should do.
+    """A command did not succeed; the message says what the operator should do.
 
     Attributes
     ----------
@@ -189,7 +189,7 @@
 
 
 class CommandLagging(CommandError):
-    """The change is accepted but not yet in force at the processes in the text."""
+    """The change is accepted, but not yet in force at the processes in the message."""
 
     exit_code = 6
 
--- a/src/ragwortkeel/logs.py
+++ b/src/ragwortkeel/logs.py
@@ -61,8 +61,8 @@
             self.dropped += 1
 
     def _write(self, line: bytes) -> bool:
-        # A write to a full pipe would block the kernel and with it every request of
-        # this process.  A pipe that polls as writable accepts PIPE_BUF bytes, so
+        # A write to a full pipe would block the curio kernel and with it every request
+        # of this process.  A pipe that polls as writable accepts PIPE_BUF bytes, so
         # this write cannot block.
         if not any(event & select.POLLOUT for _, event in self._poll.poll(0)):
             return False
--- a/src/ragwortkeel/membership.py
+++ b/src/ragwortkeel/membership.py
@@ -81,7 +81,7 @@
         self._list_asked_at: float | None = None
 
     def add(self, node: Node) -> None:
-        """Add a node that is registered in the platform."""
+        """Add a process that is registered in the platform."""
         if node.incarnation in self._member_by_incarnation:
             return
         self._last_registration_number += 1
@@ -89,7 +89,7 @@
         self._member_by_incarnation[node.incarnation] = member
 
     def remove(self, incarnation: str) -> None:
-        """Remove a node whose registration was deleted."""
+        """Remove a process whose registration was deleted."""
         self._member_by_incarnation.pop(incarnation, None)
 
     def apply(self, objects: Iterable[VersionedObject]) -> None:
@@ -107,7 +107,7 @@
                 continue
 
     def record_probe(self, incarnation: str, now: float) -> None:
-        """Record that a link to the node was opened, from which its silence counts."""
+        """Record that a link to the process was opened, so its silence counts."""
         member = self._member_by_incarnation.get(incarnation)
         if member is not None and member.probed_at is None:
             member.probed_at = now
@@ -115,7 +115,7 @@
     def record_message(
         self, incarnation: str, now: float, *, leaving: bool = False
     ) -> None:
-        """Record a heartbeat or any other message of the node."""
+        """Record a heartbeat or any other message of the process."""
         member = self._member_by_incarnation.get(incarnation)
         if member is None:
             return
@@ -148,17 +148,17 @@
                 _count_miss(member, asked_at)
 
     def node(self, incarnation: str) -> Node | None:
-        """Return a registered node, or None."""
+        """Return the registration of a process, or None."""
         member = self._member_by_incarnation.get(incarnation)
         return None if member is None else member.node
 
     def liveness(self, incarnation: str, now: float) -> Liveness | None:
-        """Return the liveness of a node, or None where it is not registered."""
+        """Return the liveness of a process, or None where it is not registered."""
         member = self._member_by_incarnation.get(incarnation)
         return None if member is None else _liveness(member, now)
 
     def nodes(self, now: float, *liveness: Liveness) -> list[Node]:
-        """Return the nodes with one of these values of liveness."""
+        """Return the registered processes with one of these values of liveness."""
         return [
             member.node
             for member in self._members()
@@ -166,10 +166,11 @@
         ]
 
     def nodes_to_probe(self) -> list[Node]:
-        """Return the nodes that the list lacks and that have no link to this process.
+        """Return the processes that the list lacks and that have no link to this one.
 
-        Silence counts only for a node that a link was opened to.  Without it, a list
-        that stopped changing before the node registered could not be refuted.
+        Silence counts only for a process that a link was opened to.  Without a link,
+        a list that stopped changing before the process registered could not be
+        refuted.
         """
         return [
             member.node
@@ -188,7 +189,7 @@
     def is_responsible(
         self, incarnation: str, now: float, own_incarnation: str
     ) -> bool:
-        """Return whether this router acts on the failure of a node.
+        """Return whether this router acts on the failure of a process.
 
         Parameters
         ----------
--- a/src/ragwortkeel/messages.py
+++ b/src/ragwortkeel/messages.py
@@ -20,7 +20,7 @@
     """Base of all messages; the tag is the class name.
 
     Fields that hold their default are not sent: most heartbeats consist of defaults,
-    and each process sends one to dozens of peers twice a second.
+    and each ingress process sends one to dozens of peers twice a second.
     """
 
 
@@ -686,7 +686,7 @@
     RenewalsWritten,
     UpstreamChanges,
 )
-"""Messages between entry instances that repeat names of fields, routes and holders.
+"""Classes of deflated messages, which repeat names of fields, routes and holders.
 Messages with callers' bytes are not deflated, to save processor time."""
 
 MIN_DEFLATED_BYTES = 1024
--- a/src/ragwortkeel/platform_client.py
+++ b/src/ragwortkeel/platform_client.py
@@ -74,7 +74,7 @@
         after = ""
         while True:
             page = await self._page(kind, prefix, after)
-            by_name |= {one.name: one.stored(kind) for one in page.objects}
+            by_name |= {entry.name: entry.stored(kind) for entry in page.objects}
             # The revision of the first page: later changes of objects on pages
             # that were already read are in a watch from this revision.
             revision = page.revision if revision is None else revision
@@ -106,7 +106,7 @@
         response = await self._calls.read(target, wait=timeout)
         body = _decode_body(response, ChangesBody)
         return Changes(
-            changes=tuple(one.change(kind) for one in body.changes),
+            changes=tuple(entry.change(kind) for entry in body.changes),
             revision=body.revision,
             gap=body.gap,
         )
@@ -114,7 +114,7 @@
     async def live(self) -> dict[str, Instance]:
         """Return live and leaving instances by name; the list may be outdated."""
         body = _decode_body(await self._calls.read("/v1/live"), LiveBody)
-        return {one.name: one for one in body.instances}
+        return {instance.name: instance for instance in body.instances}
 
     async def close(self) -> None:
         """Close the idle connections."""
--- a/src/ragwortkeel/process.py
+++ b/src/ragwortkeel/process.py
@@ -205,10 +205,10 @@
 
 
 def run_process(new_process: Callable[[], Process], *, level: LogLevel) -> int:
-    """Run a process in a kernel of its own and return its exit code.
+    """Run a process in a curio kernel of its own and return its exit code.
 
     Each `ContextTask` has its own context.  Plain curio tasks share one context, so
-    that fields of a log line or span would show up in those of another request.
+    fields of one request's log lines and spans would show up in those of another.
     """
     configure_logs(level=_LEVELS[level])
     with curio.Kernel(taskcls=ContextTask) as kernel:
--- a/src/ragwortkeel/registration.py
+++ b/src/ragwortkeel/registration.py
@@ -34,8 +34,8 @@
 async def deregister(platform: Platform, node: Node) -> bool:
     """Delete the node's registration; return whether the platform confirmed it.
 
-    After a failure the routers remove the node once it is silent and missing from the
-    platform's list.
+    After a failure the routers remove the process once it is silent and missing from
+    the platform's list.
     """
     try:
         stored = await platform.get(NODES, node.incarnation)
--- a/src/ragwortkeel/sidecar/admission.py
+++ b/src/ragwortkeel/sidecar/admission.py
@@ -18,20 +18,20 @@
 
 
 class Admission:
-    """Decides on new work by everything except the journal.
+    """Decides on dispatches by registration, state, object versions and load.
 
     Parameters
     ----------
     upstream
         Name of the upstream beside this sidecar.
     max_running
-        Concurrent runs from which on dispatches are refused, whatever
+        Number of concurrent runs at which dispatches are refused, whatever
         `refusal_threshold` is.  It bounds the memory of the process.
 
     Attributes
     ----------
     refusal_threshold : int
-        Concurrent runs from which on the upstream counts as overloaded.
+        Number of concurrent runs at which the upstream counts as overloaded.
     admitted : bool
         Whether the sidecar is registered and has read the seals.
     draining, stopping : bool
@@ -52,15 +52,15 @@
         """Whether routers should send new work elsewhere."""
         return self.draining or self.stopping
 
-    def merge_object(self, thing: VersionedObject) -> bool:
+    def merge_object(self, entry: VersionedObject) -> bool:
         """Store an object if its rank is the highest yet; return whether it was."""
-        key = (thing.kind, thing.name)
+        key = (entry.kind, entry.name)
         known = self._objects_by_key.get(key)
-        if known is not None and rank_of(known) >= rank_of(thing):
+        if known is not None and rank_of(known) >= rank_of(entry):
             return False
-        self._objects_by_key[key] = thing
+        self._objects_by_key[key] = entry
         if key == (UPSTREAMS, self.upstream):
-            self.draining = _is_leaving(thing)
+            self.draining = _is_leaving(entry)
         return True
 
     def reason_to_refuse(
@@ -103,14 +103,14 @@
         return LONG_RETRY_SECONDS if reason in _LONG_RETRY_REASONS else 0.0
 
 
-def _is_leaving(thing: VersionedObject) -> bool:
-    if thing.gone:
+def _is_leaving(entry: VersionedObject) -> bool:
+    if entry.gone:
         return True
     try:
-        upstream = msgspec.json.decode(thing.value, type=Upstream)
+        upstream = msgspec.json.decode(entry.value, type=Upstream)
     except msgspec.DecodeError as exc:
         # A damaged object must not crash every sidecar that receives it.  Its
         # state is unknown, so no new work is admitted.
-        log_error("upstream_unreadable", name=thing.name, error=str(exc))
+        log_error("upstream_unreadable", name=entry.name, error=str(exc))
         return True
     return upstream.retired or upstream.state is not UpstreamState.SERVING
--- a/src/ragwortkeel/sidecar/dispatch_check.py
+++ b/src/ragwortkeel/sidecar/dispatch_check.py
@@ -34,8 +34,8 @@
     def reason_to_refuse(self, sender: str, dispatch: Dispatch) -> RefusalReason | None:
         """Return the reason to refuse the dispatch of a router, or None."""
         if dispatch.sidecar != self._incarnation:
-            # Failure prevented: a dispatch to the predecessor, whose journal is
-            # lost, runs here although it may have run there.
+            # Failure prevented: a dispatch to this sidecar's predecessor, whose
+            # journal is lost, runs here although it may have run there.
             return RefusalReason.WRONG_INCARNATION
         if self._journal.is_sealed(sender):
             # Failure prevented: a router resumes after a pause and spends a
@@ -60,6 +60,7 @@
         return self._journal.accepts_epoch(dispatch.epoch)
 
     def _is_duplicate(self, dispatch: Dispatch) -> bool:
-        # Intents exclude two attempts already; this check needs no intent.
+        # The intent already excludes a second attempt.  This check excludes it even
+        # if the intent is lost.
         found = self._journal.nonce_of_request(dispatch.profile, dispatch.request_id)
         return found is not None
--- a/src/ragwortkeel/sidecar/isolation.py
+++ b/src/ragwortkeel/sidecar/isolation.py
@@ -4,7 +4,7 @@
 
 
 class Isolation:
-    """The single request that runs in isolation or is pending for it.
+    """State of the one request that runs alone or waits until it can.
 
     Failure prevented: a request that crashes upstreams breaks the runs beside it.
     While a request is pending nothing new is admitted, so the runs in flight end
--- a/src/ragwortkeel/sidecar/overdue_writes.py
+++ b/src/ragwortkeel/sidecar/overdue_writes.py
@@ -18,10 +18,13 @@
 )
 
 RECEIPT_GRACE_SECONDS = 30.0
-"""Age from which on the sidecar writes a receipt; routers need a few seconds."""
+"""Age at which the sidecar writes a receipt.
+
+Routers write receipts in batches every few seconds, so an older one is overdue.
+"""
 
 OUTCOME_GRACE_SECONDS = 5.0
-"""Age from which on the sidecar writes an outcome.
+"""Age at which the sidecar writes an outcome.
 
 Routers write outcomes at once, and a retry may follow a router crash soon.
 """
--- a/src/ragwortkeel/sidecar/registration.py
+++ b/src/ragwortkeel/sidecar/registration.py
@@ -104,10 +104,10 @@
             await curio.sleep(SEALS_READ_INTERVAL_SECONDS)
             try:
                 routers = await read_seals(self._platform)
-                on_list = await is_registered(self._platform, self._node())
+                registered = await is_registered(self._platform, self._node())
             except PlatformError:
                 continue
-            if not on_list:
+            if not registered:
                 return
             await self._inbox.put(SealsRead(routers=routers))
 
--- a/src/ragwortkeel/sidecar/reporting.py
+++ b/src/ragwortkeel/sidecar/reporting.py
@@ -30,7 +30,10 @@
     RefusalReason.DRAINING,
     RefusalReason.STOPPING,
 }
-"""Refusals that are frequent under load, so they are logged at debug level."""
+"""Refusals that are frequent under load.
+
+They are logged at debug level, because the metric that counts them is enough.
+"""
 
 
 class Reporting:
--- a/src/ragwortkeel/sidecar/runner.py
+++ b/src/ragwortkeel/sidecar/runner.py
@@ -90,7 +90,8 @@
         await curio.sleep(CANCEL_TIMEOUT_SECONDS)
         running = self._running_by_nonce.pop(nonce, None)
         if running is not None:
-            # The engine ignored the request: abort, at the bound of the cost.
+            # The engine ignored the request to cancel.  The run is aborted and
+            # reported with the upper bound of its tokens.
             await running.task.cancel()
             await running.run.report_broken(FailureReason.CANCELLED)
 
--- a/src/ragwortkeel/sidecar/sidecar.py
+++ b/src/ragwortkeel/sidecar/sidecar.py
@@ -62,7 +62,10 @@
 
 TICK_INTERVAL_SECONDS = 0.25
 EPOCH_SECONDS = 30.0
-"""Many heartbeats long, so that the epoch of a connected router is never stale."""
+"""Duration of an epoch.
+
+It spans many heartbeats, so the epoch that a connected router uses is never stale.
+"""
 
 
 class Sidecar:
@@ -158,7 +161,7 @@
         self._endpoint.open()
 
     async def run(self) -> Leftover:
-        """Serve until `stop`, and return the work that was left.
+        """Serve until the end of a planned stop, and return the unfinished work.
 
         Raises
         ------
@@ -258,8 +261,8 @@
             case LoadReport():
                 self._core.load = item
             case ObjectsReceived(objects=objects):
-                for thing in objects:
-                    admission.merge_object(thing)
+                for entry in objects:
+                    admission.merge_object(entry)
             case Stop():
                 admission.stopping = True
                 self._overdue_writes.end_backoff()
@@ -301,7 +304,7 @@
 
     async def _run_guarded(self, job: Callable[[], Awaitable[None]]) -> None:
         # Failure prevented: one task fails, the others continue, and the
-        # sidecar looks live but no longer works.  So it ends the process.
+        # sidecar looks live but no longer works.  So the failure ends the process.
         try:
             await job()
         except Exception as exc:
--- a/src/ragwortkeel/sidecar/upstream.py
+++ b/src/ragwortkeel/sidecar/upstream.py
@@ -33,7 +33,7 @@
 MIN_UNREPEATABLE_SECONDS = 120.0
 """Shortest timeout of a must-not-repeat run.
 
-It may exceed the caller's, as the outcome of an aborted run is unknown.
+It may exceed the caller's deadline, because the outcome of an aborted run is unknown.
 """
 
 CANCEL_TIMEOUT_SECONDS = 2.0
@@ -55,7 +55,7 @@
 
 
 class UpstreamRun:
-    """Serve one dispatch at the upstream.
+    """One dispatch that is run at the upstream.
 
     Parameters
     ----------
--- a/src/ragwortkeel/sidecar/upstream_limit.py
+++ b/src/ragwortkeel/sidecar/upstream_limit.py
@@ -25,7 +25,7 @@
 
     @property
     def max_runs(self) -> int:
-        """Number of concurrent runs from which on dispatches are refused."""
+        """Number of concurrent runs at which dispatches are refused."""
         return int(self.limit * OVERSHOOT_FACTOR) + OVERSHOOT_RUNS
 
     def record_start(self, nonce: str, promised_seconds: float, now: float) -> None:
--- a/src/ragwortkeel/sidecar/usage.py
+++ b/src/ragwortkeel/sidecar/usage.py
@@ -53,7 +53,7 @@
     token_count : int or None
         Tokens of the answer's `usage` field, None without it.
     cancelled : bool
-        Whether it was cancelled; it must not be shown as complete.
+        Whether the answer was cancelled and must not be shown as complete.
     """
 
     def __init__(self, body: bytes) -> None:
@@ -99,7 +99,7 @@
     done : bool
         Whether the end marker arrived; without it the answer is truncated.
     cancelled : bool
-        Whether it was cancelled; it must not be shown as complete.
+        Whether the answer was cancelled and must not be shown as complete.
     """
 
     def __init__(self) -> None:
@@ -125,7 +125,8 @@
         try:
             event = msgspec.json.decode(payload, type=_Answer)
         except msgspec.DecodeError:
-            # Counted, as a count that is too high is safe.
+            # An undecodable event counts as content: a token bound that is too
+            # high is safe.
             self.content_events += 1
             return
         self.cancelled = self.cancelled or event.cancelled
--- a/src/ragwortkeel/sidecar/worker.py
+++ b/src/ragwortkeel/sidecar/worker.py
@@ -20,11 +20,11 @@
 from ragwortkeel.traces import Tracing
 
 PEER_EXPIRY_SECONDS = 10.0
-"""Silence after which a router is removed from the gossip partners."""
+"""Silence after which a router is removed from the exchange peers."""
 
 
 class SidecarWorker:
-    """Everything a sidecar process runs.
+    """Worker of a sidecar process: the sidecar and its configuration.
 
     A sidecar stores its own upstream's object and receives it from connected
     routers; it never watches the platform.
@@ -130,7 +130,7 @@
         for peer in expired_peers:
             del self._last_received_at_by_peer[peer]
         if is_new or expired_peers:
-            partners = tuple(self._last_received_at_by_peer)
+            exchange_peers = tuple(self._last_received_at_by_peer)
             await self._gossip.inbox.put(
-                ExchangePeers(addresses=partners, zone_members=())
+                ExchangePeers(addresses=exchange_peers, zone_members=())
             )
