--- a/benchmarks/_budget_baselines.py
+++ b/benchmarks/_budget_baselines.py
@@ -98,7 +98,7 @@
     def begin(self, simulation: Simulation) -> None:
         """Start without reservations."""
         super().begin(simulation)
-        self.held_by_nonce: dict[int, int] = {}
+        self.reserved_by_nonce: dict[int, int] = {}
         self.spent = 0
 
     def admit(self, router: Router, request: Request) -> None:
@@ -111,13 +111,15 @@
         )
 
     def _reserve(self, router: Router, request: Request) -> None:
-        left = self.simulation.prepaid - self.spent - sum(self.held_by_nonce.values())
+        left = (
+            self.simulation.prepaid - self.spent - sum(self.reserved_by_nonce.values())
+        )
         if left < request.bound:
             self.simulation.refuse(request)
             return
         run = self.run(router, request, "") if router.live else None
         if run is not None:
-            self.held_by_nonce[run.nonce] = request.bound
+            self.reserved_by_nonce[run.nonce] = request.bound
 
     def receive_run_end(self, run: Run) -> None:
         """Settle the run, and retry until the platform is reachable."""
@@ -129,13 +131,13 @@
             )
             return
         # Settling is idempotent: it is recorded under the run's nonce.
-        if self.held_by_nonce.pop(run.nonce, None) is not None:
+        if self.reserved_by_nonce.pop(run.nonce, None) is not None:
             self.spent += run.spent
             self.charge(run)
 
     def receive_run_loss(self, run: Run) -> None:
         """Charge the bound, because the actual spend is unknown."""
-        if self.held_by_nonce.pop(run.nonce, None) is not None:
+        if self.reserved_by_nonce.pop(run.nonce, None) is not None:
             self.spent += run.request.bound
 
 
@@ -215,8 +217,8 @@
         now = simulation.now
         self.leased = {k: v for k, v in self.leased.items() if v[1] > now}
         held = sum(t for k, (t, _) in self.leased.items() if k != router.incarnation)
-        open_ = [r for s in simulation.sidecars for r in s.runs_by_nonce.values()]
-        own = sum(r.request.bound for r in open_ if r.router is router)
+        open_runs = [r for s in simulation.sidecars for r in s.runs_by_nonce.values()]
+        own = sum(r.request.bound for r in open_runs if r.router is router)
         rest = max(0, simulation.prepaid - self.spent - held - own)
         lease.tokens = min(LEASE_TOKENS, rest)
         self.leased[router.incarnation] = (lease.tokens + own, now + LEASE_SECONDS)
@@ -225,13 +227,13 @@
     def admit(self, router: Router, request: Request) -> None:
         """Admit within the lease, and renew it first if necessary."""
         lease = router.state
-        over = self.simulation.now - router.clock_lag_seconds >= lease.until
-        if (over or lease.tokens < request.bound) and self.simulation.reaches_platform(
-            router
-        ):
+        expired = self.simulation.now - router.clock_lag_seconds >= lease.until
+        if (
+            expired or lease.tokens < request.bound
+        ) and self.simulation.reaches_platform(router):
             self._renew_now(router)
-            over = False
-        if over or lease.tokens < request.bound:
+            expired = False
+        if expired or lease.tokens < request.bound:
             self.simulation.refuse(request)
             return
         run = self.run(router, request, "")
--- a/benchmarks/_budget_ours.py
+++ b/benchmarks/_budget_ours.py
@@ -108,10 +108,10 @@
 
     def admit(self, router: Router, request: Request) -> None:
         """Reserve from the slice, or queue the request until a renewal."""
-        holdings = router.state
-        holdings.meter.add(tokens=request.bound, now=self._clock(router))
+        router_state = router.state
+        router_state.meter.add(tokens=request.bound, now=self._clock(router))
         if not self._try_start(router, request):
-            holdings.waiting.append((self.simulation.now + WAIT_SECONDS, request))
+            router_state.waiting.append((self.simulation.now + WAIT_SECONDS, request))
             self.simulation.schedule(
                 WAIT_SECONDS,
                 self.simulation.deliver,
@@ -126,10 +126,10 @@
 
     def _try_start(self, router: Router, request: Request) -> bool:
         """Start the request at a sidecar with tokens, or return False."""
-        holdings, simulation = router.state, self.simulation
+        router_state, simulation = router.state, self.simulation
         for sidecar in simulation.pick_sidecars(request):
             try:
-                reservation = holdings.slice.reserve(
+                reservation = router_state.slice.reserve(
                     sidecar=sidecar.incarnation, tokens=request.bound
                 )
             except BudgetExhausted:
@@ -138,7 +138,7 @@
                 continue
             if not sidecar.state.admits(router.state.slice.router):
                 # The router was sealed, so it continues as a new incarnation.
-                holdings.slice.settle(reservation, spent=0)
+                router_state.slice.settle(reservation, spent=0)
                 self._new_incarnation(router)
                 return False
             self._start(router, request, sidecar, reservation)
@@ -146,13 +146,13 @@
         return False
 
     def _start(self, router, request, sidecar, reservation) -> None:
-        holdings = router.state
-        account = holdings.slice.router
+        router_state = router.state
+        account = router_state.slice.router
         run = self.simulation.start(router, request, sidecar, account)
         if run is None:
-            holdings.slice.settle(reservation, spent=0)
+            router_state.slice.settle(reservation, spent=0)
             return
-        holdings.reservations_by_nonce[run.nonce] = reservation
+        router_state.reservations_by_nonce[run.nonce] = reservation
         sidecar.state.start(
             nonce=str(run.nonce),
             router=account,
@@ -162,9 +162,11 @@
 
     def _refuse_expired(self, router: Router) -> None:
         self._serve_waiting(router)
-        holdings = router.state
-        due = [r for until, r in holdings.waiting if until <= self.simulation.now]
-        holdings.waiting = [w for w in holdings.waiting if w[0] > self.simulation.now]
+        router_state = router.state
+        due = [r for until, r in router_state.waiting if until <= self.simulation.now]
+        router_state.waiting = [
+            w for w in router_state.waiting if w[0] > self.simulation.now
+        ]
         for request in due:
             self.simulation.refuse(request)
 
@@ -203,29 +205,29 @@
         run.router.state.slice.drop(run.sidecar.incarnation)
 
     def _settle(self, run: Run, spent: int) -> None:
-        holdings = run.router.state
-        reservation = holdings.reservations_by_nonce.pop(run.nonce, None)
-        if reservation is not None and reservation.router == holdings.slice.router:
-            holdings.slice.settle(reservation, spent=spent)
+        router_state = run.router.state
+        reservation = router_state.reservations_by_nonce.pop(run.nonce, None)
+        if reservation is not None and reservation.router == router_state.slice.router:
+            router_state.slice.settle(reservation, spent=spent)
             self._serve_waiting(run.router)
 
     # Renewal
 
     def add_router(self, router: Router) -> None:
         """Create a slice and start its periodic renewal."""
-        router.state = self._new_holdings(router.incarnation)
+        router.state = self._new_router_state(router.incarnation)
         self._tick(router)
 
-    def _new_holdings(self, incarnation: str) -> _RouterState:
+    def _new_router_state(self, incarnation: str) -> _RouterState:
         slice_ = Slice(profile=PROFILE, router=incarnation)
         return _RouterState(refresh=SliceRefresh(slice_=slice_), meter=DemandMeter())
 
     def _new_incarnation(self, router: Router) -> None:
         self.nonces += 1
-        holdings = self._new_holdings(f"{router.incarnation}+{self.nonces}")
-        holdings.waiting = router.state.waiting
-        holdings.meter = router.state.meter
-        router.state = holdings
+        router_state = self._new_router_state(f"{router.incarnation}+{self.nonces}")
+        router_state.waiting = router.state.waiting
+        router_state.meter = router.state.meter
+        router.state = router_state
         self._refresh(router)
 
     def _tick(self, router: Router) -> None:
@@ -234,55 +236,57 @@
             self._refresh(router)
 
     def _refresh(self, router: Router, give_to: str = "", lend: int = 0) -> None:
-        holdings, simulation = router.state, self.simulation
-        if holdings.is_refreshing or router.paused or not router.live:
+        router_state, simulation = router.state, self.simulation
+        if router_state.is_refreshing or router.paused or not router.live:
             return
         if not simulation.reaches_platform(router):
             return
-        holdings.is_refreshing = True
+        router_state.is_refreshing = True
         simulation.schedule(
-            PLATFORM_LATENCY_SECONDS, self._renew, router, holdings, give_to, lend
+            PLATFORM_LATENCY_SECONDS, self._renew, router, router_state, give_to, lend
         )
 
     def _renew(
-        self, router: Router, holdings: _RouterState, give_to: str, lend: int
+        self, router: Router, router_state: _RouterState, give_to: str, lend: int
     ) -> None:
-        holdings.is_refreshing = False
-        if router.paused or not router.live or holdings is not router.state:
+        router_state.is_refreshing = False
+        if router.paused or not router.live or router_state is not router.state:
             return
         if not self.simulation.reaches_platform(router):
             return
         try:
-            holdings.refresh.read(self.ledger, version=self.version)
-            renewal = self._propose(router, holdings, give_to, lend)
+            router_state.refresh.read(self.ledger, version=self.version)
+            renewal = self._propose(router, router_state, give_to, lend)
             self._write(self.ledger.renew(renewal))
         except RouterSealed:
             self._new_incarnation(router)
             return
         if self.simulation.loses_answer():
-            holdings.refresh.record_unknown(version=self.version - 1)
+            router_state.refresh.record_unknown(version=self.version - 1)
             return
-        holdings.refresh.record_written(self.ledger)
+        router_state.refresh.record_written(self.ledger)
         self._serve_waiting(router)
         if give_to:
             self.simulation.schedule(PEER_LATENCY_SECONDS, self._receive_loan, give_to)
-        elif holdings.waiting:
+        elif router_state.waiting:
             self._seek_tokens(router)
 
-    def _slice_need(self, router: Router, holdings: _RouterState) -> SliceNeed:
-        bounds = [request.bound for _, request in holdings.waiting]
+    def _slice_need(self, router: Router, router_state: _RouterState) -> SliceNeed:
+        bounds = [request.bound for _, request in router_state.waiting]
         return SliceNeed(
-            holding=holdings.slice.free + holdings.slice.reserved,
-            demand=holdings.meter.rate(now=self._clock(router)),
+            holding=router_state.slice.free + router_state.slice.reserved,
+            demand=router_state.meter.rate(now=self._clock(router)),
             largest_request=max(BOUND_TOKENS),
             waiting=sum(bounds),
-            lacking=max(0, min(bounds) - holdings.slice.free) if bounds else 0,
+            lacking=max(0, min(bounds) - router_state.slice.free) if bounds else 0,
             ride_out_seconds=RIDE_OUT_SECONDS,
             spread=self.spread,
         )
 
-    def _propose(self, router: Router, holdings: _RouterState, give_to: str, lend: int):
-        need, name = self._slice_need(router, holdings), holdings.slice.router
+    def _propose(
+        self, router: Router, router_state: _RouterState, give_to: str, lend: int
+    ):
+        need, name = self._slice_need(router, router_state), router_state.slice.router
         if "adaptive_slice" in self.mechanisms:
             want = tokens_to_take(self.ledger, router=name, need=need)
             give_back = tokens_to_give_back(self.ledger, router=name, need=need)
@@ -297,7 +301,7 @@
         if "cap" not in self.mechanisms:
             cap = 10**9
         self.nonces += 1
-        return holdings.slice.propose(
+        return router_state.slice.propose(
             nonce=f"n{self.nonces}",
             sidecars=live_sidecars,
             want=want,
@@ -325,20 +329,20 @@
             RETRY_SECONDS, self._retry_refresh, router, router.state
         )
 
-    def _retry_refresh(self, router: Router, holdings: _RouterState) -> None:
-        if holdings is router.state and holdings.waiting:
+    def _retry_refresh(self, router: Router, router_state: _RouterState) -> None:
+        if router_state is router.state and router_state.waiting:
             self._refresh(router)
 
     def _request_loans(self, router: Router) -> None:
-        holdings = router.state
-        if self.simulation.now - holdings.loan_requested_at < RETRY_SECONDS / 2:
+        router_state = router.state
+        if self.simulation.now - router_state.loan_requested_at < RETRY_SECONDS / 2:
             return
-        holdings.loan_requested_at = self.simulation.now
-        need = self._slice_need(router, holdings)
-        for name in best_givers(self.ledger, router=holdings.slice.router):
+        router_state.loan_requested_at = self.simulation.now
+        need = self._slice_need(router, router_state)
+        for name in best_givers(self.ledger, router=router_state.slice.router):
             giver = self._router_named(name)
             if giver is not None:
-                args = (giver, holdings.slice.router, need)
+                args = (giver, router_state.slice.router, need)
                 self.simulation.schedule(
                     PEER_LATENCY_SECONDS,
                     self.simulation.deliver,
--- a/benchmarks/_budget_simulation.py
+++ b/benchmarks/_budget_simulation.py
@@ -231,17 +231,17 @@
         self.deliver(router, self._receive, router, request)
 
     def _balance(self, avoid: Router | None, request: Request) -> Router:
-        shown = [
+        listed = [
             r for r in self.routers if r.live and r is not avoid and self._is_listed(r)
         ]
         hot = self.fault.overloaded_router
         if hot is not None and self.in_fault and request.random.random() < 0.85:
             return self.routers[hot]
-        return request.random.choice(shown)
+        return request.random.choice(listed)
 
     def _is_listed(self, router: Router) -> bool:
-        frozen_since = self.now - self.fault.begin
-        return not (router.paused and frozen_since > REMOVED_AFTER_SECONDS)
+        paused_seconds = self.now - self.fault.begin
+        return not (router.paused and paused_seconds > REMOVED_AFTER_SECONDS)
 
     def _send_again(self, request: Request, router: Router) -> None:
         runs = request.run is not None and not router.paused and router.live
@@ -340,10 +340,10 @@
     def _pause(self, router: Router) -> None:
         router.paused = True
         seconds = self.fault.end - self.fault.begin
-        self.schedule(seconds, self._wake, router, seconds)
+        self.schedule(seconds, self._resume, router, seconds)
         self.schedule(REMOVED_AFTER_SECONDS, self.scheme.remove_router, router)
 
-    def _wake(self, router: Router, seconds: float) -> None:
+    def _resume(self, router: Router, seconds: float) -> None:
         router.paused = False
         router.clock_lag_seconds += seconds
         inbox, router.inbox = router.inbox, []
--- a/benchmarks/_slopes_links.py
+++ b/benchmarks/_slopes_links.py
@@ -36,14 +36,14 @@
             command = _command("links", address, count, SECONDS)
             done = subprocess.run(command, capture_output=True, check=True)
             used = json.loads(done.stdout)
-            answered = usage_of(endpoint.pid) - before
+            endpoint_usage = usage_of(endpoint.pid) - before
         finally:
             endpoint.kill()
             endpoint.wait()
         router_cpu.append((count, used["cpu_us_per_second"]))
         router_memory.append((count, used["memory_bytes"]))
         seconds = SECONDS + SETTLING_SECONDS
-        endpoint_cpu.append((count, answered.cpu_seconds / seconds * 1e6))
+        endpoint_cpu.append((count, endpoint_usage.cpu_seconds / seconds * 1e6))
     report_slope("link_holder_cpu", "us_per_second", "link", router_cpu)
     report_slope("link_holder_memory", "bytes", "link", router_memory)
     report_slope("link_endpoint_cpu", "us_per_second", "link", endpoint_cpu)
--- a/benchmarks/configuration_spread.py
+++ b/benchmarks/configuration_spread.py
@@ -39,8 +39,8 @@
             kind=PROFILES, name=f"p{version}", version=version, value=VALUE
         )
         for zone in {node.zone for node in self.nodes}:
-            members = [node.address for node in self.nodes if node.zone == zone]
-            for address in rendezvous(zone, members, WATCHERS_PER_ZONE):
+            addresses = [node.address for node in self.nodes if node.zone == zone]
+            for address in rendezvous(zone, addresses, WATCHERS_PER_ZONE):
                 self.exchange_by_address[address].merge_objects([changed_object])
 
     def rounds_until_everywhere(self) -> int:
--- a/benchmarks/load/fleet.py
+++ b/benchmarks/load/fleet.py
@@ -119,7 +119,7 @@
             for i in range(deployment.routers)
         ]
         self._removed: set[str] = set()
-        self._breaking: set[str] = set()
+        self._failing_nonces: set[str] = set()
         self._wakes: list[float | None] = [None] * deployment.routers
 
     def run(self) -> Measures:
@@ -178,15 +178,15 @@
             return
         models = list(self._sidecars.values())[: self._deployment.models]
         for i, sidecar in enumerate(models[: self._deployment.models // 2]):
-            away = start + i * (stop - start) / len(models)
-            self._schedule(away, lambda sidecar=sidecar: self._restart(sidecar))
+            restart_at = start + i * (stop - start) / len(models)
+            self._schedule(restart_at, lambda sidecar=sidecar: self._restart(sidecar))
 
     def _restart(self, sidecar: Sidecar) -> None:
         """Remove the upstream and add it again with a cold cache and low speed."""
         self._removed.add(sidecar.facts.name)
         self._update_upstreams()
-        back = self._now + RESTART_SECONDS
-        self._schedule(back, lambda: self._return_to_service(sidecar))
+        return_at = self._now + RESTART_SECONDS
+        self._schedule(return_at, lambda: self._return_to_service(sidecar))
 
     def _return_to_service(self, sidecar: Sidecar) -> None:
         sidecar.engine.cache = PrefixCache(tokens=sidecar.engine.kind.cache_tokens)
@@ -242,7 +242,7 @@
         call = Call(spec=spec, request=request, router=router, at=now)
         self._calls_by_id[request.request_id] = call
         wait_seconds = spec.disconnects_after_seconds or profile.deadline_seconds
-        self._schedule(now + wait_seconds, lambda: self._hang_up(call))
+        self._schedule(now + wait_seconds, lambda: self._disconnect(call))
         self._apply(router, self._routers[router].offer(request, now))
 
     def _apply(self, router: int, decisions: list[FinalDecision]) -> None:
@@ -302,7 +302,7 @@
         job = self._job(call, nonce)
         flaky = sidecar.engine.kind is MODEL and self._scenario.flaky
         if flaky and Random(nonce).random() < flaky:
-            self._breaking.add(nonce)
+            self._failing_nonces.add(nonce)
             job.output = max(1, job.output // 2)
         sidecar.engine.submit(job)
         self._plan(sidecar)
@@ -354,7 +354,7 @@
 
     def _finish(self, sidecar: Sidecar, call: Call) -> None:
         now = self._now
-        if call.nonce in self._breaking:
+        if call.nonce in self._failing_nonces:
             self._fail_attempt(call, call.nonce, Failure.ERROR)
             return
         if not call.first_token_at:
@@ -438,7 +438,7 @@
             for sidecar in self._sidecars.values()
         )
 
-    def _hang_up(self, call: Call) -> None:
+    def _disconnect(self, call: Call) -> None:
         if call.is_over:
             return
         call.is_over = True
@@ -480,8 +480,8 @@
         self._schedule(
             self._now + REPORT_LAG_SECONDS, lambda: self._deliver_reports(reports)
         )
-        over = self._now > self._scenario.seconds and not self._calls_by_id
-        if self._now + REPORT_SECONDS <= end and not over:
+        is_finished = self._now > self._scenario.seconds and not self._calls_by_id
+        if self._now + REPORT_SECONDS <= end and not is_finished:
             self._schedule(self._now + REPORT_SECONDS, lambda: self._send_reports(end))
 
     def _deliver_reports(self, reports: list[LoadReport]) -> None:
--- a/benchmarks/load/measures.py
+++ b/benchmarks/load/measures.py
@@ -50,11 +50,11 @@
         calls = sum(o.calls for o in outcomes)
         tokens = sum(o.spec.output for o in served)
         return {
-            "in_time": _share_in_time(outcomes),
-            "interactive_in_time": _share_in_time(interactive),
-            "batch_in_time": _share_in_time(batch),
-            "must_not_repeat_in_time": _share_in_time(filings),
-            "small_customers_in_time": _share_in_time(small),
+            "in_time": _fraction_in_time(outcomes),
+            "interactive_in_time": _fraction_in_time(interactive),
+            "batch_in_time": _fraction_in_time(batch),
+            "must_not_repeat_in_time": _fraction_in_time(filings),
+            "small_customers_in_time": _fraction_in_time(small),
             "goodput_answers": len(served) / self.seconds,
             "goodput_tokens": tokens / self.seconds,
             "refusals": len(self.refusal_seconds) / max(1, calls),
@@ -74,13 +74,13 @@
     return outcome.spec.profile.service
 
 
-def _share_in_time(outcomes: list[Outcome]) -> float:
+def _fraction_in_time(outcomes: list[Outcome]) -> float:
     if not outcomes:
         return 1.0
     return sum(outcome.in_time for outcome in outcomes) / len(outcomes)
 
 
-def _quantile(values: list[float], share: float) -> float:
+def _quantile(values: list[float], fraction: float) -> float:
     if not values:
         return 0.0
-    return sorted(values)[min(len(values) - 1, int(share * len(values)))]
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
--- a/benchmarks/load_policies.py
+++ b/benchmarks/load_policies.py
@@ -198,8 +198,8 @@
         complete = _mean(_select(results, "ours", deployment, s))
         reduced = _mean(_select(results, name, deployment, s))
         gain.append((complete["in_time"] - reduced["in_time"], SCENARIOS[s].name))
-    largest_gain, where = max(gain)
-    return where, largest_gain
+    largest_gain, scenario_name = max(gain)
+    return scenario_name, largest_gain
 
 
 def _select(
