--- a/benchmarks/_budget_baselines.py
+++ b/benchmarks/_budget_baselines.py
@@ -77,7 +77,7 @@
     name = "oracle"
 
     def admit(self, router: Router, request: Request) -> None:
-        """Start the request if it fits beside all spent and running tokens."""
+        """Start the request if its bound fits beside spent and running tokens."""
         simulation = self.simulation
         left = simulation.prepaid - simulation.spent - simulation.running_bounds
         if left < request.bound:
@@ -142,7 +142,7 @@
 
 
 class StaticSplit(Scheme):
-    """Each initial router gets an equal part; a replacement gets no tokens."""
+    """Each initial router gets an equal share; a replacement gets no tokens."""
 
     name = "static_split"
 
@@ -153,7 +153,7 @@
             router.state = simulation.prepaid // ROUTERS
 
     def admit(self, router: Router, request: Request) -> None:
-        """Admit within the router's own part."""
+        """Admit within the router's own share."""
         if router.state is None or router.state < request.bound:
             self.simulation.refuse(request)
             return
@@ -183,7 +183,7 @@
 
 
 class ExpiringLease(Scheme):
-    """Leases of ten seconds; tokens not settled by then are reclaimed."""
+    """Leases tokens for 10 seconds and reclaims unsettled tokens at expiry."""
 
     name = "expiring_lease"
 
--- a/benchmarks/_budget_ours.py
+++ b/benchmarks/_budget_ours.py
@@ -191,7 +191,8 @@
             sidecar=run.sidecar.incarnation,
             tokens=run.spent,
         )
-        # Sidecar and router may both write the receipt, so it is added twice.
+        # The sidecar keeps the receipt until it is durable. Sidecar and router may
+        # both write it, so it is added twice.
         self.bill.add(receipt)
         self.bill.add(receipt)
 
--- a/benchmarks/_budget_simulation.py
+++ b/benchmarks/_budget_simulation.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Fault:
-    """A fault from `begin` to `end` seconds, and the prepaid tokens."""
+    """A fault that lasts from second `begin` to `end`, and the run's prepaid tokens."""
 
     name: str
     prepaid: int
@@ -322,7 +322,7 @@
     def _plan_faults(self) -> None:
         fault = self.fault
         if fault.top_up:
-            # The operator sends the top-up during the outage; it arrives at its end.
+            # A top-up sent during the outage arrives when the outage ends.
             self.schedule(
                 fault.end + PLATFORM_LATENCY_SECONDS, self._top_up, fault.top_up
             )
--- a/benchmarks/_slopes_links.py
+++ b/benchmarks/_slopes_links.py
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Run the end that the command line arguments name."""
+    """Run the endpoint or the links, as the command line arguments select."""
     with curio.Kernel(taskcls=ContextTask) as kernel:
         match sys.argv[1:]:
             case ["endpoint", address]:
--- a/benchmarks/budget_schemes.py
+++ b/benchmarks/budget_schemes.py
@@ -27,7 +27,10 @@
     "transfer": ("hot_router", "nearly_spent", "router_cut_off"),
     "adaptive_slice": ("platform_down", "router_cut_off", "nearly_spent"),
 }
-"""The faults against which each mechanism helps; it is disabled only there."""
+"""The faults against which each mechanism helps; it is disabled only there.
+
+Under the other faults the results are alike with and without the mechanism.
+"""
 
 NARROW_UNDER = ("platform_down", "router_killed", "nearly_spent", RACK_LOST.name)
 
--- a/benchmarks/load/engine.py
+++ b/benchmarks/load/engine.py
@@ -13,7 +13,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EngineKind:
-    """Speed and size of a kind of upstream, in seconds and tokens."""
+    """Speed and size of a kind of upstream.
+
+    `slots` is a number of jobs, `prefill_rate` is in tokens per second.
+    """
 
     slots: int
     memory_tokens: int
@@ -44,7 +47,7 @@
 )
 
 PREFILL_DECODE_FACTOR = 0.6
-"""Factor on the decoding speed while the engine reads a prompt."""
+"""Factor on the decoding speed while the engine reads a prompt in chunks."""
 
 
 @dataclass(kw_only=True, eq=False)
@@ -102,7 +105,7 @@
 
 
 class Engine:
-    """A simulated upstream. Call `advance` before any other method at a time."""
+    """A simulated upstream; call `advance` first at each new time."""
 
     def __init__(self, *, kind: EngineKind, speed: float = 1.0) -> None:
         self.kind = kind
@@ -138,7 +141,7 @@
         self._fill()
 
     def cancel(self, job_id: str) -> None:
-        """Remove a job, whether it waits or runs."""
+        """Remove a queued or running job."""
         job = self._jobs_by_id.pop(job_id, None)
         if job is None:
             return
--- a/benchmarks/load/fleet.py
+++ b/benchmarks/load/fleet.py
@@ -80,7 +80,7 @@
 
     @property
     def load(self) -> int:
-        """Number of requests that run or wait."""
+        """Number of running and queued requests."""
         return self.engine.running + self.engine.waiting
 
     def allowed(self) -> int:
--- a/benchmarks/load/schemes.py
+++ b/benchmarks/load/schemes.py
@@ -124,7 +124,7 @@
     def record_disconnect(
         self, request_id: str, now: float
     ) -> tuple[str | None, list[FinalDecision]]:
-        """Record a disconnected caller and return where to cancel."""
+        """Record a disconnected caller; return the upstream to cancel at, if any."""
         if not self._cancels:
             return None, []
         upstream = self._scheduler.record_disconnect(request_id, now)
@@ -309,11 +309,11 @@
 """A common default for the queue length of a router."""
 
 FIXED_LIMIT_REQUESTS = 8
-"""Per upstream and router: three routers use at most 24 of 32 slots."""
+"""Limit per upstream and router; three routers use at most 24 of 32 slots."""
 
 
 def round_robin() -> Scheme:
-    """Return first in, first out with round robin, no limit, no cancellation."""
+    """Return round robin in order of arrival, without a limit or cancellation."""
     return Scheme(
         name="fifo_round_robin",
         router=lambda upstreams, zone, random: PlainRouter(
--- a/benchmarks/load/workloads.py
+++ b/benchmarks/load/workloads.py
@@ -15,10 +15,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProfileLoad:
-    """Deadlines and sizes of a profile; `weight` is its fraction of all requests.
+    """Deadlines and sizes of a profile; `weight` is its relative request rate.
 
     Requests of one conversation (`prefixes` of them) repeat `prefix_fraction` of
-    its length, so their prompts differ in the last message only.
+    its length, so their prompts differ in the last message only. `prompt` and
+    `output` are the smallest and largest size in tokens.
     """
 
     name: str
@@ -58,9 +59,9 @@
     burst : tuple of float
         Start and end in seconds, and the factor on the rate between them.
     greedy : float
-        Fraction of all requests that one customer sends.
+        Fraction of requests reassigned to one customer, beside its usual ones.
     hot_prefix : float
-        Fraction of requests with a prefix that share one prefix.
+        Fraction of a profile's requests moved to its first prefix.
     batch_weight_factor : float
         Factor on the weight of batch profiles.
     slow, failing : tuple of float
--- a/deployments/forwarder.py
+++ b/deployments/forwarder.py
@@ -1,8 +1,8 @@
 """A TCP forwarder that runs as a separate process and simulates network faults.
 
 SIGUSR1 stalls all current connections: they stay open but no longer forward data,
-while new connections work. SIGUSR2 closes all connections and refuses new ones
-until the next SIGUSR2.
+while new connections work. SIGUSR2 closes all connections; until the next SIGUSR2,
+each new connection is accepted and closed at once.
 """
 
 import selectors
@@ -34,7 +34,7 @@
                 self.selector.unregister(sock)
 
     def toggle_disconnected(self):
-        """Close all connections and refuse new ones, or accept them again."""
+        """Start or stop closing all connections, current and new."""
         self.is_disconnected = not self.is_disconnected
         if self.is_disconnected:
             for sock in list(self.opposite_by_socket):
--- a/deployments/ports.py
+++ b/deployments/ports.py
@@ -1,10 +1,11 @@
 """Chooses free ports for processes that get their port before they start.
 
 Ports are below the system's ephemeral range. A port from that range can be used by
-an outgoing connection of another process before its own process binds it, which
-then fails with "Address already in use" when several test suites run on one
-machine. The first port depends on the process id, so that concurrent test
-processes start at different ports, and a process rarely reuses a port.
+an outgoing connection of another process before its own process binds it. The
+bind then fails with "Address already in use"; this happens when several test
+suites run on one machine. The first port depends on the process id, so that
+concurrent test processes start at different ports, and a process rarely reuses a
+port.
 """
 
 import os
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -82,7 +82,7 @@
 
 
 def spans_of(deployment: Deployment) -> list[dict]:
-    """Return the spans of the demo's trace from all processes, by start."""
+    """Return the spans of the demo's trace in order of their start time."""
     ports = [p.ports["metrics"] for p in deployment.routers.values()]
     ports += [p.ports["metrics"] for p in deployment.sidecars.values()]
     ports += [deployment.upstreams["assistant-1"].ports["http"]]
