--- a/benchmarks/_budget_ours.py
+++ b/benchmarks/_budget_ours.py
@@ -19,7 +19,7 @@
 from ragwortkeel.budget.seal import SidecarAccounts
 from ragwortkeel.budget.sizing import (
     SliceNeed,
-    best_givers,
+    best_lenders,
     exposure_cap,
     tokens_to_give_back,
     tokens_to_lend,
@@ -335,7 +335,7 @@
             return
         holdings.loan_requested_at = self.simulation.now
         need = self._slice_need(router, holdings)
-        for name in best_givers(self.ledger, router=holdings.slice.router):
+        for name in best_lenders(self.ledger, router=holdings.slice.router):
             giver = self._router_named(name)
             if giver is not None:
                 args = (giver, holdings.slice.router, need)
@@ -353,7 +353,7 @@
 
     def _receive_loan_request(self, giver: Router, asker: str, need: SliceNeed) -> None:
         own = self._slice_need(giver, giver.state)
-        lend = tokens_to_lend(free=giver.state.slice.free, own=own, asker=need)
+        lend = tokens_to_lend(free=giver.state.slice.free, own=own, borrower=need)
         if lend:
             self._refresh(giver, asker, lend)
 
--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -280,7 +280,7 @@
         "BUDGET",
         "retries share a budget",
         "ingress/exchange.py",
-        "return self._time_left() > 0 and self._parts.retries.take()",
+        "return self._time_left() > 0 and self._components.retries.take()",
         "return self._time_left() > 0",
     ),
     _guard(
@@ -294,7 +294,7 @@
         "BUDGET",
         "a request that crashed upstreams is not tried on",
         "ingress/exchange.py",
-        "if self._parts.crashes.is_quarantined(accepted.fingerprint):",
+        "if self._components.crashes.is_quarantined(accepted.fingerprint):",
         "if False:",
     ),
     _guard(
@@ -343,7 +343,7 @@
         "handed",
         "what a peer may still write is not taken back",
         "ingress/renewals.py",
-        "if not self._ledgers.in_doubt and not self._tries.any_open:",
+        "if not self._ledgers.in_doubt and not self._attempts.any_open:",
         "if not self._ledgers.in_doubt:",
     ),
     _guard(
--- a/src/ragwortkeel/budget/account.py
+++ b/src/ragwortkeel/budget/account.py
@@ -209,13 +209,17 @@
         for reservation in list(self.slice.open_by_id.values()):
             self.slice.settle(reservation, spent=reservation.tokens)
 
-    def lendable_tokens(self, asker: SliceNeed, now: float) -> int:
+    def lendable_tokens(self, borrower: SliceNeed, now: float) -> int:
         """Return how many tokens to move to the process that asks for them."""
-        return tokens_to_lend(free=max(0, self.free), own=self.need(now), asker=asker)
+        return tokens_to_lend(
+            free=max(0, self.free), own=self.slice_need(now), borrower=borrower
+        )
 
-    def lend(self, asker: SliceNeed, now: float) -> int:
+    def lend(self, borrower: SliceNeed, now: float) -> int:
         """Charge a loan to the slice and return its tokens; 0 if there is no loan."""
-        tokens = min(self.lendable_tokens(asker, now), self.cap_headroom, asker.lacking)
+        tokens = min(
+            self.lendable_tokens(borrower, now), self.cap_headroom, borrower.lacking
+        )
         reservation = self.reserve_from_slice(tokens)
         if reservation is None:
             return 0
@@ -247,7 +251,7 @@
         """Add the tokens of a loan that was received."""
         self._borrowed += tokens
 
-    def need(self, now: float, mean_request_tokens: int = 0) -> SliceNeed:
+    def slice_need(self, now: float, mean_request_tokens: int = 0) -> SliceNeed:
         """Return the figures by which `budget.sizing` sizes the slice.
 
         `mean_request_tokens` is the mean size of a request of any customer.
@@ -285,7 +289,7 @@
             self.slice.propose(nonce=nonce, cap=0)
             return True
         self.ledger = ledger
-        need = self.need(now, mean_request_tokens)
+        need = self.slice_need(now, mean_request_tokens)
         holder = self.slice.router
         wanted_tokens = tokens_to_take(ledger, router=holder, need=need)
         give_back = self._give_back(ledger, need)
--- a/src/ragwortkeel/budget/sizing.py
+++ b/src/ragwortkeel/budget/sizing.py
@@ -59,7 +59,7 @@
 Running requests have reserved some of the tokens that a ledger shows as unspent.
 """
 
-MAX_GIVERS_ASKED = 3
+MAX_LENDERS_ASKED = 3
 """Maximum number of peers to ask for tokens at once.
 
 Three peers find tokens at the end of a budget, and each request to a peer may cost a
@@ -205,32 +205,34 @@
     return max(int(fair_share * CAP_SKEW_BY_SPREAD[need.spread]), floor)
 
 
-def tokens_to_lend(*, free: int, own: SliceNeed, asker: SliceNeed) -> int:
+def tokens_to_lend(*, free: int, own: SliceNeed, borrower: SliceNeed) -> int:
     """Return how many free tokens to transfer to a router that lacks tokens.
 
     Without waiting callers here, both routers should then hold equal tokens for their
-    demand, and the asker gets at least what it lacks.
+    demand, and the borrower gets at least what it lacks.
 
     With waiting callers here, none of their requests fits into `free`.  Two routers
     could each hold tokens that a caller of the other needs, so the tokens go to the
-    asker if they serve a caller there at once, or if the asker lacks less.
+    borrower if they serve a caller there at once, or if the borrower lacks less.
     """
     if own.lacking:
-        is_enough = asker.lacking <= free
+        is_enough = borrower.lacking <= free
         return (
-            min(free, asker.lacking) if is_enough or asker.lacking < own.lacking else 0
+            min(free, borrower.lacking)
+            if is_enough or borrower.lacking < own.lacking
+            else 0
         )
-    total = own.holding + asker.holding
-    demand_fraction = asker.demand / max(1, own.demand + asker.demand)
-    even = int(total * demand_fraction) - asker.holding
-    return max(0, min(free, max(even, asker.lacking)))
+    total = own.holding + borrower.holding
+    demand_fraction = borrower.demand / max(1, own.demand + borrower.demand)
+    even = int(total * demand_fraction) - borrower.holding
+    return max(0, min(free, max(even, borrower.lacking)))
 
 
 def _can_give(grant: Grant) -> bool:
     return grant.holders == 1 and not grant.sealed and grant.granted > grant.used
 
 
-def best_givers(
+def best_lenders(
     ledger: Ledger, *, router: str, lacking: int | None = None
 ) -> list[str]:
     """Return the routers to ask for tokens, the best one first.
@@ -246,7 +248,7 @@
     }
     givers = sorted(
         priority_by_router, key=priority_by_router.__getitem__, reverse=True
-    )[:MAX_GIVERS_ASKED]
+    )[:MAX_LENDERS_ASKED]
     if lacking is None:
         return givers
     chosen, unspent = [], 0
--- a/src/ragwortkeel/budget/summary.py
+++ b/src/ragwortkeel/budget/summary.py
@@ -9,7 +9,7 @@
 
 from ragwortkeel.budget.grant import Grant
 from ragwortkeel.budget.ledger import Ledger
-from ragwortkeel.budget.sizing import best_givers
+from ragwortkeel.budget.sizing import best_lenders
 
 OTHERS = "others"
 """Name in a summary for all holders that it doesn't name."""
@@ -17,7 +17,7 @@
 
 def summarize(ledger: Ledger) -> Ledger:
     """Return the ledger with the best givers named and all other grants in one."""
-    named = set(best_givers(ledger, router=""))
+    named = set(best_lenders(ledger, router=""))
     unnamed = [grant for name, grant in ledger.grants.items() if name not in named]
     grants = {name: ledger.grants[name] for name in named}
     if unnamed:
--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -100,19 +100,19 @@
 
     Parameters
     ----------
-    parts : FrontParts
+    components : FrontComponents
         Objects that all requests share.
     to : Responder
         Sends the response to the caller.
     """
 
     def __init__(
-        self, *, parts: FrontComponents, accepted: AcceptedRequest, to: Responder
+        self, *, components: FrontComponents, accepted: AcceptedRequest, to: Responder
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._accepted = accepted
         self._responder = to
-        self._retries = parts.retries.get(accepted.service.name)
+        self._retries = components.retries.get(accepted.service.name)
         self._caller_response = CallerResponse(
             responder=to, last_event=accepted.call.last_event
         )
@@ -134,7 +134,7 @@
         """
         accepted = self._accepted
         self._raise_if_caller_left("arrived")
-        if self._parts.crashes.is_quarantined(accepted.fingerprint):
+        if self._components.crashes.is_quarantined(accepted.fingerprint):
             await self._send_error(QUARANTINED)
             return
         hold = await self._reserve()
@@ -149,7 +149,7 @@
         finally:
             if hold is not None:
                 spent = self._spent_tokens()
-                self._parts.keeper.settle(hold, spent=spent)
+                self._components.keeper.settle(hold, spent=spent)
                 log_info(
                     "settled",
                     request=accepted.call.request_id,
@@ -159,7 +159,7 @@
                 )
 
     async def _reserve(self) -> AccountReservation | ErrorResponse | None:
-        accepted, keeper = self._accepted, self._parts.keeper
+        accepted, keeper = self._accepted, self._components.keeper
         customer, usage = accepted.customer, accepted.usage
         if customer is None or customer.prepaid is None or usage is None:
             return None
@@ -193,7 +193,7 @@
             try:
                 outcome = await self._run_at(assignment)
             finally:
-                await self._parts.dispatcher.release(assignment)
+                await self._components.dispatcher.release(assignment)
             done = await self._handle_outcome(assignment, outcome)
             if not isinstance(done, _TryAgain):
                 return await self._give_up(done) if done else None
@@ -214,7 +214,7 @@
     async def _acquire(self) -> Assignment | ErrorResponse:
         accepted, now = self._accepted, monotonic()
         seconds_left = accepted.call.deadline - now
-        acquired = await self._parts.dispatcher.acquire(
+        acquired = await self._components.dispatcher.acquire(
             accepted.job,
             service=accepted.service,
             latest_start=now + seconds_left * MAX_QUEUE_TIME_FRACTION,
@@ -240,7 +240,7 @@
         return with_retry_after(OVERLOADED, acquired.wait_seconds)
 
     async def _run_at(self, assignment: Assignment) -> Outcome:
-        parts, accepted = self._parts, self._accepted
+        components, accepted = self._components, self._accepted
         log_info(
             "dispatched",
             request=accepted.call.request_id,
@@ -257,9 +257,9 @@
             call=accepted.call,
             assignment=assignment,
             caller_response=self._caller_response,
-            names=parts.names,
-            connections=parts.connections,
-            on_head=lambda head, sent_at: parts.limit_reader.receive_head(
+            names=components.names,
+            connections=components.connections,
+            on_head=lambda head, sent_at: components.limit_reader.receive_head(
                 assignment.upstream.name, head, sent_at=sent_at
             ),
             on_first_event=lambda: self._record_first_token(assignment),
@@ -292,10 +292,10 @@
 
     def _record_first_token(self, assignment: Assignment) -> None:
         if not assignment.prompt_read:
-            self._parts.placement.record_first_token(assignment)
+            self._components.placement.record_first_token(assignment)
             waited = monotonic() - self._accepted.arrived_at
             self._first_token_seconds = self._first_token_seconds or waited
-            self._parts.metrics.record_first_token(
+            self._components.metrics.record_first_token(
                 service=self._accepted.route.repeats, seconds=waited
             )
 
@@ -303,7 +303,7 @@
         self, assignment: Assignment, outcome: Outcome
     ) -> ErrorResponse | _TryAgain | None:
         """Return an error to send, None after a final response, or `_AGAIN`."""
-        parts, name = self._parts, assignment.upstream.name
+        components, name = self._components, assignment.upstream.name
         match outcome:
             case FullResponse(head=head) as response:
                 if head.status >= SERVER_ERROR_STATUS and self._may_run_again("error"):
@@ -325,7 +325,7 @@
             case Broken(reason=reason, detail=detail):
                 self._log_failure(assignment, reason, detail)
                 if reason is BrokenReason.CLOSED:
-                    await parts.check_for_crash(
+                    await components.check_for_crash(
                         assignment.upstream, self._accepted.fingerprint
                     )
                 return self._after_broken(name, reason)
@@ -333,11 +333,11 @@
     def _after_not_run(
         self, name: str, reason: NotRunReason
     ) -> ErrorResponse | _TryAgain:
-        parts = self._parts
+        components = self._components
         if reason is not NotRunReason.FULL:
-            parts.placement.record_failure(name, Failure.UNREACHABLE, monotonic())
+            components.placement.record_failure(name, Failure.UNREACHABLE, monotonic())
         if reason is NotRunReason.OTHER_INSTANCE:
-            parts.dispatcher.record_replaced(name)
+            components.dispatcher.record_replaced(name)
         if reason is not NotRunReason.UNREACHABLE:
             self._rejected_sends += 1
         self._tried_upstreams |= {name}
@@ -356,7 +356,7 @@
         self._tried_upstreams |= {name}
         if reason is BrokenReason.DEADLINE:
             return TIMED_OUT
-        self._parts.placement.record_failure(name, Failure.ERROR, monotonic())
+        self._components.placement.record_failure(name, Failure.ERROR, monotonic())
         return _AGAIN if self._may_run_again(reason) else BROKEN
 
     def _may_run_again(self, cause: str) -> bool:
@@ -386,7 +386,7 @@
             charged=charged,
             saved=round(self._retries.available_retries, 2),
         )
-        self._parts.metrics.record_retry_decision(
+        self._components.metrics.record_retry_decision(
             service=service, cause=cause, allowed=allowed
         )
 
@@ -394,8 +394,8 @@
         return self._accepted.call.deadline - monotonic()
 
     def _record_success(self, assignment: Assignment) -> None:
-        self._parts.placement.record_success(assignment.upstream.name, monotonic())
-        self._parts.crashes.record_finished(self._accepted.fingerprint)
+        self._components.placement.record_success(assignment.upstream.name, monotonic())
+        self._components.crashes.record_finished(self._accepted.fingerprint)
 
     async def _abort_if_started(self, error: ErrorResponse) -> ErrorResponse | None:
         """Abort a response that has started, so that it does not look complete.
@@ -404,7 +404,7 @@
         """
         if not self._caller_response.started:
             return error
-        self._parts.record_refusal(
+        self._components.record_refusal(
             self._accepted.call.request_id,
             error,
             route=self._accepted.route.name,
@@ -415,7 +415,7 @@
         return None
 
     async def _send_error(self, error: ErrorResponse) -> None:
-        self._parts.record_refusal(
+        self._components.record_refusal(
             self._accepted.call.request_id,
             error,
             route=self._accepted.route.name,
@@ -435,7 +435,7 @@
             first=round(self._first_token_seconds or 0.0, 3),
             took=round(monotonic() - accepted.arrived_at, 3),
         )
-        self._parts.metrics.record_request(
+        self._components.metrics.record_request(
             service=accepted.route.repeats, outcome="ok", reason=""
         )
 
@@ -449,4 +449,4 @@
             events=self._caller_response.splitter.events,
             after=round(monotonic() - self._accepted.arrived_at, 3),
         )
-        self._parts.metrics.record_attempt_failure(failure=reason)
+        self._components.metrics.record_attempt_failure(failure=reason)
--- a/src/ragwortkeel/ingress/front.py
+++ b/src/ragwortkeel/ingress/front.py
@@ -59,7 +59,7 @@
         match self._accept(request):
             case AcceptedRequest() as accepted:
                 exchange = Exchange(
-                    parts=self._components, accepted=accepted, to=responder
+                    components=self._components, accepted=accepted, to=responder
                 )
                 await exchange.run()
             case ErrorResponse() as answer:
--- a/src/ragwortkeel/ingress/peers.py
+++ b/src/ragwortkeel/ingress/peers.py
@@ -13,7 +13,7 @@
 
 from ragwortkeel.budget.account import Account
 from ragwortkeel.budget.clocks import read_clocks
-from ragwortkeel.budget.sizing import MAX_GIVERS_ASKED, best_givers
+from ragwortkeel.budget.sizing import MAX_LENDERS_ASKED, best_lenders
 from ragwortkeel.exceptions import LinkLost
 from ragwortkeel.ingress.catch_up import (
     NON_WATCHER_GRACE_SECONDS,
@@ -243,7 +243,7 @@
 
     async def request_loan(self, customer: str, account: Account) -> None:
         """Request a loan for a customer from the peers with the largest slices."""
-        need = account.need(monotonic())
+        need = account.slice_need(monotonic())
         request = LoanRequest(
             customer=customer,
             lacking=need.lacking,
@@ -260,11 +260,11 @@
         return self._random.sample(links, min(count, len(links)))
 
     def _lender_links(self, account: Account, lacking: int) -> list[Link]:
-        lenders = best_givers(
+        lenders = best_lenders(
             account.ledger, router=account.slice.router, lacking=lacking
         )
         links = self.writers.links_of(holder.partition("/")[0] for holder in lenders)
-        return links or self._sample_ingress_links(MAX_GIVERS_ASKED)
+        return links or self._sample_ingress_links(MAX_LENDERS_ASKED)
 
     async def _query_clocks(self, links: list[Link]) -> None:
         # A relay needs no fleet time.
--- a/src/ragwortkeel/ingress/renewals.py
+++ b/src/ragwortkeel/ingress/renewals.py
@@ -200,7 +200,7 @@
         self._mean_write_seconds = 0.0
         self._wrote_newest = False
         self._closing = False
-        self._tries = WriteAttempts()
+        self._attempts = WriteAttempts()
         self._start_boots: set[float] = set()
         self._start_shard: Shard | None = None
         self._delegated_by_holder: dict[str, HandedRenewals] = {}
@@ -220,14 +220,14 @@
 
     def grow(self) -> None:
         """Grow the caps by the time since the last attempt that may have succeeded."""
-        latest = self._tries.latest
+        latest = self._attempts.latest
         if latest is not None:
             self._allowances.grow(self._clocks().min_seconds_since(latest))
 
     @property
     def seconds_to_growth(self) -> float:
         """Seconds until the caps begin to grow, if no renewal succeeds before."""
-        latest = self._tries.latest
+        latest = self._attempts.latest
         if latest is None:
             return 0.0
         return max(0.0, GROWTH_DELAY_SECONDS - self._clocks().min_seconds_since(latest))
@@ -293,7 +293,7 @@
         if self.predecessors_charged and recent and not delegated.renewal_by_customer:
             self._collected_at = monotonic()
             return None
-        self._tries.record_attempt(reading, delegated=True)
+        self._attempts.record_attempt(reading, delegated=True)
         return delegated
 
     async def receive_renewals(self, delegated: HandedRenewals) -> None:
@@ -314,12 +314,12 @@
             case WriteOutcome.UNKNOWN:
                 return
             case WriteOutcome.NOT_DONE:
-                self._tries.record_failure(answer.boot)
+                self._attempts.record_failure(answer.boot)
                 self._withdraw_renewals()
                 # A `Start` that lacks another start of this process is void.
                 self._start_shard = None
             case WriteOutcome.UNREACHABLE:
-                self._tries.record_failure(answer.boot)
+                self._attempts.record_failure(answer.boot)
                 self._withdraw_renewals()
                 self._set_reachable(
                     False, "reported by the peer that writes for this process"
@@ -331,7 +331,7 @@
 
     def _apply_outcome(self, answer: RenewalsWritten) -> None:
         now = monotonic()
-        reading = self._tries.get_delegated(answer.boot)
+        reading = self._attempts.get_delegated(answer.boot)
         if reading is not None:
             self._allowances.record_renewal_seconds(now - reading.monotonic)
             self.read_at = reading.monotonic
@@ -341,7 +341,7 @@
         if not self.predecessors_charged and answer.boot in self._start_boots:
             self.predecessors_charged = True
             self._log_predecessors(self._start_shard)
-        self._tries.record_success(answer.boot)
+        self._attempts.record_success(answer.boot)
         self._wrote_newest = False
         self._set_reachable(True, "")
         self._collected_at = now
@@ -457,11 +457,11 @@
         """Delegate to the first writer; return the outcome, if it arrives in time."""
         reading = self._clocks()
         delegated = self._delegated_renewals(reading, urgent=True)
-        self._tries.record_attempt(reading, delegated=True)
+        self._attempts.record_attempt(reading, delegated=True)
         boot, begun = reading.boot, monotonic()
         writer = await self._peers.delegate(delegated)
         if writer is None:
-            self._tries.record_failure(boot)
+            self._attempts.record_failure(boot)
             await curio.sleep(DELEGATION_RETRY_SECONDS)
             return WriteOutcome.UNKNOWN
         wait_seconds = self._delegation_timeout.seconds
@@ -481,9 +481,9 @@
 
     async def _wait_for_outcome(self, boot: float, until: float) -> bool:
         """Wait for the outcome of a delegation, at most until a monotonic second."""
-        while self._tries.get_delegated(boot) and monotonic() < until:
+        while self._attempts.get_delegated(boot) and monotonic() < until:
             await self.wait_for_change(until)
-        return not self._tries.get_delegated(boot)
+        return not self._attempts.get_delegated(boot)
 
     def _withdraw_renewals(self) -> None:
         """Withdraw the renewals that certainly were and will be written by nobody.
@@ -492,7 +492,7 @@
         outage.  Nothing is withdrawn while an own write with the same renewals may
         still succeed: the tokens that it returns would be spent here as well.
         """
-        if not self._ledgers.in_doubt and not self._tries.any_open:
+        if not self._ledgers.in_doubt and not self._attempts.any_open:
             self._allowances.withdraw()
 
     # Writing.
@@ -618,8 +618,8 @@
         allowances.resolve(shard)
         self._start_shard = None if self.predecessors_charged else shard
         if self._ledgers.writes_superseded:
-            self._tries.record_own_failures()
-            if not self._tries.any_delegated:
+            self._attempts.record_own_failures()
+            if not self._attempts.any_delegated:
                 # Renewals that were made from older ledgers may request tokens that
                 # are no longer left.
                 allowances.withdraw()
@@ -633,14 +633,14 @@
             renewed = allowances.charge_predecessors(renewed)
         renewed = allowances.renewed(renewed, reading)
         renewed, refused = apply_all_delegated(renewed, delegated_by_holder)
-        self._tries.record_attempt(reading, delegated=False)
+        self._attempts.record_attempt(reading, delegated=False)
         begun = monotonic()
         try:
             await self._ledgers.write(renewed)
         except OutcomeUnknown:
             raise
         except ClientError:
-            self._tries.record_failure(reading.boot)
+            self._attempts.record_failure(reading.boot)
             raise
         finally:
             self._record_write(monotonic() - begun)
@@ -648,7 +648,7 @@
         if charges:
             self._log_predecessors(uncharged)
         self.predecessors_charged = self.predecessors_charged or charges
-        self._tries.record_success(reading.boot)
+        self._attempts.record_success(reading.boot)
         self._wrote_newest = True
         self._refusals = 0
         self.read_at = reading.monotonic
--- a/src/ragwortkeel/ingress/worker.py
+++ b/src/ragwortkeel/ingress/worker.py
@@ -164,7 +164,9 @@
             peers=self._peers.writers,
             clocks=self._fleet_time.reading,
         )
-        self._retries = RetryBudgets(share=RETRY_FRACTION, reserve=RETRY_RESERVE)
+        self._retries = RetryBudgets(
+            retry_fraction=RETRY_FRACTION, reserve=RETRY_RESERVE
+        )
         self._connections = ConnectionPool(id_header=names.request_id)
         self._front = Front(
             components=FrontComponents(
@@ -480,7 +482,7 @@
             await self._send_crashes()
             holders = self._budget_keeper.allowances.holders
             processes = max(self._peers.ingress_count, holders)
-            reserve = process_reserve(processes=processes, most=RETRY_RESERVE)
+            reserve = process_reserve(processes=processes, max_reserve=RETRY_RESERVE)
             self._retries.set_reserve(reserve)
             self.metrics.set_load(
                 running=self._server.open_exchanges, queued=len(self._dispatcher.queue)
--- a/src/ragwortkeel/policy/fleet_rates.py
+++ b/src/ragwortkeel/policy/fleet_rates.py
@@ -68,13 +68,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ChosenSenders:
-    """Sharing of a rate among a few senders, chosen from `own` and `names`.
+    """Sharing of a rate among a few senders, chosen from `own` and `others`.
 
-    `own` is this process, `names` are the other processes.
+    `own` is this process, `others` are the other processes.
     """
 
     own: str
-    names: frozenset[str]
+    others: frozenset[str]
 
 
 Sharing = EqualShare | ChosenSenders
@@ -94,15 +94,15 @@
     """
     if len(others) + 1 < ledger_processes:
         return EqualShare(processes=ledger_processes)
-    return ChosenSenders(own=own, names=others)
+    return ChosenSenders(own=own, others=others)
 
 
 def _equal_among_all(sharing: Sharing) -> EqualShare:
     match sharing:
         case EqualShare():
             return sharing
-        case ChosenSenders(names=names):
-            return EqualShare(processes=len(names) + 1)
+        case ChosenSenders(others=others):
+            return EqualShare(processes=len(others) + 1)
 
 
 def rate_fraction(
@@ -112,8 +112,8 @@
     match sharing:
         case EqualShare(processes=processes):
             return 1 / max(1, processes)
-        case ChosenSenders(own=own, names=names):
-            chosen = rendezvous(upstream, sorted(names | {own}))[:senders]
+        case ChosenSenders(own=own, others=others):
+            chosen = rendezvous(upstream, sorted(others | {own}))[:senders]
             return 1 / len(chosen) if own in chosen else 0.0
 
 
--- a/src/ragwortkeel/policy/retries.py
+++ b/src/ragwortkeel/policy/retries.py
@@ -41,7 +41,7 @@
 request."""
 
 
-def process_reserve(*, processes: int, most: float = RESERVE_RETRIES) -> float:
+def process_reserve(*, processes: int, max_reserve: float = RESERVE_RETRIES) -> float:
     """Return one process's share of the fleet's reserve, at least one retry.
 
     Parameters
@@ -49,10 +49,10 @@
     processes : int
         Processes of the fleet, including unreachable ones; otherwise each side of
         a partition would use the full reserve.
-    most : float
+    max_reserve : float
         Maximum reserve of a process, which applies in a small fleet.
     """
-    return min(most, max(1.0, FLEET_RESERVE_RETRIES / processes))
+    return min(max_reserve, max(1.0, FLEET_RESERVE_RETRIES / processes))
 
 
 class RetryBudget:
@@ -60,14 +60,14 @@
 
     Parameters
     ----------
-    share : float
+    retry_fraction : float
         Retries earned by one first attempt.
     reserve : float
         Maximum number of accumulated retries.
 
     Examples
     --------
-    >>> budget = RetryBudget(share=0.5, reserve=1.0)
+    >>> budget = RetryBudget(retry_fraction=0.5, reserve=1.0)
     >>> budget.try_spend(), budget.try_spend()
     (True, False)
     >>> budget.record_first_attempt()
@@ -77,9 +77,12 @@
     """
 
     def __init__(
-        self, *, share: float = RETRY_FRACTION, reserve: float = RESERVE_RETRIES
+        self,
+        *,
+        retry_fraction: float = RETRY_FRACTION,
+        reserve: float = RESERVE_RETRIES,
     ) -> None:
-        self._share = share
+        self._retry_fraction = retry_fraction
         self._reserve = reserve
         self._available_retries = min(reserve, INITIAL_RETRIES)
 
@@ -91,7 +94,7 @@
     def record_first_attempt(self) -> None:
         """Record one first attempt."""
         self._available_retries = min(
-            self._reserve, self._available_retries + self._share
+            self._reserve, self._available_retries + self._retry_fraction
         )
 
     def set_reserve(self, reserve: float) -> None:
@@ -112,7 +115,7 @@
 
     Examples
     --------
-    >>> budgets = RetryBudgets(share=0.5, reserve=1.0)
+    >>> budgets = RetryBudgets(retry_fraction=0.5, reserve=1.0)
     >>> budgets.get("chat").try_spend(), budgets.get("chat").try_spend()
     (True, False)
     >>> budgets.get("lookup").try_spend()
@@ -120,9 +123,12 @@
     """
 
     def __init__(
-        self, *, share: float = RETRY_FRACTION, reserve: float = RESERVE_RETRIES
+        self,
+        *,
+        retry_fraction: float = RETRY_FRACTION,
+        reserve: float = RESERVE_RETRIES,
     ) -> None:
-        self._share = share
+        self._retry_fraction = retry_fraction
         self._reserve = reserve
         self._budget_by_service: dict[Hashable, RetryBudget] = {}
 
@@ -130,7 +136,9 @@
         """Return the budget of a service, creating it if needed."""
         budget = self._budget_by_service.get(service)
         if budget is None:
-            budget = RetryBudget(share=self._share, reserve=self._reserve)
+            budget = RetryBudget(
+                retry_fraction=self._retry_fraction, reserve=self._reserve
+            )
             self._budget_by_service[service] = budget
         return budget
 
--- a/src/ragwortkeel/policy/scheduler.py
+++ b/src/ragwortkeel/policy/scheduler.py
@@ -106,7 +106,7 @@
         self._alone_by_id: dict[str, QueuedRequest] = {}
         self._running_by_id: dict[str, _Running] = {}
         self._refusals: list[Refusal] = []
-        self._retries = RetryBudgets(share=self._settings.retry_fraction)
+        self._retries = RetryBudgets(retry_fraction=self._settings.retry_fraction)
         self._quarantine = Quarantine()
         self._service_times = ServiceTimes()
         self._completion_intervals = CompletionIntervals()
--- a/src/ragwortkeel/policy/slow_start.py
+++ b/src/ragwortkeel/policy/slow_start.py
@@ -36,7 +36,7 @@
     ----------
     rise_per_second : float
         Growth of a fraction per second.
-    start : float
+    start_fraction : float
         Fraction of an upstream that joins others in use.
     """
 
@@ -44,10 +44,10 @@
         self,
         *,
         rise_per_second: float = RISE_FRACTION_PER_SECOND,
-        start: float = START_FRACTION,
+        start_fraction: float = START_FRACTION,
     ) -> None:
         self._rise_per_second = rise_per_second
-        self._start = start
+        self._start_fraction = start_fraction
         self._fraction_by_upstream: dict[str, TrafficFraction] = {}
 
     def retain(self, upstreams: set[str], now: float) -> None:
@@ -56,7 +56,7 @@
         If no upstream was known before, all begin at full traffic: there is no load to
         move from other upstreams, and a low start would only cause refusals.
         """
-        start = self._start if self._fraction_by_upstream else 1.0
+        start = self._start_fraction if self._fraction_by_upstream else 1.0
         retained = {
             n: s for n, s in self._fraction_by_upstream.items() if n in upstreams
         }
@@ -68,7 +68,7 @@
         """Reset the fraction to the start value."""
         if upstream in self._fraction_by_upstream:
             self._fraction_by_upstream[upstream] = TrafficFraction(
-                value=self._start, updated_at=now
+                value=self._start_fraction, updated_at=now
             )
 
     def fraction(self, upstream: str, now: float) -> float:
--- a/src/ragwortkeel/router/budget_account.py
+++ b/src/ragwortkeel/router/budget_account.py
@@ -345,7 +345,7 @@
                 ride_out_seconds=need.ride_out_seconds,
                 spread=need.spread,
             )
-            tokens = tokens_to_lend(free=self.slice.free, own=need, asker=borrower)
+            tokens = tokens_to_lend(free=self.slice.free, own=need, borrower=borrower)
             if tokens:
                 return Loan(router=loan.router, tokens=tokens)
         return None
--- a/src/ragwortkeel/router/budget_keeper.py
+++ b/src/ragwortkeel/router/budget_keeper.py
@@ -12,7 +12,7 @@
 
 import curio
 
-from ragwortkeel.budget.sizing import best_givers
+from ragwortkeel.budget.sizing import best_lenders
 from ragwortkeel.budget.slice import Reservation
 from ragwortkeel.exceptions import (
     BudgetRefused,
@@ -295,7 +295,7 @@
         router, lacking = account.slice.router, account.need().lacking
         if not lacking:
             return
-        for giver in best_givers(account.ledger, router=router):
+        for giver in best_lenders(account.ledger, router=router):
             request = SliceRequest(
                 profile=account.profile,
                 tokens=lacking,
--- a/src/ragwortkeel/router/components.py
+++ b/src/ragwortkeel/router/components.py
@@ -32,7 +32,7 @@
     pool: SidecarPool
     budgets: Budgets
     receipts: Receipts
-    closing: Settlement
+    settlement: Settlement
     tracing: Tracing
 
     def is_current(self, reservation: Reservation) -> bool:
--- a/src/ragwortkeel/router/exchange.py
+++ b/src/ragwortkeel/router/exchange.py
@@ -228,11 +228,11 @@
             # The request was abandoned, or the link was lost while the sidecar may
             # still be running it.
             stop = not self._call.key_given
-            await self._components.closing.follow_in_background(
+            await self._components.settlement.follow_in_background(
                 reservation, attempt, self._call, cancel=stop
             )
             return
-        await self._components.closing.settle(reservation, attempt, end, self._call)
+        await self._components.settlement.settle(reservation, attempt, end, self._call)
 
     def _new_attempt(self, upstream: str, nonce: str) -> Attempt:
         async def emit(data: bytes) -> None:
--- a/src/ragwortkeel/router/filing_runs.py
+++ b/src/ragwortkeel/router/filing_runs.py
@@ -59,13 +59,13 @@
         call: Call,
         version: int,
         facts: RequestFacts,
-        parts: Components,
+        components: Components,
         sink: BufferedSink,
     ) -> None:
         self._call = call
         self._version = version
         self._facts = facts
-        self._components = parts
+        self._components = components
         self._sink = sink
 
     def new_attempt(self, upstream: str, nonce: str, sidecar: str) -> Attempt:
@@ -151,11 +151,11 @@
         if self._components.is_current(reservation) and await attempt.open(dispatch):
             end = await attempt.follow()
         if isinstance(end, Lost) and attempt.may_continue:
-            await self._components.closing.follow_in_background(
+            await self._components.settlement.follow_in_background(
                 reservation, attempt, self._call, cancel=False
             )
             return end
-        await self._components.closing.settle(reservation, attempt, end, self._call)
+        await self._components.settlement.settle(reservation, attempt, end, self._call)
         await self.start_recording(end, stored, attempt)
         return end
 
--- a/src/ragwortkeel/router/filings.py
+++ b/src/ragwortkeel/router/filings.py
@@ -83,22 +83,22 @@
         call: Call,
         version: int,
         facts: RequestFacts,
-        parts: Components,
+        components: Components,
         sink: BufferedSink,
     ) -> None:
         self.may_have_run = call.key_given
         self.tokens = 0
         self._call = call
         self._facts = facts
-        self._components = parts
-        self._intents = parts.intents
+        self._components = components
+        self._intents = components.intents
         self._sink = sink
         self._filing = Filing(wanted=self._new_intent(), first=not call.key_given)
         if not call.key_given:
             # No other attempt has a key generated here, so no intent is stored.
             self._filing.on_read(None)
         self._runs = FilingRuns(
-            call=call, version=version, facts=facts, parts=parts, sink=sink
+            call=call, version=version, facts=facts, components=components, sink=sink
         )
         self._has_written = False
         self._assignment: Assignment | None = None
--- a/src/ragwortkeel/router/gateway.py
+++ b/src/ragwortkeel/router/gateway.py
@@ -129,7 +129,7 @@
                 call=call,
                 version=version,
                 facts=facts,
-                parts=self._components,
+                components=self._components,
                 sink=sink,
             )
         return Exchange(
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -132,7 +132,7 @@
         )
         budgets, receipts = self.budgeting.keeper, self.budgeting.receipts
         self.settlement = Settlement(budgets=budgets, receipts=receipts)
-        self.parts = Components(
+        self.components = Components(
             incarnation=lambda: self.incarnation,
             clock=monotonic,
             intents=IntentStore(platform=platform),
@@ -141,11 +141,11 @@
             pool=self.pool,
             budgets=budgets,
             receipts=receipts,
-            closing=self.settlement,
+            settlement=self.settlement,
             tracing=tracing,
         )
         self.gateway = Gateway(
-            components=self.parts,
+            components=self.components,
             observe=observer.record_request,
             refresh=self.gossip.refresh,
         )
--- a/tests/budget/allowance_world.py
+++ b/tests/budget/allowance_world.py
@@ -137,7 +137,7 @@
         self.spent[reservation.customer] -= reservation.tokens - spent
 
     def lend(self, lender, asker, customer, *, arrives):
-        need = asker.allowances.account(customer).need(0.0)
+        need = asker.allowances.account(customer).slice_need(0.0)
         if not need.lacking:
             return
         self.grow(lender)
--- a/tests/budget/test_sizing.py
+++ b/tests/budget/test_sizing.py
@@ -6,7 +6,7 @@
 from ragwortkeel.budget.ledger import Ledger
 from ragwortkeel.budget.sizing import (
     SliceNeed,
-    best_givers,
+    best_lenders,
     exposure_cap,
     tokens_to_give_back,
     tokens_to_lend,
@@ -86,8 +86,8 @@
             "r3": Grant(granted=50, demand=0),
             "r4": Grant(granted=900, sealed=True),
         }
-        assert best_givers(Ledger(grants=grants), router="r1") == ["r3", "r2"]
-        assert best_givers(Ledger(), router="r1") == []
+        assert best_lenders(Ledger(grants=grants), router="r1") == ["r3", "r2"]
+        assert best_lenders(Ledger(), router="r1") == []
 
 
 class TestLend:
@@ -108,9 +108,11 @@
         """
         own = need(lacking=own_lacks, waiting=200)
         asker = need(lacking=asker_lacks, waiting=60)
-        assert tokens_to_lend(free=free, own=own, asker=asker) == lent
+        assert tokens_to_lend(free=free, own=own, borrower=asker) == lent
 
     def test_idle_router_lends_in_proportion_to_demand(self):
         own, asker = need(holding=300, demand=100), need(demand=200, lacking=10)
-        assert tokens_to_lend(free=300, own=own, asker=asker) == 200
-        assert tokens_to_lend(free=300, own=own, asker=need(demand=0, lacking=10)) == 10
+        assert tokens_to_lend(free=300, own=own, borrower=asker) == 200
+        assert (
+            tokens_to_lend(free=300, own=own, borrower=need(demand=0, lacking=10)) == 10
+        )
--- a/tests/budget/test_summary.py
+++ b/tests/budget/test_summary.py
@@ -6,7 +6,7 @@
 
 from ragwortkeel.budget.grant import Grant
 from ragwortkeel.budget.ledger import Ledger
-from ragwortkeel.budget.sizing import SliceNeed, best_givers, target_holding
+from ragwortkeel.budget.sizing import SliceNeed, best_lenders, target_holding
 from ragwortkeel.budget.summary import restore_own_grant, summarize
 from ragwortkeel.configuration import Spread
 
@@ -59,8 +59,8 @@
     grants = {f"i-{n}/a": Grant(granted=100 * n) for n in range(1, 9)}
     ledger = Ledger(prepaid=9_000, grants=grants)
     seen = restore_own_grant(summarize(ledger), router="i-1/a", grant=grants["i-1/a"])
-    givers = best_givers(seen, router="i-1/a")
-    assert givers == best_givers(ledger, router="i-1/a")
+    givers = best_lenders(seen, router="i-1/a")
+    assert givers == best_lenders(ledger, router="i-1/a")
 
 
 def test_size_does_not_grow_with_the_holders():
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -166,11 +166,11 @@
         chosen = [
             name
             for name in names
-            if rate_fraction(ChosenSenders(own=name, names=names), "u0", senders=3)
+            if rate_fraction(ChosenSenders(own=name, others=names), "u0", senders=3)
         ]
         own = sorted(names - set(chosen))[0]
         rates = FleetRates(
-            sharing=lambda: ChosenSenders(own=own, names=names - {own}),
+            sharing=lambda: ChosenSenders(own=own, others=names - {own}),
             random=Random(3),
             started=float("-inf"),
         )
--- a/tests/ingress/test_placement.py
+++ b/tests/ingress/test_placement.py
@@ -306,7 +306,7 @@
         placement = Placement(
             zone="a",
             rates=FleetRates(
-                sharing=lambda: ChosenSenders(own="own", names=names),
+                sharing=lambda: ChosenSenders(own="own", others=names),
                 random=Random(0),
                 started=float("-inf"),
             ),
@@ -343,7 +343,9 @@
                 zone="a",
                 limits=limits,
                 rates=FleetRates(
-                    sharing=lambda own=f"p{index}": ChosenSenders(own=own, names=names),
+                    sharing=lambda own=f"p{index}": ChosenSenders(
+                        own=own, others=names
+                    ),
                     random=Random(index),
                     started=float("-inf"),
                 ),
--- a/tests/policy/test_announced_limits.py
+++ b/tests/policy/test_announced_limits.py
@@ -83,7 +83,7 @@
 
 
 def chosen_sharings(names):
-    sharings = [ChosenSenders(own=own, names=frozenset(names)) for own in names]
+    sharings = [ChosenSenders(own=own, others=frozenset(names)) for own in names]
     return [lambda sharing=sharing: sharing for sharing in sharings]
 
 
--- a/tests/policy/test_fleet_rates.py
+++ b/tests/policy/test_fleet_rates.py
@@ -31,7 +31,7 @@
 
 def chosen(fleet):
     names = frozenset(fleet)
-    return [lambda own=own: ChosenSenders(own=own, names=names) for own in fleet]
+    return [lambda own=own: ChosenSenders(own=own, others=names) for own in fleet]
 
 
 def simulate_sends(sharings, *, seed, upstream="u1", step=STEP_SECONDS):
@@ -119,7 +119,7 @@
         others = frozenset(fleet(4))
         assert sharing_among(
             own="own", others=others, ledger_processes=5
-        ) == ChosenSenders(own="own", names=others)
+        ) == ChosenSenders(own="own", others=others)
         assert sharing_among(
             own="own", others=others, ledger_processes=6
         ) == EqualShare(processes=6)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -90,8 +90,10 @@
         self.budgets = [self._started() for _ in range(PROCESSES)]
 
     def _started(self):
-        budgets = RetryBudgets(share=INGRESS_SHARE, reserve=INGRESS_RESERVE)
-        budgets.set_reserve(process_reserve(processes=PROCESSES, most=INGRESS_RESERVE))
+        budgets = RetryBudgets(retry_fraction=INGRESS_SHARE, reserve=INGRESS_RESERVE)
+        budgets.set_reserve(
+            process_reserve(processes=PROCESSES, max_reserve=INGRESS_RESERVE)
+        )
         return budgets
 
     @rule(
--- a/tests/router/test_filings.py
+++ b/tests/router/test_filings.py
@@ -178,7 +178,7 @@
 
 def exchange(router, upstream, sidecars, platform, caller):
     budgets = Budgets(router)
-    parts = Components(
+    components = Components(
         incarnation=lambda: router,
         clock=lambda: 0.0,
         intents=IntentStore(platform=platform),
@@ -187,14 +187,14 @@
         pool=Pool(router, sidecars),
         budgets=budgets,
         receipts=budgets,
-        closing=Settlement(budgets=budgets, receipts=budgets),
+        settlement=Settlement(budgets=budgets, receipts=budgets),
         tracing=Tracing(node=router),
     )
     return FilingExchange(
         call=CALL,
         version=1,
         facts=FACTS,
-        parts=parts,
+        components=components,
         sink=BufferedSink(responder=caller, request_id="k"),
     )
 
