--- a/benchmarks/_budget_ours.py
+++ b/benchmarks/_budget_ours.py
@@ -17,14 +17,8 @@
 from ragwortkeel.budget.receipt import Bill
 from ragwortkeel.budget.refresh import SliceRefresh
 from ragwortkeel.budget.seal import SidecarAccounts
-from ragwortkeel.budget.sizing import (
-    SliceNeed,
-    best_givers,
-    exposure_cap,
-    tokens_to_give_back,
-    tokens_to_lend,
-    tokens_to_take,
-)
+from ragwortkeel.budget.sizing import best_lenders
+from ragwortkeel.budget.sizing import SliceNeed, exposure_cap, tokens_to_give_back, tokens_to_lend, tokens_to_take
 from ragwortkeel.budget.slice import Reservation, Slice
 from ragwortkeel.configuration import Spread
 from ragwortkeel.exceptions import (
@@ -340,7 +334,7 @@
             return
         router_state.loan_requested_at = self.simulation.now
         need = self._slice_need(router, router_state)
-        for name in best_givers(self.ledger, router=router_state.slice.router):
+        for name in best_lenders(self.ledger, router=router_state.slice.router):
             giver = self._router_named(name)
             if giver is not None:
                 args = (giver, router_state.slice.router, need)
@@ -358,7 +352,7 @@
 
     def _receive_loan_request(self, giver: Router, asker: str, need: SliceNeed) -> None:
         own = self._slice_need(giver, giver.state)
-        lend = tokens_to_lend(free=giver.state.slice.free, own=own, asker=need)
+        lend = tokens_to_lend(free=giver.state.slice.free, own=own, borrower=need)
         if lend:
             self._refresh(giver, asker, lend)
 
