--- a/benchmarks/_budget_ours.py
+++ b/benchmarks/_budget_ours.py
@@ -17,8 +17,14 @@
 from ragwortkeel.budget.receipt import Bill
 from ragwortkeel.budget.refresh import SliceRefresh
 from ragwortkeel.budget.seal import SidecarAccounts
-from ragwortkeel.budget.sizing import best_lenders
-from ragwortkeel.budget.sizing import SliceNeed, exposure_cap, tokens_to_give_back, tokens_to_lend, tokens_to_take
+from ragwortkeel.budget.sizing import (
+    SliceNeed,
+    best_lenders,
+    exposure_cap,
+    tokens_to_give_back,
+    tokens_to_lend,
+    tokens_to_take,
+)
 from ragwortkeel.budget.slice import Reservation, Slice
 from ragwortkeel.configuration import Spread
 from ragwortkeel.exceptions import (
