--- a/src/ragwortkeel/ingress/exchange.py
+++ b/src/ragwortkeel/ingress/exchange.py
@@ -101,7 +101,7 @@
 
     Parameters
     ----------
-    parts : FrontComponents
+    components : FrontComponents
         Objects that all requests share.
     to : Responder
         Sends the response to the caller.
