--- a/examples/embed.py
+++ b/examples/embed.py
@@ -21,14 +21,14 @@
     refresh.read(ledger, version=1)
     renewal = slice_.propose(nonce="n1", sidecars=("sidecar-1",), want=400, cap=300)
     ledger = ledger.renew(renewal)
-    refresh.written(ledger)
+    refresh.record_written(ledger)
 
     reservation = slice_.reserve(sidecar="sidecar-1", tokens=250)
     slice_.settle(reservation, spent=180)
 
     refresh.read(ledger, version=2)
     ledger = ledger.renew(slice_.propose(nonce="n2", give_back=slice_.free, cap=300))
-    refresh.written(ledger)
+    refresh.record_written(ledger)
     return ledger
 
 
@@ -52,15 +52,15 @@
     """Return where a scheduler sends a request."""
     scheduler = Scheduler(zone="maule-a", random=Random(1))
     upstream = UpstreamFacts(name="m1", back_end="assistant", zone="maule-a")
-    scheduler.upstreams_changed([upstream], now=0.0)
+    scheduler.set_upstreams([upstream], now=0.0)
     request = RequestFacts(
         request_id="r1",
         profile="advisor-chat",
         customer="coop",
-        service=ServiceClass.INTERACTIVE,
+        service_class=ServiceClass.INTERACTIVE,
         back_ends=("assistant",),
         deadline=20.0,
-        first_token_by=1.5,
+        first_token_deadline=1.5,
         cost=250,
     )
     return scheduler.offer(request, now=0.0).upstream
--- a/src/ragwortkeel/budget/tries.py
+++ b/src/ragwortkeel/budget/write_attempts.py
@@ -1,4 +1,4 @@
-"""Tries to renew that may have taken effect, or may still.
+"""WriteAttempts to renew that may have taken effect, or may still.
 
 The caps of a process grow with the time since its stamp in the ledgers, and a successor
 charges them by that stamp.  Failures it guards against: the answer to a write is lost
@@ -14,35 +14,35 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class _Try:
+class _Attempt:
     reading: Reading
-    handed: bool
+    delegated: bool
 
 
-class Tries:
+class WriteAttempts:
     """The tries of one process, by the boot clock at which each was made.
 
     Examples
     --------
-    >>> tries = Tries()
-    >>> tries.begin(Reading(monotonic=1.0, boot=1.0, wall=1.0), handed=True)
-    >>> tries.any_handed
+    >>> tries = WriteAttempts()
+    >>> tries.record_attempt(Reading(monotonic=1.0, boot=1.0, wall=1.0), delegated=True)
+    >>> tries.any_delegated
     True
-    >>> tries.failed(1.0)
+    >>> tries.record_failure(1.0)
     >>> tries.latest is None
     True
     """
 
     def __init__(self) -> None:
-        self._done: Reading | None = None
-        self._open_by_boot: dict[float, _Try] = {}
+        self._last_success: Reading | None = None
+        self._open_by_boot: dict[float, _Attempt] = {}
 
     @property
     def latest(self) -> Reading | None:
         """The clocks at the latest try that may stand in the ledgers."""
-        readings = [one.reading for one in self._open_by_boot.values()]
-        if self._done is not None:
-            readings.append(self._done)
+        readings = [attempt.reading for attempt in self._open_by_boot.values()]
+        if self._last_success is not None:
+            readings.append(self._last_success)
         return max(readings, key=lambda reading: reading.boot, default=None)
 
     @property
@@ -51,36 +51,42 @@
         return bool(self._open_by_boot)
 
     @property
-    def any_handed(self) -> bool:
+    def any_delegated(self) -> bool:
         """Whether a peer may still write what it was handed."""
-        return any(one.handed for one in self._open_by_boot.values())
+        return any(attempt.delegated for attempt in self._open_by_boot.values())
 
-    def handed(self, boot: float) -> Reading | None:
+    def get_delegated(self, boot: float) -> Reading | None:
         """Return the clocks at a hand-over whose outcome is open, or None."""
-        one = self._open_by_boot.get(boot)
-        return one.reading if one is not None and one.handed else None
+        attempt = self._open_by_boot.get(boot)
+        return attempt.reading if attempt is not None and attempt.delegated else None
 
-    def begin(self, reading: Reading, *, handed: bool) -> None:
+    def record_attempt(self, reading: Reading, *, delegated: bool) -> None:
         """Note a try: a write of this process, or renewals handed to a peer."""
-        self._open_by_boot[reading.boot] = _Try(reading=reading, handed=handed)
+        self._open_by_boot[reading.boot] = _Attempt(
+            reading=reading, delegated=delegated
+        )
 
-    def failed(self, boot: float) -> None:
+    def record_failure(self, boot: float) -> None:
         """Note that a try certainly changed nothing and never will."""
         self._open_by_boot.pop(boot, None)
 
-    def own_failed(self) -> None:
+    def record_own_failures(self) -> None:
         """Note that no write of this process can be done any more."""
         self._open_by_boot = {
-            made: one for made, one in self._open_by_boot.items() if one.handed
+            boot: attempt
+            for boot, attempt in self._open_by_boot.items()
+            if attempt.delegated
         }
 
-    def done(self, boot: float) -> None:
+    def record_success(self, boot: float) -> None:
         """Note that a try took effect: none made before it can any more."""
-        one = self._open_by_boot.get(boot)
-        if one is not None and (self._done is None or self._done.boot < boot):
-            self._done = one.reading
+        attempt = self._open_by_boot.get(boot)
+        if attempt is not None and (
+            self._last_success is None or self._last_success.boot < boot
+        ):
+            self._last_success = attempt.reading
         self._open_by_boot = {
-            made: open_try
-            for made, open_try in self._open_by_boot.items()
-            if made > boot
+            started_at: open_attempt
+            for started_at, open_attempt in self._open_by_boot.items()
+            if started_at > boot
         }
--- a/src/ragwortkeel/ingress/dispatch.py
+++ b/src/ragwortkeel/ingress/dispatch.py
@@ -1,4 +1,4 @@
-"""Gives waiting requests their places, in order, as soon as there is room."""
+"""Assigns queued requests to upstreams, in order, as soon as there is headroom."""
 
 from dataclasses import dataclass
 from math import isfinite
@@ -8,65 +8,76 @@
 
 from ragwortkeel.ingress.configuration import Service
 from ragwortkeel.ingress.directory import Directory
-from ragwortkeel.ingress.placement import Job, OwnRates, Placed, Placement
-from ragwortkeel.ingress.waiting import Waiter, WaitingRoom
+from ragwortkeel.ingress.placement import Assignment, Job, OwnSendRate, Placement
+from ragwortkeel.ingress.request_queue import QueuedRequest, RequestQueue
 from ragwortkeel.logs import log_info
-from ragwortkeel.policy.admission import Turns
+from ragwortkeel.policy.admission import DequeueIntervals
 
-PLACING_SECONDS = 0.05
-"""How often waiting requests are looked at even if nothing was released here:
-other processes' work ends too, and is told about as often."""
+QUEUE_CHECK_SECONDS = 0.05
+"""Interval at which the queue is checked even if no request ended here.
 
-LATE_TURN_SECONDS = 2 * PLACING_SECONDS
-"""A turn may be noticed so late: a request that would have it just in time is not held
-for it."""
+Requests of other processes end too, and peers report their loads about as often.
+"""
 
-ELSEWHERE_SECONDS = 1.0
-"""When to come back where all that limited upstreams take is other processes' to send:
-the caller's next connection is likely to meet one of them."""
+MAX_DISPATCH_DELAY_SECONDS = 2 * QUEUE_CHECK_SECONDS
+"""Time by which a queued request may be sent later than its rate limit allows.
+
+A request that could be sent this close to its latest start is refused at once.
+"""
+
+RETRY_ELSEWHERE_SECONDS = 1.0
+"""Estimated wait where other processes share all of the upstreams' rate limits.
+
+The next connection of the caller probably reaches one of those processes.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
-class NoRoom:
-    """The request got no place in time, or could not have; it did not run.
+class NotAssigned:
+    """The request could not be assigned to an upstream in time; it did not run.
 
     Attributes
     ----------
+    queued : int
+        Queued requests that go first.
     upstreams : int
-        Those that could have got it.
+        Upstreams to which the request could be assigned.
     withheld : bool
-        Whether there are others that must not: evacuated ones, or away from home.
-    seconds : float
-        How long its turn would take from now, as far as one can tell.
-    rate : float or None
-        Where all upstreams announced a limit, the requests a second that this process
-        may send.
+        Whether the service has ready upstreams, but all of them are evacuated or
+        outside the request's regions.
+    wait_seconds : float
+        Estimated seconds until the request could be assigned.
+    own_per_second : float or None
+        Requests a second that this process may send if all upstreams announced a
+        limit; None otherwise.
     """
 
-    waiting: int
+    queued: int
     upstreams: int
     withheld: bool
-    seconds: float
-    rate: float | None = None
+    wait_seconds: float
+    own_per_second: float | None = None
 
 
 class Dispatcher:
-    """Hands out places at upstreams.
+    """Assigns requests to upstreams, or queues them until one has headroom.
 
     Parameters
     ----------
-    directory, placement
-        Which upstreams there are, and which of them is best.
+    directory : Directory
+        The upstreams of each service.
+    placement : Placement
+        Chooses one of them.
     """
 
     def __init__(self, *, directory: Directory, placement: Placement) -> None:
-        self.room = WaitingRoom()
+        self.queue = RequestQueue()
         self._directory = directory
         self._placement = placement
-        self._placed_by_id: dict[str, Placed] = {}
-        self._turn_by_id: dict[str, curio.Event] = {}
+        self._assignment_by_request_id: dict[str, Assignment] = {}
+        self._assigned_by_request_id: dict[str, curio.Event] = {}
         self._service_by_name: dict[str, Service] = {}
-        self._turns_by_service: dict[str, Turns] = {}
+        self._dequeue_intervals_by_service: dict[str, DequeueIntervals] = {}
 
     async def acquire(
         self,
@@ -74,138 +85,179 @@
         *,
         service: Service,
         latest_start: float,
-        tried: frozenset[str] = frozenset(),
-    ) -> Placed | NoRoom:
-        """Return a place for the request, which `release` has to give back.
-
-        Pattern of load: a service is full and more wait for it than it can serve in
-        their time.  Whoever's turn can't come before `latest_start` is told at once,
-        by how often turns came lately: held until then, it could not come back.  The
-        first in line always waits, or no turn would ever correct the estimate.
-
-        So is whoever may go to none of the upstreams there are, as in an evacuation of
-        all availability zones: nobody knows how long that lasts.  And so is who would
-        wait too long for its part of the limits that all upstreams announced.
+        tried_upstreams: frozenset[str] = frozenset(),
+    ) -> Assignment | NotAssigned:
+        """Assign the request to an upstream; `release` has to end the assignment.
+
+        Pattern of load: a service is full, and more requests are queued for it than it
+        can serve before their deadlines.  A request that is not expected to start
+        before `latest_start` is refused at once, because a caller that is held until
+        then has no time left to come back.  The estimate rests on the rate at which
+        requests left the queue lately.  The first request in the queue always waits;
+        otherwise no request would leave the queue to correct the estimate.
+
+        Two other requests are refused at once: one that must not use any of the ready
+        upstreams, as when all availability zones are evacuated for an unknown time, and
+        one that would wait too long for this process's share of the limits that all
+        upstreams announced.
+
+        Parameters
+        ----------
+        latest_start : float
+            Monotonic second after which the request is not worth starting.
+        tried_upstreams : frozenset of str
+            Upstreams to exclude because the request was sent to them before.
         """
         self._service_by_name[service.name] = service
-        if self._directory.withholds(service=service.name, regions=job.regions):
-            return self._no_room(job)
-        ahead = self.room.waiting_before(job)
+        if self._directory.withholds_all(service=service.name, regions=job.regions):
+            return self._not_assigned(job)
+        ahead = self.queue.queued_ahead(job)
         if not ahead:
-            placed = self._try(job, service, tried)
-            if placed is not None:
-                return placed
-        elif monotonic() + self._seconds_to_turn(job) > latest_start:
-            return self._no_room(job)
-        rates = self._own_rates(job, tried)
-        latest_turn = latest_start - LATE_TURN_SECONDS
-        if rates and monotonic() + rates.seconds_to_turn(ahead) > latest_turn:
-            return self._no_room(job)
-        return await self._wait(job, latest_start, tried)
-
-    async def release(self, placed: Placed) -> None:
-        """Give a place back and let the next one have it."""
-        self._placement.release(placed)
-        self.room.ended(placed.job)
-        await self.place_waiting()
-
-    def replaced(self, upstream: str) -> None:
-        """Place nothing more at an upstream whose address another instance has."""
-        if self._directory.replaced(upstream):
+            assignment = self._try_assign(job, service, tried_upstreams)
+            if assignment is not None:
+                return assignment
+        elif monotonic() + self._estimated_wait_seconds(job) > latest_start:
+            return self._not_assigned(job)
+        send_rate = self._own_send_rate(job, tried_upstreams)
+        latest_send = latest_start - MAX_DISPATCH_DELAY_SECONDS
+        if (
+            send_rate
+            and monotonic() + send_rate.seconds_until_send(ahead) > latest_send
+        ):
+            return self._not_assigned(job)
+        return await self._wait(job, latest_start, tried_upstreams)
+
+    async def release(self, assignment: Assignment) -> None:
+        """End an assignment and assign queued requests to the freed upstream."""
+        self._placement.release(assignment)
+        self.queue.record_ended(assignment.job)
+        await self.assign_queued()
+
+    def record_replaced(self, upstream: str) -> None:
+        """Stop using an upstream whose address now belongs to another instance."""
+        if self._directory.record_replacement(upstream):
             log_info("upstream_replaced", upstream=upstream)
 
-    async def place_waiting(self) -> None:
-        """Give places to those who wait, as far as there is room."""
-        for name in self.room.services():
+    async def assign_queued(self) -> None:
+        """Assign queued requests in order, as far as there is headroom."""
+        for name in self.queue.services():
             service = self._service_by_name[name]
-            for waiter in self.room.in_order(name):
-                placed = self._try(waiter.job, service, waiter.tried)
-                if placed is None and waiter.job.regions is not None:
-                    # Full at home; others may go elsewhere.
+            for queued_request in self.queue.in_order(name):
+                assignment = self._try_assign(
+                    queued_request.job, service, queued_request.tried_upstreams
+                )
+                if assignment is None and queued_request.job.regions is not None:
+                    # Its regions are full; later requests may run in others.
                     continue
-                if placed is None:
+                if assignment is None:
                     break
-                self._placed_by_id[waiter.job.request_id] = placed
-                self.room.remove(waiter.job)
-                self._turns(name).taken(0.0, monotonic())
-                await self._turn_by_id[waiter.job.request_id].set()
+                self._assignment_by_request_id[queued_request.job.request_id] = (
+                    assignment
+                )
+                self.queue.remove(queued_request.job)
+                self._dequeue_intervals(name).record_dequeue(0.0, monotonic())
+                await self._assigned_by_request_id[queued_request.job.request_id].set()
 
     async def run(self) -> None:
-        """Look after waiting requests until cancelled."""
+        """Check the queue regularly until cancelled."""
         while True:
-            await curio.sleep(PLACING_SECONDS)
-            if len(self.room):
-                await self.place_waiting()
+            await curio.sleep(QUEUE_CHECK_SECONDS)
+            if len(self.queue):
+                await self.assign_queued()
 
-    def _try(self, job: Job, service: Service, tried: frozenset[str]) -> Placed | None:
-        placed = self._placement.choose(
+    def _try_assign(
+        self, job: Job, service: Service, tried_upstreams: frozenset[str]
+    ) -> Assignment | None:
+        assignment = self._placement.assign(
             job,
             service=service,
             upstream_by_name=self._directory.usable(
                 service=service.name, regions=job.regions
             ),
-            tried=tried,
+            tried_upstreams=tried_upstreams,
             now=monotonic(),
         )
-        if placed is not None:
-            self.room.started(job)
-        return placed
+        if assignment is not None:
+            self.queue.record_started(job)
+        return assignment
 
     async def _wait(
-        self, job: Job, latest_start: float, tried: frozenset[str]
-    ) -> Placed | NoRoom:
+        self, job: Job, latest_start: float, tried_upstreams: frozenset[str]
+    ) -> Assignment | NotAssigned:
         now = monotonic()
-        turn = self._turn_by_id[job.request_id] = curio.Event()
-        if job.service not in self.room.services():
-            self._turns(job.service).waiting_from(now)
-        self.room.add(
-            Waiter(job=job, arrived_at=now, latest_start=latest_start, tried=tried)
+        assigned = self._assigned_by_request_id[job.request_id] = curio.Event()
+        if job.service not in self.queue.services():
+            self._dequeue_intervals(job.service).record_queue_start(now)
+        self.queue.add(
+            QueuedRequest(
+                job=job,
+                arrived_at=now,
+                latest_start=latest_start,
+                tried_upstreams=tried_upstreams,
+            )
         )
         try:
             async with curio.ignore_after(max(0.0, latest_start - now)):
-                await turn.wait()
-            placed = self._placed_by_id.pop(job.request_id, None)
-            if placed is not None:
-                return placed
-            return self._no_room(job)
+                await assigned.wait()
+            assignment = self._assignment_by_request_id.pop(job.request_id, None)
+            if assignment is not None:
+                return assignment
+            return self._not_assigned(job)
         finally:
-            self.room.remove(job)
-            self._turn_by_id.pop(job.request_id, None)
-            left = self._placed_by_id.pop(job.request_id, None)
-            if left is not None:
-                # The caller left in the moment in which its turn came.
-                self._placement.release(left)
-                self.room.ended(job)
-
-    def _no_room(self, job: Job) -> NoRoom:
+            self.queue.remove(job)
+            self._assigned_by_request_id.pop(job.request_id, None)
+            unclaimed = self._assignment_by_request_id.pop(job.request_id, None)
+            if unclaimed is not None:
+                # The request was assigned just as its caller left.
+                self._placement.release(unclaimed)
+                self.queue.record_ended(job)
+
+    def _not_assigned(self, job: Job) -> NotAssigned:
         usable = self._directory.usable(service=job.service, regions=job.regions)
-        withheld = self._directory.withholds(service=job.service, regions=job.regions)
-        waiting = self.room.waiting_before(job)
-        rates = self._own_rates(job, frozenset())
-        seconds = self._seconds_to_turn(job)
-        if rates is not None:
-            to_rate = rates.seconds_to_turn(waiting)
-            seconds = max(seconds, to_rate if isfinite(to_rate) else ELSEWHERE_SECONDS)
-        return NoRoom(
-            waiting=waiting,
+        withheld = self._directory.withholds_all(
+            service=job.service, regions=job.regions
+        )
+        queued = self.queue.queued_ahead(job)
+        send_rate = self._own_send_rate(job, frozenset())
+        seconds = self._estimated_wait_seconds(job)
+        if send_rate is not None:
+            rate_wait_seconds = send_rate.seconds_until_send(queued)
+            seconds = max(
+                seconds,
+                rate_wait_seconds
+                if isfinite(rate_wait_seconds)
+                else RETRY_ELSEWHERE_SECONDS,
+            )
+        return NotAssigned(
+            queued=queued,
             upstreams=len(usable),
             withheld=withheld,
-            seconds=seconds,
-            rate=rates.per_second if rates else None,
+            wait_seconds=seconds,
+            own_per_second=send_rate.per_second if send_rate else None,
         )
 
-    def _own_rates(self, job: Job, tried: frozenset[str]) -> OwnRates | None:
+    def _own_send_rate(
+        self, job: Job, tried_upstreams: frozenset[str]
+    ) -> OwnSendRate | None:
         usable = self._directory.usable(service=job.service, regions=job.regions)
-        return self._placement.own_rates(
+        return self._placement.own_send_rate(
             service=self._service_by_name[job.service],
-            upstreams=[one for name, one in usable.items() if name not in tried],
+            upstreams=[
+                upstream
+                for name, upstream in usable.items()
+                if name not in tried_upstreams
+            ],
             now=monotonic(),
         )
 
-    def _turns(self, service: str) -> Turns:
-        return self._turns_by_service.setdefault(service, Turns())
+    def _dequeue_intervals(self, service: str) -> DequeueIntervals:
+        return self._dequeue_intervals_by_service.setdefault(
+            service, DequeueIntervals()
+        )
 
-    def _seconds_to_turn(self, job: Job) -> float:
-        idle = job.service not in self.room.services()
-        each = self._turns(job.service).seconds_each(0.0, idle=idle, now=monotonic())
-        return each * (self.room.waiting_before(job) + 1)
+    def _estimated_wait_seconds(self, job: Job) -> float:
+        idle = job.service not in self.queue.services()
+        each = self._dequeue_intervals(job.service).mean_seconds(
+            0.0, idle=idle, now=monotonic()
+        )
+        return each * (self.queue.queued_ahead(job) + 1)
--- a/src/ragwortkeel/ingress/events.py
+++ b/src/ragwortkeel/ingress/events.py
@@ -1,8 +1,8 @@
-"""A stream's events as they pass: whole ones only, in order, counted.
+"""Splits a stream into complete events, checks their order and counts them.
 
-Failures it guards against: an upstream breaks off in the middle of an event, and
-the caller would get half of it; a resumed run repeats or leaves out an event,
-and the caller would get it twice or miss it.
+Failures it guards against: an upstream breaks off in the middle of an event, and the
+caller would receive an incomplete one; a resumed run repeats or omits an event, and the
+caller would receive it twice or miss it.
 """
 
 from ragwortkeel.exceptions import ExchangeBroken
@@ -11,58 +11,58 @@
 _ID = b"id:"
 
 
-class EventCutter:
-    """Cuts the bytes of a run into whole events.
+class EventSplitter:
+    """Splits the bytes of all runs of a request into complete events.
 
     Parameters
     ----------
     last_id : int or None
-        Id of the last event that the caller has; None for none yet.
+        Id of the last event that the caller received; None if it received none.
 
     Attributes
     ----------
     events : int
-        Events passed on so far, over all runs of the request.
+        Complete events with an id so far, over all runs of the request.
     """
 
     def __init__(self, *, last_id: int | None = None) -> None:
         self.last_id = last_id
         self.events = 0
-        self._rest = b""
+        self._buffer = b""
 
-    def cut(self, data: bytes) -> bytes:
-        """Return the whole events in what came so far and not yet returned.
+    def feed(self, data: bytes) -> bytes:
+        """Append data; return the events that are complete now.
 
         Raises
         ------
         ExchangeBroken
-            An event's id does not follow the one before.
+            The id of an event does not follow the id before it.
         """
-        data = self._rest + data.replace(b"\r\n", b"\n")
+        data = self._buffer + data.replace(b"\r\n", b"\n")
         end = data.rfind(_END)
         if end < 0:
-            self._rest = data
+            self._buffer = data
             return b""
-        whole, self._rest = data[: end + 2], data[end + 2 :]
-        for event in whole[:-2].split(_END):
-            self._count(event)
-        return whole
+        complete, self._buffer = data[: end + 2], data[end + 2 :]
+        for event in complete[:-2].split(_END):
+            self._check_order(event)
+        return complete
 
     @property
-    def has_rest(self) -> bool:
-        """Whether part of an event has come and its end has not."""
-        return bool(self._rest.strip())
+    def has_partial_event(self) -> bool:
+        """Whether the data so far ends within an event."""
+        return bool(self._buffer.strip())
 
-    def restart(self) -> None:
-        """Forget the part of an event that a broken run left."""
-        self._rest = b""
+    def discard_partial_event(self) -> None:
+        """Discard the incomplete event that a broken run left."""
+        self._buffer = b""
 
-    def _count(self, event: bytes) -> None:
+    def _check_order(self, event: bytes) -> None:
         event_id = _event_id(event)
         if event_id is None:
             return
         if self.last_id is not None and event_id != self.last_id + 1:
-            raise ExchangeBroken(f"event {event_id} after {self.last_id}")
+            raise ExchangeBroken(f"event {event_id} follows event {self.last_id}")
         self.last_id = event_id
         self.events += 1
 
--- a/src/ragwortkeel/ingress/following.py
+++ b/src/ragwortkeel/ingress/following.py
@@ -1,11 +1,15 @@
-"""Follows the configuration, the upstreams' entries and evacuations in the platform.
+"""Followers of the configuration, the upstreams' entries and the evacuations.
 
-Only some processes of a fleet watch, see `ingress.watching`; the others are sent the
-entries' changes and evacuations by them and ask a peer for a newer configuration.
+Only some processes of a fleet watch the platform, see `ingress.watching`.  They forward
+changes of entries and evacuations to the others, which request a newer configuration
+from a peer.
 
-Failures it guards against: a watch goes silent with its connection open (a short
-wait and a time-out of its own show it), history is gone (it lists again), and an
-answer from a lagging copy shows the past (versions only go up).
+Failures it guards against:
+
+- A watch gets no answer while its connection stays open: watches are short, and the
+  client times out soon after.
+- The platform has dropped its history: the follower lists again.
+- A lagging replica answers with an old state: versions never decrease.
 """
 
 from collections.abc import Awaitable, Callable
@@ -23,82 +27,96 @@
     Upstream,
     decode_value,
 )
-from ragwortkeel.ingress.directory import Directory, Moved
+from ragwortkeel.ingress.directory import Directory, DirectoryChange
 from ragwortkeel.ingress.evacuations import evacuated_zones
-from ragwortkeel.ingress.relaying import change_of, versioned_change
+from ragwortkeel.ingress.relaying import decode_change, encode_change
 from ragwortkeel.ingress.watching import Feed
 from ragwortkeel.logs import log_info, log_warning
 from ragwortkeel.messages import EvacuatedZones, UpstreamChanges
 from ragwortkeel.platform import Change, Platform, Stored
 
-WATCH_SECONDS = 3.0
-"""A watch waits this long.  A silent one shows after that and the client's own
-time-out; each wait is a call that is paid for."""
+WATCH_TIMEOUT_SECONDS = 3.0
+"""How long a watch waits for changes.
+
+A watch without an answer is detected after this and the client's own timeout.  Shorter
+waits cost more calls, which are paid for.
+"""
+
+RETRY_DELAY_SECONDS = 0.4
+"""Delay after a failed call."""
 
-RETRY_SECONDS = 0.4
-"""Pause after a failed call."""
+BATCH_DELAY_SECONDS = 0.3
+"""Delay after a watch that returned changes.
 
-GATHER_SECONDS = 0.3
-"""Pause after a watch that brought changes: a release or a crash of several upstreams
-is dozens of them, and each would answer the watches of all that watch at once."""
+A release or a crash of several upstreams is dozens of changes, and each of them would
+answer the watches of all watchers at once.
+"""
 
-ACCEPT_SECONDS = 0.9
-"""A call that is answered was taken up within so long, straight or through a peer: a
-watch may then wait for seconds more."""
+CALL_ACCEPT_SECONDS = 0.9
+"""Time in which the platform accepts a call that it answers, relayed or not.
 
-LOOK_SECONDS = 0.1
-"""How often a process that does not watch looks whether it has to."""
+A watch may wait for seconds after it was accepted, so the time of its answer says
+nothing about the end of an outage.
+"""
 
-ConfigurationTaker = Callable[[IngressConfiguration, bytes], Awaitable[None]]
-MovesTaker = Callable[[list[Moved]], Awaitable[None]]
-ChangesSharer = Callable[[UpstreamChanges], Awaitable[None]]
-ZonesTaker = Callable[[EvacuatedZones], Awaitable[None]]
+WATCHER_CHECK_SECONDS = 0.1
+"""Interval at which a process that does not watch checks whether it has to."""
+
+ConfigurationCallback = Callable[[IngressConfiguration, bytes], Awaitable[None]]
+DirectoryChangesCallback = Callable[[list[DirectoryChange]], Awaitable[None]]
+UpstreamChangesCallback = Callable[[UpstreamChanges], Awaitable[None]]
+ZonesCallback = Callable[[EvacuatedZones], Awaitable[None]]
 
 
 class _Follower:
-    """Lists a kind, then watches it, for ever.
+    """Lists a kind, then watches it, until cancelled.
 
     Parameters
     ----------
-    watches : callable
-        Returns whether this process is to watch, or its peers keep it up to date.
+    is_watcher : callable
+        Returns whether this process has to watch; if not, peers forward changes.
+
+    Attributes
+    ----------
+    has_listed : bool
+        Whether the first listing is complete.
     """
 
-    _gathers = False
-    """Whether changes come so often that several are worth waiting for."""
+    _batches_changes = False
+    """Whether changes are so frequent that `BATCH_DELAY_SECONDS` saves calls."""
 
     def __init__(
-        self, *, platform: Platform, kind: str, watches: Callable[[], bool]
+        self, *, platform: Platform, kind: str, is_watcher: Callable[[], bool]
     ) -> None:
         self._platform = platform
         self._kind = kind
-        self._watches = watches
+        self._is_watcher = is_watcher
         self._reachable = True
-        self._begun_at = float("-inf")
-        self.seen = False
+        self._called_at = float("-inf")
+        self.has_listed = False
 
     async def run(self) -> None:
         """Follow until cancelled."""
         revision: int | None = None
         while True:
-            self._begun_at = monotonic()
+            self._called_at = monotonic()
             try:
                 if revision is None:
                     revision = await self._list()
-                elif self._watches():
-                    revision = await self._watch(revision, WATCH_SECONDS)
+                elif self._is_watcher():
+                    revision = await self._watch(revision, WATCH_TIMEOUT_SECONDS)
                 else:
-                    revision = await self._follow_peers(revision)
+                    revision = await self._wait_as_non_watcher(revision)
                     continue
-                self._note_reachable(True, "")
+                self._record_reachable(True, "")
             except PlatformUnavailable as exc:
-                self._note_reachable(False, str(exc))
-                await curio.sleep(RETRY_SECONDS)
+                self._record_reachable(False, str(exc))
+                await curio.sleep(RETRY_DELAY_SECONDS)
 
     async def _list(self) -> int:
         listing = await self._platform.list(self._kind)
-        await self._listed(listing.by_name, listing.revision)
-        self.seen = True
+        await self._merge_listing(listing.by_name, listing.revision)
+        self.has_listed = True
         return listing.revision
 
     async def _watch(self, revision: int, seconds: float) -> int | None:
@@ -107,22 +125,22 @@
             log_info("history_lost", kind=self._kind, revision=revision)
             return None
         for change in changes.changes:
-            await self._changed(change.name, change.version, change.stored)
+            await self._merge_change(change.name, change.version, change.stored)
         revision = max(revision, changes.revision)
-        await self._watched(changes.changes, revision)
-        if changes.changes and self._gathers:
-            await curio.sleep(GATHER_SECONDS)
+        await self._handle_watched(changes.changes, revision)
+        if changes.changes and self._batches_changes:
+            await curio.sleep(BATCH_DELAY_SECONDS)
         return revision
 
-    async def _follow_peers(self, revision: int) -> int | None:
-        """Wait a moment; return the revision to watch from."""
-        await curio.sleep(LOOK_SECONDS)
+    async def _wait_as_non_watcher(self, revision: int) -> int | None:
+        """Wait for forwarded changes; return the revision to watch from."""
+        await curio.sleep(WATCHER_CHECK_SECONDS)
         return revision
 
-    async def _watched(self, changes: tuple[Change, ...], revision: int) -> None:
-        """Pass on what a watch brought."""
+    async def _handle_watched(self, changes: tuple[Change, ...], revision: int) -> None:
+        """Forward the changes that a watch returned."""
 
-    def _note_reachable(self, reachable: bool, error: str) -> None:
+    def _record_reachable(self, reachable: bool, error: str) -> None:
         if reachable == self._reachable:
             return
         self._reachable = reachable
@@ -131,32 +149,44 @@
             return
         log_warning("dependency_lost", dependency=self._kind, error=error)
 
-    async def _listed(self, by_name: dict[str, Stored], revision: int) -> None:
+    async def _merge_listing(self, by_name: dict[str, Stored], revision: int) -> None:
         raise NotImplementedError
 
-    async def _changed(self, name: str, version: int, stored: Stored | None) -> None:
+    async def _merge_change(
+        self, name: str, version: int, stored: Stored | None
+    ) -> None:
         raise NotImplementedError
 
 
 class ConfigurationFollower(_Follower):
-    """Follows the one object of the configuration."""
+    """Follows the configuration object.
+
+    Parameters
+    ----------
+    apply : callable
+        Applies a configuration, given with its encoded form.
+    """
 
     def __init__(
         self,
         *,
         platform: Platform,
-        take: ConfigurationTaker,
-        watches: Callable[[], bool],
+        apply: ConfigurationCallback,
+        is_watcher: Callable[[], bool],
     ) -> None:
-        super().__init__(platform=platform, kind=CONFIGURATION_KIND, watches=watches)
-        self._take = take
+        super().__init__(
+            platform=platform, kind=CONFIGURATION_KIND, is_watcher=is_watcher
+        )
+        self._apply = apply
 
-    async def _listed(self, by_name: dict[str, Stored], revision: int) -> None:
+    async def _merge_listing(self, by_name: dict[str, Stored], revision: int) -> None:
         stored = by_name.get(CONFIGURATION_NAME)
         if stored is not None:
-            await self._changed(stored.name, stored.version, stored)
+            await self._merge_change(stored.name, stored.version, stored)
 
-    async def _changed(self, name: str, version: int, stored: Stored | None) -> None:
+    async def _merge_change(
+        self, name: str, version: int, stored: Stored | None
+    ) -> None:
         if name != CONFIGURATION_NAME or stored is None:
             return
         try:
@@ -164,7 +194,7 @@
         except ConfigurationUnreadable as exc:
             log_warning("configuration_unreadable", version=version, error=str(exc))
             return
-        await self._take(configuration, stored.value)
+        await self._apply(configuration, stored.value)
 
 
 class UpstreamFollower(_Follower):
@@ -172,166 +202,183 @@
 
     Parameters
     ----------
-    share : callable
-        Sends changes to the processes that don't watch.
+    directory : Directory
+        Merges the entries.
+    apply : callable
+        Applies the resulting changes of the directory.
+    forward : callable
+        Sends changes of entries to the processes that don't watch.
     """
 
-    _gathers = True
+    _batches_changes = True
 
     def __init__(
         self,
         *,
         platform: Platform,
         directory: Directory,
-        take: MovesTaker,
-        watches: Callable[[], bool],
-        share: ChangesSharer,
+        apply: DirectoryChangesCallback,
+        is_watcher: Callable[[], bool],
+        forward: UpstreamChangesCallback,
     ) -> None:
-        super().__init__(platform=platform, kind=UPSTREAMS_KIND, watches=watches)
+        super().__init__(platform=platform, kind=UPSTREAMS_KIND, is_watcher=is_watcher)
         self._directory = directory
-        self._take = take
-        self._share = share
+        self._apply = apply
+        self._forward = forward
         self._feed = Feed()
 
     @property
-    def newest(self) -> int:
-        """Revision of the newest change that this process knows of."""
-        return self._feed.newest
+    def newest_revision(self) -> int:
+        """Revision of the newest change that is known here."""
+        return self._feed.newest_revision
 
-    def heard_newest(self, revision: int) -> None:
-        """Note the newest change that a peer knows of."""
-        self._feed.heard(revision)
+    def receive_newest_revision(self, revision: int) -> None:
+        """Record the revision of the newest change that a peer knows."""
+        self._feed.record_peer_revision(revision)
 
-    async def heard(self, message: UpstreamChanges) -> None:
-        """Take in changes from a process that watches."""
+    async def receive_changes(self, message: UpstreamChanges) -> None:
+        """Merge changes from a process that watches."""
         now = monotonic()
-        self._directory.lost_platform(now, seconds=message.lapse_seconds)
-        for change in map(change_of, message.objects):
-            await self._changed(change.name, change.version, change.stored)
-        whole = self._feed.passed_on(since=message.since, revision=message.revision)
-        if not whole:
+        self._directory.record_outage(now, seconds=message.lapse_seconds)
+        for change in map(decode_change, message.objects):
+            await self._merge_change(change.name, change.version, change.stored)
+        is_complete = self._feed.record_forwarded(
+            since=message.since, revision=message.revision
+        )
+        if not is_complete:
             log_info(
                 "upstream_change_missing",
-                complete=self._feed.complete,
+                complete=self._feed.complete_revision,
                 since=message.since,
                 revision=message.revision,
             )
 
     async def expire(self) -> None:
-        """Give up entries that did not come back after an outage."""
-        await self._take(self._directory.expire(monotonic()))
+        """Delete the entries that were not written again after an outage."""
+        await self._apply(self._directory.expire(monotonic()))
 
-    def _note_reachable(self, reachable: bool, error: str) -> None:
+    def _record_reachable(self, reachable: bool, error: str) -> None:
         now = monotonic()
         if not reachable:
-            self._directory.lost_platform(now)
+            self._directory.record_outage(now)
         elif not self._reachable:
-            back_at = min(now, self._begun_at + ACCEPT_SECONDS)
-            self._directory.lost_platform(back_at)
-        super()._note_reachable(reachable, error)
+            back_at = min(now, self._called_at + CALL_ACCEPT_SECONDS)
+            self._directory.record_outage(back_at)
+        super()._record_reachable(reachable, error)
 
     async def _list(self) -> int:
         if not self._reachable:
-            self._directory.lost_platform(monotonic())
+            self._directory.record_outage(monotonic())
         return await super()._list()
 
     async def _watch(self, revision: int, seconds: float) -> int | None:
         if not self._reachable:
-            self._directory.lost_platform(monotonic())
+            self._directory.record_outage(monotonic())
         return await super()._watch(revision, seconds)
 
-    async def _follow_peers(self, revision: int) -> int | None:
-        revision = await super()._follow_peers(revision)
-        if not self._feed.lags(monotonic()):
-            return max(revision, self._feed.complete)
-        # Entries may be missing after an outage that this process did not notice.
-        self._directory.lost_platform(monotonic())
-        log_info("upstreams_behind", complete=self._feed.complete)
+    async def _wait_as_non_watcher(self, revision: int) -> int | None:
+        revision = await super()._wait_as_non_watcher(revision)
+        if not self._feed.is_lagging(monotonic()):
+            return max(revision, self._feed.complete_revision)
+        # After an outage that this process did not notice, entries may be missing.
+        self._directory.record_outage(monotonic())
+        log_info("upstreams_behind", complete=self._feed.complete_revision)
         return await self._watch(revision, 0.0)
 
-    async def _watched(self, changes: tuple[Change, ...], revision: int) -> None:
+    async def _handle_watched(self, changes: tuple[Change, ...], revision: int) -> None:
         newest = max((change.version for change in changes), default=0)
-        since = self._feed.watched(revision=revision, newest=newest)
-        if not changes or not self._watches():
+        since = self._feed.record_watch(revision=revision, newest=newest)
+        if not changes or not self._is_watcher():
             return
-        await self._share(
+        await self._forward(
             UpstreamChanges(
                 since=since,
                 revision=newest,
-                objects=tuple(versioned_change(self._kind, one) for one in changes),
-                lapse_seconds=self._directory.lapse_seconds(monotonic()),
+                objects=tuple(encode_change(self._kind, entry) for entry in changes),
+                lapse_seconds=self._directory.outage_seconds_left(monotonic()),
             )
         )
 
-    async def _listed(self, by_name: dict[str, Stored], revision: int) -> None:
+    async def _merge_listing(self, by_name: dict[str, Stored], revision: int) -> None:
         readable = {}
         for name, stored in by_name.items():
-            upstream = _upstream(stored)
+            upstream = _decode_upstream(stored)
             if upstream is not None:
                 readable[name] = (stored.version, upstream)
-        moves = self._directory.listed(readable, revision=revision, now=monotonic())
+        changes = self._directory.merge_listing(
+            readable, revision=revision, now=monotonic()
+        )
         newest = max((stored.version for stored in by_name.values()), default=0)
-        self._feed.listed(revision=revision, newest=newest)
-        await self._take(moves)
+        self._feed.record_listing(revision=revision, newest=newest)
+        await self._apply(changes)
 
-    async def _changed(self, name: str, version: int, stored: Stored | None) -> None:
-        upstream = None if stored is None else _upstream(stored)
+    async def _merge_change(
+        self, name: str, version: int, stored: Stored | None
+    ) -> None:
+        upstream = None if stored is None else _decode_upstream(stored)
         now = monotonic()
         if upstream is None:
-            moves = self._directory.vanished(name, version=version, now=now)
+            changes = self._directory.record_deletion(name, version=version, now=now)
         else:
-            moves = self._directory.written(name, upstream, version=version, now=now)
-        await self._take(moves)
+            changes = self._directory.merge_entry(
+                name, upstream, version=version, now=now
+            )
+        await self._apply(changes)
 
 
 class EvacuationFollower(_Follower):
     """Follows which availability zones are evacuated.
 
-    An entry counts by its name alone, whether it can be read or not: sending on to a
-    zone that somebody empties does more harm than sparing one.
+    An entry counts by its name, even if its value is unreadable: requests sent to a
+    zone under evacuation do more harm than a zone without requests.
 
     Parameters
     ----------
-    take, share : callable
-        Take the whole set of zones here, and send it to the processes that don't
-        watch.
+    apply : callable
+        Applies the full set of evacuated zones.
+    forward : callable
+        Sends the set to the processes that don't watch.
     """
 
     def __init__(
         self,
         *,
         platform: Platform,
-        take: ZonesTaker,
-        share: ZonesTaker,
-        watches: Callable[[], bool],
+        apply: ZonesCallback,
+        forward: ZonesCallback,
+        is_watcher: Callable[[], bool],
     ) -> None:
-        super().__init__(platform=platform, kind=EVACUATIONS_KIND, watches=watches)
-        self._take = take
-        self._share = share
+        super().__init__(
+            platform=platform, kind=EVACUATIONS_KIND, is_watcher=is_watcher
+        )
+        self._apply = apply
+        self._forward = forward
         self._zones: set[str] = set()
 
-    async def _listed(self, by_name: dict[str, Stored], revision: int) -> None:
+    async def _merge_listing(self, by_name: dict[str, Stored], revision: int) -> None:
         self._zones = set(by_name)
-        await self._take(evacuated_zones(self._zones, revision))
+        await self._apply(evacuated_zones(self._zones, revision))
 
-    async def _changed(self, name: str, version: int, stored: Stored | None) -> None:
+    async def _merge_change(
+        self, name: str, version: int, stored: Stored | None
+    ) -> None:
         if stored is None:
             self._zones.discard(name)
         else:
             self._zones.add(name)
 
-    async def _watched(self, changes: tuple[Change, ...], revision: int) -> None:
+    async def _handle_watched(self, changes: tuple[Change, ...], revision: int) -> None:
         if not changes:
             return
-        found = evacuated_zones(self._zones, revision)
-        await self._take(found)
-        await self._share(found)
+        evacuated = evacuated_zones(self._zones, revision)
+        await self._apply(evacuated)
+        await self._forward(evacuated)
 
 
-def _upstream(stored: Stored) -> Upstream | None:
+def _decode_upstream(stored: Stored) -> Upstream | None:
     try:
         return decode_value(stored.value, Upstream)
     except ConfigurationUnreadable as exc:
-        # Another writer's entry names no upstream; the others hold.
+        # Skipped: an unreadable entry must not affect the other upstreams.
         log_warning("entry_unreadable", name=stored.name, error=str(exc))
         return None
--- a/src/ragwortkeel/ingress/front.py
+++ b/src/ragwortkeel/ingress/front.py
@@ -1,22 +1,22 @@
-"""Serves callers: decides where a request belongs and hands it on."""
+"""Accepts callers' requests: chooses the route, the customer and the service."""
 
 from hashlib import blake2b
 
 from ragwortkeel.http_responder import Request, Responder
-from ragwortkeel.ingress.answers import (
+from ragwortkeel.ingress.attempt import CallerRequest
+from ragwortkeel.ingress.configuration import Customer, Route
+from ragwortkeel.ingress.error_responses import (
     BAD_REQUEST,
     NO_CONFIGURATION,
     NO_ROUTE,
     NO_UPSTREAM,
     STOPPING,
     UNKNOWN_KEY,
-    Answer,
-    send_answer,
+    ErrorResponse,
+    send_error,
 )
-from ragwortkeel.ingress.attempt import Call
-from ragwortkeel.ingress.configuration import Customer, Route
-from ragwortkeel.ingress.exchange import Accepted, Exchange
-from ragwortkeel.ingress.front_parts import FrontParts
+from ragwortkeel.ingress.exchange import AcceptedRequest, Exchange
+from ragwortkeel.ingress.front_components import FrontComponents
 from ragwortkeel.ingress.placement import Job
 from ragwortkeel.ingress.routing import (
     NoRoute,
@@ -25,7 +25,7 @@
     UnknownKey,
     split_service,
 )
-from ragwortkeel.ingress.usage import parse_parts, parse_usage
+from ragwortkeel.ingress.usage import parse_prompt_blocks, parse_usage
 
 BEARER = "bearer "
 LOWEST_URGENCY = 9
@@ -37,37 +37,41 @@
 
     Parameters
     ----------
-    parts : FrontParts
-        What requests share.
+    components : FrontComponents
+        The components that all requests share.
 
     Attributes
     ----------
+    table : RoutingTable or None
+        The routes of the configuration in force, None before the first one.
     stopping : bool
-        Whether a planned stop is so far that a new request could be cut.
+        Whether a planned stop has gone so far that a new request might be cut off.
     """
 
-    def __init__(self, *, parts: FrontParts) -> None:
+    def __init__(self, *, components: FrontComponents) -> None:
         self.table: RoutingTable | None = None
         self.stopping = False
-        self._parts = parts
-        self._names = parts.names
+        self._components = components
+        self._names = components.names
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Serve one request."""
+        """Serve or refuse one request."""
         match self._accept(request):
-            case Accepted() as accepted:
-                exchange = Exchange(parts=self._parts, accepted=accepted, to=responder)
+            case AcceptedRequest() as accepted:
+                exchange = Exchange(
+                    parts=self._components, accepted=accepted, to=responder
+                )
                 await exchange.run()
-            case Answer() as answer:
+            case ErrorResponse() as answer:
                 request_id = request.headers.get(self._names.request_id, "")
                 table = self.table
                 revision = table.configuration.revision if table else None
-                self._parts.refused(
+                self._components.record_refusal(
                     request_id, answer, route="", waited=0.0, revision=revision
                 )
-                await send_answer(responder, answer)
+                await send_error(responder, answer)
 
-    def _accept(self, request: Request) -> Accepted | Answer:
+    def _accept(self, request: Request) -> AcceptedRequest | ErrorResponse:
         if self.table is None:
             return NO_CONFIGURATION
         if self.stopping:
@@ -76,7 +80,7 @@
         routing = self.table.route(
             host=headers.get("host", ""),
             path=request.target.partition("?")[0],
-            key=_key(headers.get("authorization", "")),
+            key=_api_key(headers.get("authorization", "")),
         )
         match routing:
             case NoRoute():
@@ -84,11 +88,11 @@
             case UnknownKey():
                 return UNKNOWN_KEY
             case Routed(route=route, customer=customer):
-                return self._routed(request, route, customer)
+                return self._accept_routed(request, route, customer)
 
-    def _routed(
+    def _accept_routed(
         self, request: Request, route: Route, customer: Customer | None
-    ) -> Accepted | Answer:
+    ) -> AcceptedRequest | ErrorResponse:
         names, headers = self._names, request.headers
         request_id = headers.get(names.request_id, "")
         service = self.table.service_by_name.get(split_service(route, request_id))
@@ -102,25 +106,25 @@
             service=service.name,
             priority=_priority(route, customer),
             customer=customer.name if customer else "",
-            parts=parse_parts(headers.get(names.parts, "")),
+            prompt_blocks=parse_prompt_blocks(headers.get(names.parts, "")),
             prompt_tokens=usage.prompt_tokens if usage else 0,
-            memory_tokens=usage.total if usage else 0,
+            memory_tokens=usage.total_tokens if usage else 0,
             regions=_regions(route, customer),
         )
-        patience = min(_deadline(headers.get(names.deadline)), route.timeout_seconds)
-        call = Call(
+        timeout = min(_deadline(headers.get(names.deadline)), route.timeout_seconds)
+        call = CallerRequest(
             request_id=request_id,
             method=request.method,
             target=request.target,
             fields=request.fields,
             body=request.body,
             route=route,
-            deadline=request.arrived_at + patience,
+            deadline=request.arrived_at + timeout,
             customer=job.customer,
             urgency=min(LOWEST_URGENCY, job.priority) if service.engine else None,
             last_event=headers.get(names.last_event, ""),
         )
-        return Accepted(
+        return AcceptedRequest(
             call=call,
             job=job,
             service=service,
@@ -134,14 +138,21 @@
 
 
 def _regions(route: Route, customer: Customer | None) -> frozenset[str] | None:
-    """Return where a request may run: where both have homes, in those of both."""
-    homes = [one for one in (route.homes, customer.homes if customer else ()) if one]
-    if not homes:
+    """Return the regions that may serve the request, None for all.
+
+    If both the route and the customer have homes, these are the common ones.
+    """
+    home_sets = [
+        regions
+        for regions in (route.homes, customer.homes if customer else ())
+        if regions
+    ]
+    if not home_sets:
         return None
-    return frozenset.intersection(*map(frozenset, homes))
+    return frozenset.intersection(*map(frozenset, home_sets))
 
 
-def _key(authorization: str) -> str:
+def _api_key(authorization: str) -> str:
     if not authorization.lower().startswith(BEARER):
         return ""
     return authorization[len(BEARER) :].strip()
--- a/src/ragwortkeel/ingress/peer_handler.py
+++ b/src/ragwortkeel/ingress/peer_handler.py
@@ -1,4 +1,4 @@
-"""What the owner of a process's links provides and takes in."""
+"""The interface between a process's links to peers and the state of the process."""
 
 from typing import Protocol
 
@@ -20,84 +20,89 @@
 
 
 class PeerHandler(Protocol):
-    """What the owner of the links does with what peers say."""
+    """Provides the content of messages to peers, and receives messages of peers."""
 
     def revision(self) -> int:
         """Return the revision of the configuration in force; 0 for none."""
 
-    def heard_revision(self, peer: str, revision: int) -> None:
-        """Take in which configuration a peer has in force; 0 for none."""
+    def receive_revision(self, peer: str, revision: int) -> None:
+        """Receive the revision of a peer's configuration in force; 0 for none."""
 
     def heartbeat(self) -> Heartbeat:
-        """Return what keeps a peer's link up."""
+        """Return the heartbeat that keeps a peer's link up."""
 
     def own_loads(self) -> dict[str, Load]:
-        """Return what this process has at each upstream."""
+        """Return this process's load at each upstream."""
 
-    def parts_news(self) -> dict[str, dict[int, int]]:
-        """Return what upstreams began to read; see `Placement.news`."""
+    def drain_prompt_blocks(self) -> dict[str, dict[int, int]]:
+        """Return and clear the prompt blocks that upstreams began to read.
 
-    def all_parts(self) -> dict[str, dict[int, int]]:
-        """Return what upstreams hold of shared prompt parts."""
+        See `Placement.drain_prompt_blocks`.
+        """
 
-    def heard_parts(self, upstream: str, tokens_by_chain: dict[int, int]) -> None:
-        """Take in what a peer let an upstream read."""
+    def all_prompt_blocks(self) -> dict[str, dict[int, int]]:
+        """Return the prompt blocks in the upstreams' prefix caches."""
+
+    def merge_prompt_blocks(
+        self, upstream: str, tokens_by_prefix_hash: dict[int, int]
+    ) -> None:
+        """Merge the prompt blocks that an upstream read for a peer."""
 
     def configuration_object(self) -> VersionedObject | None:
         """Return the configuration in force."""
 
-    def heard_clock(self, peer: str, answer: ClockAnswer) -> None:
-        """Take in a peer's time of day."""
+    def receive_clock(self, peer: str, answer: ClockAnswer) -> None:
+        """Receive a peer's time of day."""
 
-    async def heard_loads(
+    async def merge_loads(
         self, node: str, load_by_upstream: dict[str, Load], *, hold_seconds: float
     ) -> None:
-        """Take in what a peer has at each upstream, and for how long it holds."""
+        """Merge a peer's load at each upstream, valid for `hold_seconds`."""
 
-    async def heard_configuration(self, pushed: VersionedObject) -> None:
-        """Take over a peer's configuration where it is newer."""
+    async def receive_configuration(self, pushed: VersionedObject) -> None:
+        """Receive a peer's configuration; apply it if it is newer."""
 
-    def heard_crash(self, crash: CrashSeen) -> None:
-        """Take in a crash that a peer found."""
+    def receive_crash(self, crash: CrashSeen) -> None:
+        """Receive a crash that a peer found."""
 
-    def limits(self) -> dict[str, AnnouncedLimit]:
-        """Return what answers said lately of their upstreams' rate limits."""
+    def announced_limits(self) -> dict[str, AnnouncedLimit]:
+        """Return the rate limits that upstreams' answers announced lately."""
 
     def merge_limits(self, limit_by_upstream: dict[str, AnnouncedLimit]) -> None:
-        """Take in what answers to a peer said."""
+        """Merge the rate limits that answers to a peer announced."""
 
     def upstreams_revision(self) -> int:
-        """Return the revision of the newest change of an upstream's entry here."""
+        """Return the revision of the newest known change of an upstream's entry."""
 
-    def heard_upstreams_revision(self, revision: int) -> None:
-        """Take in the newest such change that a peer knows of."""
+    def receive_upstreams_revision(self, revision: int) -> None:
+        """Receive the revision of the newest change of an entry known to a peer."""
 
-    async def heard_upstreams(self, changes: UpstreamChanges) -> None:
-        """Take in changes from a peer that watches the platform."""
+    async def receive_upstream_changes(self, changes: UpstreamChanges) -> None:
+        """Receive changes of entries from a peer that watches the platform."""
 
     def evacuated_zones(self) -> EvacuatedZones:
-        """Return the evacuated availability zones as known here."""
+        """Return the evacuated availability zones known here."""
 
-    async def report_evacuated(self, found: EvacuatedZones) -> None:
-        """Take in the evacuated availability zones as a peer knows them."""
+    async def merge_evacuated_zones(self, found: EvacuatedZones) -> None:
+        """Merge the evacuated availability zones known to a peer."""
 
     async def lend(self, request: LoanRequest) -> TokenLoan:
-        """Answer a peer that lacks tokens."""
+        """Return the answer to a peer that lacks tokens: a loan or returned tokens."""
 
-    async def borrowed(self, loan: TokenLoan) -> None:
-        """Take in what a peer did for requests that wait for tokens here."""
+    async def receive_loan(self, loan: TokenLoan) -> None:
+        """Receive a peer's answer to a request for tokens."""
 
     def writing_step(self) -> int:
-        """Return how slowly this process writes ledgers; see `budget.turns`."""
+        """Return how slowly this process writes ledgers; see `budget.write_order`."""
 
-    def renewals_called(self) -> HandedRenewals | None:
-        """Return what a peer that writes the ledgers should take along."""
+    def receive_renewal_call(self) -> HandedRenewals | None:
+        """Return the renewals for a peer that is about to write, None for none."""
 
-    async def heard_renewals(self, handed: HandedRenewals) -> None:
-        """Take in renewals to write along."""
+    async def receive_renewals(self, delegated: HandedRenewals) -> None:
+        """Receive a peer's renewals for the next write."""
 
-    async def renewals_written(self, answer: RenewalsWritten) -> None:
-        """Take in what became of renewals that a peer was handed."""
+    async def receive_renewals_written(self, answer: RenewalsWritten) -> None:
+        """Receive the outcome of renewals that were delegated to a peer."""
 
-    async def relayed(self, answer: PlatformAnswer) -> None:
-        """Take in the answer to a call that a peer made."""
+    async def receive_platform_answer(self, answer: PlatformAnswer) -> None:
+        """Receive the answer to a platform call that a peer relayed."""
--- a/src/ragwortkeel/ingress/relaying.py
+++ b/src/ragwortkeel/ingress/relaying.py
@@ -1,13 +1,14 @@
-"""A way to the platform round a cut: calls that a peer makes for this process.
+"""Calls of the platform through a peer, while this process can't reach it.
 
-Failure: some or all ingress instances lose the platform while others, or the
-small instances beside the upstreams, still reach it.  Budgets then can't be
-renewed, changes are not heard, and callers are refused for the length of the cut.
+In a partition some or all ingress instances are disconnected from the platform while
+others, or the small instances beside the upstreams, still reach it.  Without relayed
+calls budgets could not be renewed, changes would not be received, and callers would be
+refused until the partition ends.
 
-A call goes straight while that works.  Once it fails, calls go through a peer
-until a look shows that the straight way is back.  A relayed call has the same
-outcomes as a straight one; in particular a write whose answer is lost on either
-leg is an `OutcomeUnknown`.
+Calls are direct as long as that works.  After a failure they go through a peer, until a
+probe shows that the platform is reachable again.  A relayed call has the same outcomes
+as a direct one; in particular a write whose answer is lost, between the platform and
+the peer or between the peer and this process, raises `OutcomeUnknown`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -37,19 +38,21 @@
 )
 from ragwortkeel.platform import Change, Changes, Instance, Listing, Platform, Stored
 
-ANSWER_SECONDS = 0.9
-"""For a relayed call beside its own wait: the relay's call of the platform times
-out after 0.6 s, and the way there and back takes a few milliseconds."""
+ANSWER_TIMEOUT_SECONDS = 0.9
+"""Timeout of a relayed call, in addition to the call's own wait.
 
-LOOK_SECONDS = 1.0
-"""How often the straight way is looked at while it is gone; a call that is paid
-for each time."""
+The relay's call of the platform times out after 0.6 s, and the transmission takes a few
+milliseconds.
+"""
+
+PROBE_SECONDS = 1.0
+"""Interval of probes while direct calls fail; each one is a call that is paid for."""
 
 AVOID_SECONDS = 2.0
-"""A relay that does not reach the platform itself is left alone for so long."""
+"""How long a relay that can't reach the platform is not used."""
 
-TRIED_RELAYS = 2
-"""For one call; when two don't reach the platform, it is likely down for all."""
+MAX_RELAYS_TRIED = 2
+"""Limit for one call: if two can't reach the platform, it is probably down."""
 
 _ERROR_BY_CLASS: dict[type[ClientError], PlatformError] = {
     PlatformUnavailable: PlatformError.UNAVAILABLE,
@@ -66,23 +69,23 @@
 
 
 class Relay(Protocol):
-    """A link to a peer, as far as relaying needs it."""
+    """A link to a peer that may relay calls."""
 
     name: str
 
     async def send(self, message: PlatformCall) -> None:
-        """Send a message; `LinkLost` where that is not possible."""
+        """Send a call; raise `LinkLost` if that is not possible."""
 
 
 class RelayedPlatform:
-    """A `Platform` that goes straight, or through a peer where that fails.
+    """A `Platform` whose calls are direct, or through a peer when those fail.
 
     Parameters
     ----------
     direct : Platform
-        The straight way.
+        The platform, called directly.
     relays : callable
-        Returns the links to peers that may relay, the best first.
+        Returns the links to peers that may relay, in order of preference.
     """
 
     def __init__(self, *, direct: Platform, relays: Callable[[], list[Relay]]) -> None:
@@ -92,18 +95,18 @@
         self._answer_by_id: dict[int, PlatformAnswer | None] = {}
         self._arrived_by_id: dict[int, curio.Event] = {}
         self._avoided_until: dict[str, float] = {}
-        self._away = False
-        self._look_at = 0.0
+        self._direct_failed = False
+        self._probe_at = 0.0
 
     async def get(self, kind: str, name: str, *, stale: bool = False) -> Stored | None:
-        """Return the object, or None where there is none; stale only straight."""
+        """Return the object, None if there is none; only a direct call may be stale."""
         answer = await self._call(
             lambda: _get(self._direct, kind, name, stale=stale),
             operation=PlatformOperation.GET,
             kind=kind,
             name=name,
         )
-        return _stored(answer.objects[0]) if answer.objects else None
+        return _decode_stored(answer.objects[0]) if answer.objects else None
 
     async def list(self, kind: str, prefix: str = "") -> Listing:
         """Return all objects of a kind whose names start with `prefix`."""
@@ -113,11 +116,11 @@
             kind=kind,
             name=prefix,
         )
-        by_name = {one.name: _stored(one) for one in answer.objects}
+        by_name = {one.name: _decode_stored(one) for one in answer.objects}
         return Listing(by_name=by_name, revision=answer.version)
 
     async def create(self, kind: str, name: str, value: bytes) -> int:
-        """Create the object and return its version; else `AlreadyExists`."""
+        """Create the object and return its version, or raise `AlreadyExists`."""
         answer = await self._call(
             lambda: _create(self._direct, kind, name, value),
             operation=PlatformOperation.CREATE,
@@ -128,7 +131,7 @@
         return answer.version
 
     async def update(self, kind: str, name: str, value: bytes, version: int) -> int:
-        """Replace the object at `version`; else `VersionConflict`."""
+        """Replace the object at `version`, or raise `VersionConflict`."""
         answer = await self._call(
             lambda: _update(self._direct, kind, name, value, version),
             operation=PlatformOperation.UPDATE,
@@ -140,7 +143,7 @@
         return answer.version
 
     async def delete(self, kind: str, name: str, version: int) -> None:
-        """Delete the object at `version`, straight only."""
+        """Delete the object at `version`, only by a direct call."""
         await self._direct.delete(kind, name, version)
 
     async def watch(self, kind: str, revision: int, timeout: float) -> Changes:
@@ -152,103 +155,105 @@
             version=revision,
             seconds=timeout,
         )
-        changes = tuple(change_of(one) for one in answer.objects)
+        changes = tuple(decode_change(one) for one in answer.objects)
         return Changes(changes=changes, revision=answer.version, gap=answer.gap)
 
     async def live(self) -> dict[str, Instance]:
-        """Return the list of instances, straight only."""
+        """Return the list of instances, only by a direct call."""
         return await self._direct.live()
 
-    async def answered(self, answer: PlatformAnswer) -> None:
-        """Take in a relay's answer; one that nobody waits for is dropped."""
+    async def receive_answer(self, answer: PlatformAnswer) -> None:
+        """Receive a relay's answer; drop it if its call has timed out."""
         arrived = self._arrived_by_id.get(answer.call_id)
         if arrived is not None:
             self._answer_by_id[answer.call_id] = answer
             await arrived.set()
 
     async def run(self) -> None:
-        """Look for the straight way while it is gone, until cancelled."""
+        """Probe the platform while direct calls fail, until cancelled."""
         while True:
-            await curio.sleep(LOOK_SECONDS)
-            if self._away:
-                await self._look()
+            await curio.sleep(PROBE_SECONDS)
+            if self._direct_failed:
+                await self._probe_direct()
 
-    async def _look(self) -> None:
+    async def _probe_direct(self) -> None:
         try:
-            # Any answer will do; there is no such object.
+            # Any answer shows that the platform is reachable; no such object exists.
             await self._direct.get("looks", "look")
         except PlatformUnavailable:
             return
-        self._away = False
+        self._direct_failed = False
         log_info("dependency_regained", dependency="platform", way="direct")
 
     async def _call(
         self, direct: Callable[[], Awaitable[PlatformAnswer]], **fields
     ) -> PlatformAnswer:
-        if not self._away or not self._relays():
+        if not self._direct_failed or not self._relays():
             try:
                 return await direct()
             except OutcomeUnknown as exc:
-                # A write without an answer is mostly a cut.  Whoever repeats it looks
-                # first, and that look would hang as long as the write did.
-                self._lost(str(exc))
+                # A write without an answer mostly indicates a partition.  The caller
+                # reads before it repeats the write, and a direct read would hang too.
+                self._record_direct_failure(str(exc))
                 raise
             except PlatformUnavailable as exc:
-                self._lost(str(exc))
-        return await self._relayed(PlatformCall(call_id=next(self._ids), **fields))
+                self._record_direct_failure(str(exc))
+        return await self._call_through_peers(
+            PlatformCall(call_id=next(self._ids), **fields)
+        )
 
-    def _lost(self, error: str) -> None:
-        if not self._away:
-            self._away = True
+    def _record_direct_failure(self, error: str) -> None:
+        if not self._direct_failed:
+            self._direct_failed = True
             log_warning(
                 "dependency_lost", dependency="platform", way="direct", error=error
             )
 
-    async def _relayed(self, call: PlatformCall) -> PlatformAnswer:
+    async def _call_through_peers(self, call: PlatformCall) -> PlatformAnswer:
         now = monotonic()
         relays = [
             relay
             for relay in self._relays()
             if self._avoided_until.get(relay.name, 0.0) <= now
         ]
-        for relay in relays[:TRIED_RELAYS]:
-            answer = await self._ask(relay, call)
+        for relay in relays[:MAX_RELAYS_TRIED]:
+            answer = await self._call_through(relay, call)
             if answer.error is not PlatformError.UNAVAILABLE:
-                return _raised(answer)
+                return _raise_error(answer)
             self._avoided_until[relay.name] = monotonic() + AVOID_SECONDS
-        raise PlatformUnavailable("neither straight nor through a peer")
+        raise PlatformUnavailable("platform unreachable directly and through peers")
 
-    async def _ask(self, relay: Relay, call: PlatformCall) -> PlatformAnswer:
-        """Return the relay's answer, or the outcome that its silence leaves."""
+    async def _call_through(self, relay: Relay, call: PlatformCall) -> PlatformAnswer:
+        """Return the relay's answer, or the error that its absence implies."""
         arrived = self._arrived_by_id[call.call_id] = curio.Event()
         try:
             await relay.send(call)
-            async with curio.ignore_after(ANSWER_SECONDS + call.seconds):
+            async with curio.ignore_after(ANSWER_TIMEOUT_SECONDS + call.seconds):
                 await arrived.wait()
         except LinkLost:
-            return _failed(call, PlatformError.UNAVAILABLE)
+            return _error_answer(call, PlatformError.UNAVAILABLE)
         finally:
             del self._arrived_by_id[call.call_id]
             answer = self._answer_by_id.pop(call.call_id, None)
         if answer is not None:
             return answer
         if call.operation in _READS:
-            return _failed(call, PlatformError.UNAVAILABLE)
-        return _failed(call, PlatformError.UNKNOWN)
+            return _error_answer(call, PlatformError.UNAVAILABLE)
+        return _error_answer(call, PlatformError.UNKNOWN)
 
 
-async def carry_out(platform: Platform, call: PlatformCall) -> PlatformAnswer:
-    """Make a peer's call and return its answer; never raises a platform error."""
+async def execute_call(platform: Platform, call: PlatformCall) -> PlatformAnswer:
+    """Execute a peer's call and return its answer, also for platform errors."""
     try:
-        answer = await _carried_out(platform, call)
+        answer = await _execute(platform, call)
     except VersionConflict as exc:
-        objects = () if exc.current is None else (_versioned(exc.current),)
+        objects = () if exc.current is None else (_encode_stored(exc.current),)
         return PlatformAnswer(
             call_id=call.call_id, error=PlatformError.CONFLICT, objects=objects
         )
     except ClientError as exc:
         error = _ERROR_BY_CLASS.get(type(exc), PlatformError.UNAVAILABLE)
-        return _failed(call, error)
+        return _error_answer(call, error)
     return PlatformAnswer(
         call_id=call.call_id,
         objects=answer.objects,
@@ -257,7 +262,7 @@
     )
 
 
-async def _carried_out(platform: Platform, call: PlatformCall) -> PlatformAnswer:
+async def _execute(platform: Platform, call: PlatformCall) -> PlatformAnswer:
     match call.operation:
         case PlatformOperation.GET:
             return await _get(platform, call.kind, call.name)
@@ -277,13 +282,13 @@
     platform: Platform, kind: str, name: str, *, stale: bool = False
 ) -> PlatformAnswer:
     stored = await platform.get(kind, name, stale=stale)
-    objects = () if stored is None else (_versioned(stored),)
+    objects = () if stored is None else (_encode_stored(stored),)
     return PlatformAnswer(call_id=0, objects=objects)
 
 
 async def _list(platform: Platform, kind: str, prefix: str) -> PlatformAnswer:
     listing = await platform.list(kind, prefix)
-    objects = tuple(_versioned(stored) for stored in listing.by_name.values())
+    objects = tuple(_encode_stored(stored) for stored in listing.by_name.values())
     return PlatformAnswer(call_id=0, objects=objects, version=listing.revision)
 
 
@@ -293,7 +298,7 @@
     changes = await platform.watch(kind, revision, seconds)
     return PlatformAnswer(
         call_id=0,
-        objects=tuple(versioned_change(kind, one) for one in changes.changes),
+        objects=tuple(encode_change(kind, one) for one in changes.changes),
         version=changes.revision,
         gap=changes.gap,
     )
@@ -313,45 +318,45 @@
     return PlatformAnswer(call_id=0, version=written)
 
 
-def _versioned(stored: Stored) -> VersionedObject:
+def _encode_stored(stored: Stored) -> VersionedObject:
     return VersionedObject(
         kind=stored.kind, name=stored.name, version=stored.version, value=stored.value
     )
 
 
-def versioned_change(kind: str, change: Change) -> VersionedObject:
-    """Return a change as it goes over a link."""
+def encode_change(kind: str, change: Change) -> VersionedObject:
+    """Return a change as the object that is sent over a link."""
     if change.stored is not None:
-        return _versioned(change.stored)
+        return _encode_stored(change.stored)
     return VersionedObject(
         kind=kind, name=change.name, version=change.version, value=b"", gone=True
     )
 
 
-def _stored(found: VersionedObject) -> Stored:
+def _decode_stored(found: VersionedObject) -> Stored:
     return Stored(
         kind=found.kind, name=found.name, value=found.value, version=found.version
     )
 
 
-def change_of(found: VersionedObject) -> Change:
-    """Return the change that came over a link."""
+def decode_change(found: VersionedObject) -> Change:
+    """Return the change that an object received over a link stands for."""
     return Change(
         name=found.name,
         version=found.version,
-        stored=None if found.gone else _stored(found),
+        stored=None if found.gone else _decode_stored(found),
     )
 
 
-def _failed(call: PlatformCall, error: PlatformError) -> PlatformAnswer:
+def _error_answer(call: PlatformCall, error: PlatformError) -> PlatformAnswer:
     return PlatformAnswer(call_id=call.call_id, error=error)
 
 
-def _raised(answer: PlatformAnswer) -> PlatformAnswer:
+def _raise_error(answer: PlatformAnswer) -> PlatformAnswer:
     if answer.error is PlatformError.CONFLICT:
-        current = _stored(answer.objects[0]) if answer.objects else None
-        raise VersionConflict("through a peer", current=current)
+        current = _decode_stored(answer.objects[0]) if answer.objects else None
+        raise VersionConflict("platform call through a peer", current=current)
     cls = _CLASS_BY_ERROR.get(answer.error)
     if cls is not None:
-        raise cls("through a peer")
+        raise cls("platform call through a peer")
     return answer
--- a/src/ragwortkeel/ingress/writers.py
+++ b/src/ragwortkeel/ingress/writers.py
@@ -1,7 +1,8 @@
-"""The order in which processes write the ledgers, and the messages among them.
+"""The processes that write the ledgers, and the messages between them.
 
-`budget.turns` says what the order is; here is who belongs to it by what is heard, and
-how renewals reach whoever writes.  It is the `Group` of `ingress.renewals`.
+`budget.write_order` defines the order.  This module determines which processes belong
+to it, from the links that are up, and sends renewals to the writer.  `Writers` is the
+`RenewalPeers` of `ingress.renewals`.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -9,7 +10,7 @@
 
 import curio
 
-from ragwortkeel.budget.turns import Writer, first_in_order, place_in_order
+from ragwortkeel.budget.write_order import Writer, first_writer, rank_of
 from ragwortkeel.links import Link
 from ragwortkeel.messages import (
     HandedRenewals,
@@ -19,13 +20,15 @@
 )
 
 AVOID_SECONDS = 2.0
-"""How long a process that did not write stays out of the order: by then its link has
-shown whether it is heard."""
+"""How long a process that did not write is left out of the write order.
+
+By then its link is down if the process is unreachable.
+"""
 
 PROBE_SECONDS = 0.1
-"""How long a process has to echo a heartbeat; over a busy link it takes 20 ms."""
+"""How long to wait for the echo of a heartbeat; a busy link takes 20 ms."""
 
-PROBE_LOOK_SECONDS = 0.01
+PROBE_CHECK_SECONDS = 0.01
 
 
 class Writers:
@@ -34,17 +37,18 @@
     Parameters
     ----------
     address : str
-        ``ip:port`` of this process, its name in the order.
+        ``ip:port`` of this process, its name in the write order.
     links : callable
-        Returns the links that are up to the others, by address.
-    processes : callable
-        Returns how many processes renew slices, heard now or not, this one included.
+        Returns the links to peers that are up, by address.
+    process_count : callable
+        Returns the number of processes that renew slices, reachable or not, including
+        this one.
     reply : callable
-        Sends an answer the way a message came.
-    own_step : callable
-        Returns how slowly this process writes; see `budget.turns`.
-    leaves : callable
-        Returns whether this process is about to stop.
+        Sends an answer over the connection of the message that it answers.
+    own_latency_class : callable
+        Returns how slowly this process writes, see `budget.write_order`.
+    is_leaving : callable
+        Returns whether this process is stopping.
     """
 
     def __init__(
@@ -52,115 +56,115 @@
         *,
         address: str,
         links: Callable[[], dict[str, Link]],
-        processes: Callable[[], int],
+        process_count: Callable[[], int],
         reply: Callable[[str, RenewalsWritten], Awaitable[None]],
-        own_step: Callable[[], int],
-        leaves: Callable[[], bool],
+        own_latency_class: Callable[[], int],
+        is_leaving: Callable[[], bool],
     ) -> None:
         self._address = address
         self._links = links
-        self._processes = processes
+        self._process_count = process_count
         self._reply = reply
         self._identity_by_node: dict[str, str] = {}
-        self._own_step = own_step
-        self._leaves = leaves
+        self._own_latency_class = own_latency_class
+        self._is_leaving = is_leaving
         self._address_by_node: dict[str, str] = {}
-        self._step_by_address: dict[str, int] = {}
+        self._latency_class_by_address: dict[str, int] = {}
         self._leaving: set[str] = set()
         self._avoided_until: dict[str, float] = {}
 
-    def heard(self, *, node: str, address: str, step: int) -> None:
-        """Note where a process is and how slowly it writes."""
-        self.note_address(node=node, address=address)
-        self._step_by_address[address] = step
+    def record_writer(self, *, node: str, address: str, latency_class: int) -> None:
+        """Record the address of a process and how slowly it writes."""
+        self.record_address(node=node, address=address)
+        self._latency_class_by_address[address] = latency_class
 
-    def note_address(self, *, node: str, address: str) -> None:
-        """Note where a process is."""
+    def record_address(self, *, node: str, address: str) -> None:
+        """Record the address of a process."""
         self._address_by_node[node] = address
 
-    def note_identity(self, holder: str, identity: str) -> None:
-        """Note how to answer a process that handed renewals over."""
+    def record_identity(self, holder: str, identity: str) -> None:
+        """Record the connection of a process that delegated renewals."""
         self._identity_by_node[holder.partition("/")[0]] = identity
 
-    def processes(self) -> int:
-        """Return how many processes renew slices, heard now or not."""
-        return self._processes()
+    def process_count(self) -> int:
+        """Return the number of processes that renew slices, reachable or not."""
+        return self._process_count()
 
     def first(self, count: int) -> list[str]:
-        """Return the addresses of the first others in order."""
-        in_order = sorted(self._others(), key=lambda writer: writer.rank)
+        """Return the addresses of the first peers in the write order."""
+        in_order = sorted(self._eligible_peers(), key=lambda writer: writer.sort_key)
         return [writer.name for writer in in_order[:count]]
 
-    def note_leaving(self, address: str, *, leaving: bool) -> None:
-        """Note whether a process is about to stop."""
+    def record_leaving(self, address: str, *, leaving: bool) -> None:
+        """Record whether a process is stopping."""
         if leaving:
             self._leaving.add(address)
         else:
             self._leaving.discard(address)
 
     def link_of(self, node: str) -> Link | None:
-        """Return the link to a process by its name; None unless it is up."""
+        """Return the link to a process, by its name; None if it is not up."""
         return next(iter(self.links_of([node])), None)
 
     def links_of(self, nodes: Iterable[str]) -> list[Link]:
-        """Return the links that are up to these processes, by their names."""
+        """Return those links to processes, by their names, that are up."""
         links = self._links()
         addresses = [self._address_by_node.get(node) for node in nodes]
         return [links[address] for address in addresses if address in links]
 
-    def place(self) -> int:
-        """Return how many processes before this one in order are heard."""
-        others = self._others()
-        if self._leaves():
-            return len(others)
-        return place_in_order(self._own(), others)
+    def rank(self) -> int:
+        """Return how many reachable peers precede this process in the write order."""
+        peers = self._eligible_peers()
+        if self._is_leaving():
+            return len(peers)
+        return rank_of(self._own_writer(), peers)
 
-    async def call_renewals(self) -> int:
-        """Ask all processes that renew slices; return how many were asked."""
+    async def request_renewals(self) -> int:
+        """Request the renewals of all peers; return the number of requests."""
         links = self._links()
         for link in links.values():
             await link.try_send(RenewalCall())
         return len(links)
 
-    async def hand_over(self, handed: HandedRenewals) -> str | None:
-        """Send renewals to the first process in order, unless it is this one.
+    async def delegate(self, delegated: HandedRenewals) -> str | None:
+        """Send renewals to the first writer, unless it is this process.
 
         Returns
         -------
         str or None
-            The address that they were sent to.
+            The address of the writer, None if nothing was sent.
         """
-        writers = self._others()
-        if not self._leaves():
-            writers.append(self._own())
-        first = first_in_order(writers)
+        writers = self._eligible_peers()
+        if not self._is_leaving():
+            writers.append(self._own_writer())
+        first = first_writer(writers)
         if first is None or first.name == self._address:
             return None
-        sent = await self._links()[first.name].try_send(handed)
+        sent = await self._links()[first.name].try_send(delegated)
         return first.name if sent else None
 
     async def responds(self, address: str) -> bool:
-        """Whether a process lives: it echoes a heartbeat."""
+        """Return whether a process is live: it echoes a heartbeat."""
         link = self._links().get(address)
         asked_at = monotonic()
         if link is None or not await link.try_send(Heartbeat()):
             return False
         while monotonic() < asked_at + PROBE_SECONDS:
-            await curio.sleep(PROBE_LOOK_SECONDS)
+            await curio.sleep(PROBE_CHECK_SECONDS)
             if link.heard_at > asked_at:
                 return True
         return False
 
     def avoid(self, address: str) -> None:
-        """Leave a process out of the order that did not write what it was handed.
+        """Leave a process that did not write delegated renewals out of the order.
 
-        One that was just killed still counts as heard for a while, and all callers
-        who wait for tokens would wait for it first.
+        The link to a process that was just killed stays up for a while, and all callers
+        that wait for tokens would wait for that process first.
         """
         self._avoided_until[address] = monotonic() + AVOID_SECONDS
 
-    async def answer(self, holder: str, answer: RenewalsWritten) -> None:
-        """Tell a process what became of its renewals."""
+    async def send_outcome(self, holder: str, answer: RenewalsWritten) -> None:
+        """Send a process the outcome of the renewals that it delegated."""
         node = holder.partition("/")[0]
         link = self.link_of(node)
         if link is not None:
@@ -168,14 +172,17 @@
         elif node in self._identity_by_node:
             await self._reply(self._identity_by_node[node], answer)
 
-    def _own(self) -> Writer:
-        return Writer(name=self._address, step=self._own_step())
+    def _own_writer(self) -> Writer:
+        return Writer(name=self._address, latency_class=self._own_latency_class())
 
-    def _others(self) -> list[Writer]:
-        """Return who else may write for all: not who leaves or was mute just now."""
+    def _eligible_peers(self) -> list[Writer]:
+        """Return the peers that may write: not stopping and not left out."""
         now = monotonic()
         return [
-            Writer(name=address, step=self._step_by_address.get(address, 0))
+            Writer(
+                name=address,
+                latency_class=self._latency_class_by_address.get(address, 0),
+            )
             for address in self._links()
             if address not in self._leaving
             and self._avoided_until.get(address, 0.0) <= now
--- a/src/ragwortkeel/runs/filing.py
+++ b/src/ragwortkeel/runs/filing.py
@@ -1,25 +1,26 @@
 """One attempt at a request that must not repeat, as steps without I/O.
 
-The router carries out the step it is given and hands the result back, until the
-step is `Answer`, `Refuse` or `Follow`.  At `Go` it calls `on_sent` and dispatches;
-then come `on_refused` or `on_lost`, or the answer.
+The router executes the current step and reports its result, until the step is
+`ReturnOutcome`, `Refuse` or `ResumeRun`.  At `DispatchRun` it calls `on_sent` and
+sends the dispatch; afterwards it calls `on_refused` or `on_disconnected`, or
+receives the answer.
 """
 
 from dataclasses import dataclass
 
 from ragwortkeel.messages import RefusalReason, RunState
 from ragwortkeel.runs.intent import (
-    MAX_ROUNDS,
-    Answer,
+    MAX_WRITE_ATTEMPTS,
     AskSidecar,
     Create,
     Decision,
-    Follow,
-    Go,
-    Held,
+    DispatchRun,
     Intent,
     ReadAgain,
     Refuse,
+    ResumeRun,
+    ReturnOutcome,
+    StoredIntent,
     TakeOver,
     WriteResult,
     after_read,
@@ -31,21 +32,31 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Read:
+class ReadIntent:
     """Read the intent under the key, then `on_read` or `on_unreadable`."""
 
 
 @dataclass(frozen=True, kw_only=True)
-class Release:
+class WriteNotRun:
     """Replace the intent at `version` by this `NOT_RUN` one, then `on_release`."""
 
     intent: Intent
     version: int
 
 
-Step = Read | Create | TakeOver | AskSidecar | Go | Release | Follow | Answer | Refuse
+Step = (
+    ReadIntent
+    | Create
+    | TakeOver
+    | AskSidecar
+    | DispatchRun
+    | WriteNotRun
+    | ResumeRun
+    | ReturnOutcome
+    | Refuse
+)
 
-FINAL = (Follow, Answer, Refuse)
+FINAL_STEPS = (ResumeRun, ReturnOutcome, Refuse)
 """Steps after which the filing has nothing left to decide."""
 
 
@@ -64,49 +75,54 @@
     ----------
     step : Step
         What to do next.
-    held : Held or None
+    held : StoredIntent or None
         The intent as last read or written.
     """
 
     def __init__(self, *, wanted: Intent, first: bool) -> None:
         self.wanted = wanted
-        self.step: Step = Read()
-        self.held: Held | None = None
+        self.step: Step = ReadIntent()
+        self.stored: StoredIntent | None = None
         self._first = first
-        self._rounds = 0
-        self._sends = 0
+        self._write_attempts = 0
+        self._dispatch_count = 0
 
     @property
     def is_final(self) -> bool:
         """Whether nothing is left to decide."""
-        return isinstance(self.step, FINAL)
+        return isinstance(self.step, FINAL_STEPS)
 
-    def on_read(self, held: Held | None) -> None:
+    def on_read(self, held: StoredIntent | None) -> None:
         """Take what the platform holds under the key."""
-        self.held = held
-        self._go_on(after_read(self.wanted, held))
+        self.stored = held
+        self._continue(after_read(self.wanted, held))
 
     def on_unreadable(self) -> None:
         """Take it that the platform can't be read."""
-        self._go_on(without_platform(first=self._first))
+        self._continue(without_platform(first=self._first))
 
     def on_tombstone(self, state: RunState | None) -> None:
         """Take the sidecar's answer, None where it is gone or out of reach."""
-        self._go_on(after_tombstone(self.wanted, self.held, state))
+        self._continue(after_tombstone(self.wanted, self.stored, state))
 
     def on_write(self, result: WriteResult, version: int = 0) -> None:
         """Take how the write of the intent ended, and its new version."""
-        self._rounds += 1
+        self._write_attempts += 1
         if result is WriteResult.WRITTEN:
-            self.held = Held(intent=self.wanted, version=version)
-        self._go_on(
-            after_write(self.wanted, result, first=self._first, rounds=self._rounds)
+            self.stored = StoredIntent(intent=self.wanted, version=version)
+        self._continue(
+            after_write(
+                self.wanted,
+                result,
+                first=self._first,
+                write_attempts=self._write_attempts,
+            )
         )
 
     def on_sent(self) -> None:
         """Take it that the dispatch goes out, for the first time or again."""
-        self._sends += 1
-        if self._sends > 1:
+        self._dispatch_count += 1
+        if self._dispatch_count > 1:
             # An earlier copy may have run, so that only the platform can tell.
             self._first = False
 
@@ -121,18 +137,18 @@
             An intent with a new nonce for another sidecar, or None where the
             request is to be refused.
         """
-        if reason is RefusalReason.WRONG_INCARNATION and self._sends > 1:
+        if reason is RefusalReason.WRONG_INCARNATION and self._dispatch_count > 1:
             # Failure: the first copy ran at a sidecar that restarted since, and
             # its successor refuses the second; that proves nothing of the first.
-            self._go_on(after_tombstone(self.wanted, self.held, None))
+            self._continue(after_tombstone(self.wanted, self.stored, None))
             return
         if other is None:
-            self.step = Release(
-                intent=after_refusal(self.held.intent), version=self.held.version
+            self.step = WriteNotRun(
+                intent=after_refusal(self.stored.intent), version=self.stored.version
             )
             return
-        self._want(other)
-        self.step = TakeOver(intent=other, version=self.held.version)
+        self._replace_intent(other)
+        self.step = TakeOver(intent=other, version=self.stored.version)
 
     def on_release(self, result: WriteResult) -> None:
         """Take how the write of `NOT_RUN` ended.
@@ -141,9 +157,9 @@
         intent over and runs, and `not_run` would be a lie.  Written over the
         version that was ours, `NOT_RUN` shows that nobody did.
         """
-        self._rounds += 1
-        if result is WriteResult.CONFLICT and self._rounds < MAX_ROUNDS:
-            self.step = Read()
+        self._write_attempts += 1
+        if result is WriteResult.CONFLICT and self._write_attempts < MAX_WRITE_ATTEMPTS:
+            self.step = ReadIntent()
             return
         is_sure = result is WriteResult.WRITTEN or self._first
         self.step = Refuse(
@@ -152,22 +168,22 @@
             reason="refused_by_upstream",
         )
 
-    def on_lost(self, wanted: Intent) -> None:
+    def on_disconnected(self, wanted: Intent) -> None:
         """Take it that the dispatched sidecar went silent without an answer.
 
         `wanted` is an intent with a new nonce, in case the old one never ran.
         """
-        lost = self.held.intent
+        lost = self.stored.intent
         # Failure: it ran, its outcome is durable and the sidecar has let go of
         # it, so it answers `TOMBSTONED`; with the platform gone by then,
         # `not_run` would be a lie.  Only the conditional update tells.
         self._first = False
-        self._want(wanted)
+        self._replace_intent(wanted)
         self.step = AskSidecar(sidecar=lost.sidecar, nonce=lost.nonce)
 
-    def _want(self, intent: Intent) -> None:
+    def _replace_intent(self, intent: Intent) -> None:
         self.wanted = intent
-        self._sends = 0
+        self._dispatch_count = 0
 
-    def _go_on(self, decision: Decision) -> None:
-        self.step = Read() if isinstance(decision, ReadAgain) else decision
+    def _continue(self, decision: Decision) -> None:
+        self.step = ReadIntent() if isinstance(decision, ReadAgain) else decision
--- a/tests/ingress/builders.py
+++ b/tests/ingress/builders.py
@@ -1,4 +1,4 @@
-"""Small builders of ingress types, with what most tests don't care about."""
+"""Builders of ingress types, with defaults for what most tests don't depend on."""
 
 from ragwortkeel.ingress.configuration import (
     Customer,
@@ -12,7 +12,7 @@
     UpstreamState,
 )
 from ragwortkeel.ingress.placement import Job
-from ragwortkeel.ingress.prefixes import Part
+from ragwortkeel.ingress.prefixes import PromptBlock
 
 ENGINE = Engine(slots=64, memory_tokens=100_000, event_tokens=6)
 
@@ -63,14 +63,16 @@
     return Service(name=name, max_connections=360, engine=ENGINE)
 
 
-def job(request_id="r1", service="app", parts=(), prompt=0, answer=0, **fields):
+def job(request_id="r1", service="app", blocks=(), prompt=0, answer=0, **fields):
     return Job(
         **{
             "request_id": request_id,
             "service": service,
             "priority": 1,
             "customer": "surco",
-            "parts": tuple(Part(part_id=name, tokens=size) for name, size in parts),
+            "prompt_blocks": tuple(
+                PromptBlock(block_id=name, tokens=size) for name, size in blocks
+            ),
             "prompt_tokens": prompt,
             "memory_tokens": prompt + answer,
         }
--- a/tests/ingress/in_process.py
+++ b/tests/ingress/in_process.py
@@ -1,4 +1,4 @@
-"""One or two ingress processes in a kernel, before upstreams that a test scripts."""
+"""Ingress processes in one kernel, with upstreams that follow a test's scripts."""
 
 import socket as _socket
 from dataclasses import dataclass, field
@@ -32,9 +32,9 @@
 
 NAMES = HeaderNames()
 KEY = "key-1"
-PATIENCE = 20.0
+SCENARIO_TIMEOUT_SECONDS = 20.0
 SETTLED_SECONDS = 1.5
-"""Longer than links take to notice each other and to pass on what they have."""
+"""Longer than the links need to come up and to exchange what each process knows."""
 ROUTES = (
     route("lookup", "/lookup/", max_attempts=2),
     route("filing", "/filing/", repeats=Repeats.ONCE),
@@ -64,13 +64,13 @@
 
 
 def run_ingress(scenario, **options):
-    """Run ``await scenario(fleet)`` beside fresh processes; return its result."""
+    """Start a fleet, return the result of ``await scenario(fleet)``, stop the fleet."""
 
     async def main():
         fleet = IngressFleet(**options)
         await fleet.start()
         try:
-            async with curio.timeout_after(PATIENCE):
+            async with curio.timeout_after(SCENARIO_TIMEOUT_SECONDS):
                 return await scenario(fleet)
         finally:
             await fleet.stop()
@@ -80,8 +80,8 @@
 
 
 @dataclass(frozen=True)
-class Seen:
-    """One request as an upstream got it."""
+class ReceivedRequest:
+    """A request as an upstream received it."""
 
     method: str
     target: str
@@ -91,9 +91,9 @@
 
 @dataclass
 class ScriptedUpstream:
-    """A server that answers each request by `script(seen, sock)`.
+    """A server that passes each request to `script(seen, sock)`.
 
-    The script writes raw bytes, so that it can break any rule of the protocol.
+    The script writes raw bytes, so it can break any rule of the protocol.
     """
 
     name: str
@@ -125,14 +125,14 @@
 
     async def _serve(self, sock):
         try:
-            while await self._one(sock):
+            while await self._serve_request(sock):
                 pass
         except OSError:
             pass
         finally:
             await sock.close()
 
-    async def _one(self, sock):
+    async def _serve_request(self, sock):
         conn = h11.Connection(h11.SERVER)
         head = await next_event(sock, conn)
         if not isinstance(head, h11.Request):
@@ -140,7 +140,7 @@
         body = b""
         while isinstance(event := await next_event(sock, conn), h11.Data):
             body += bytes(event.data)
-        seen = Seen(
+        seen = ReceivedRequest(
             method=head.method.decode(),
             target=head.target.decode(),
             headers=joined_headers(head.headers),
@@ -151,7 +151,7 @@
 
 
 def plain(seen, body=b"ok", *, status="200 OK", echo=None, proof=True, extra=""):
-    """Return the bytes of a whole plain answer."""
+    """Return the bytes of a complete answer that is no stream."""
     lines = [f"HTTP/1.1 {status}", f"content-length: {len(body)}"]
     lines.append(f"x-request-id: {echo or seen.headers['x-request-id']}")
     if proof:
@@ -162,7 +162,7 @@
 
 
 def stream_head(seen):
-    """Return the head of a stream of events in chunks."""
+    """Return the head of a chunked event stream."""
     return (
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
         f"x-request-id: {seen.headers['x-request-id']}\r\nx-upstream-proof: p1\r\n"
@@ -171,13 +171,13 @@
 
 
 def events(first, last):
-    """Return events of these ids."""
+    """Return the events with the ids `first` to `last`."""
     numbers = range(first, last + 1)
     return b"".join(b"id: %d\ndata: t%d\n\n" % (i, i) for i in numbers)
 
 
 def chunk(data):
-    """Return data as one chunk."""
+    """Return the data as one chunk."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -196,7 +196,7 @@
 
 
 async def reset(sock):
-    """Close so that the peer sees a reset."""
+    """Close the connection with a TCP reset."""
     linger = b"\x01\0\0\0\0\0\0\0"
     sock.setsockopt(_socket.SOL_SOCKET, _socket.SO_LINGER, linger)
     await sock.close()
@@ -223,21 +223,21 @@
         self.workers = []
         self.addresses = []
         self.tasks = []
-        self.platform_ids = 0
+        self.request_count = 0
 
     async def start(self):
-        for one in self.upstreams.values():
-            await one.start()
-            await self.register(one)
+        for server in self.upstreams.values():
+            await server.start()
+            await self.register(server)
         await self.configure()
         links = [free_address() for _ in range(self.count)]
         for i in range(self.count):
             await self.start_worker(f"ingress-{i}", links[i], tuple(links))
-        while not all(self.knows_all(worker) for worker in self.workers):
+        while not all(self.is_ready(worker) for worker in self.workers):
             await curio.sleep(0.01)
 
-    def knows_all(self, worker):
-        """Whether the process may serve and has all upstreams."""
+    def is_ready(self, worker):
+        """Return whether the process is ready and knows all upstreams."""
         known = worker._directory.upstream_by_name
         return worker.ready and len(known) == len(self.upstreams)
 
@@ -266,14 +266,14 @@
     async def stop(self):
         for task in self.tasks:
             await task.cancel()
-        for one in self.upstreams.values():
-            await one.stop()
+        for server in self.upstreams.values():
+            await server.stop()
 
-    async def register(self, one, **fields):
+    async def register(self, server, **fields):
         entry = upstream(
-            one.name, service=one.service, port=one.port, slots=6, **fields
+            server.name, service=server.service, port=server.port, slots=6, **fields
         )
-        await self.write(UPSTREAMS_KIND, one.name, msgspec.json.encode(entry))
+        await self.write(UPSTREAMS_KIND, server.name, msgspec.json.encode(entry))
 
     async def configure(self, **fields):
         self.revision += 1
@@ -299,12 +299,12 @@
 
     async def ask(self, path, *, process=0, method="POST", body=b"q", **headers):
         """Send one request and return its response."""
-        self.platform_ids += 1
+        self.request_count += 1
         host, port = self.addresses[process].split(":")
         client = HttpClient(host=host, port=int(port))
         fields = {
             "host": "app.example",
-            "x-request-id": f"r{self.platform_ids}",
+            "x-request-id": f"r{self.request_count}",
             "x-deadline-ms": "3000",
             "authorization": f"Bearer {KEY}",
         }
@@ -317,30 +317,30 @@
             await client.close()
 
     def seen(self):
-        """Return all requests that upstreams got, by upstream."""
-        return {name: one.seen for name, one in self.upstreams.items()}
+        """Return the requests that the upstreams received, by upstream."""
+        return {name: server.seen for name, server in self.upstreams.items()}
 
 
-def value(fleet, revision):
-    """Return the fleet's configuration as the platform keeps it."""
-    one = configuration(
+def configuration_value(fleet, revision):
+    """Return the fleet's configuration as the platform stores it."""
+    value = configuration(
         revision, routes=ROUTES, services=SERVICES, customers=fleet.customers
     )
-    return msgspec.json.encode(one)
+    return msgspec.json.encode(value)
 
 
-def pushed(fleet, revision):
-    """Return the fleet's configuration as a peer sends it."""
+def configuration_object(fleet, revision):
+    """Return the fleet's configuration as peers send it."""
     return VersionedObject(
         kind=CONFIGURATION_KIND,
         name=CONFIGURATION_NAME,
         version=revision,
-        value=value(fleet, revision),
+        value=configuration_value(fleet, revision),
     )
 
 
-async def reached(worker, revision):
-    """Wait until the process has this revision in force; return the one it has."""
+async def wait_for_revision(worker, revision):
+    """Wait until the process has the revision in force; return its revision."""
     async with curio.timeout_after(5):
         while worker.revision() < revision:
             await curio.sleep(0.01)
@@ -348,6 +348,6 @@
 
 
 async def ledger(fleet):
-    """Return the customer's ledger as the platform keeps it."""
+    """Return the customer's ledger as the platform stores it."""
     stored = await fleet.platform.get(SHARDS_KIND, SHARD_NAME)
     return decode_shard(stored.value).ledger_by_customer["surco"]
--- a/tests/policy/test_returns.py
+++ b/tests/policy/test_returns.py
@@ -2,12 +2,16 @@
 
 from random import Random
 
-from ragwortkeel.policy.returns import LONGEST_SECONDS, SHORTEST_SECONDS, return_after
+from ragwortkeel.policy.retry_delays import (
+    MAX_DELAY_SECONDS,
+    MIN_DELAY_SECONDS,
+    retry_delay,
+)
 
 
 def returns(seconds, count=200):
     random = Random(7)
-    return [return_after(seconds, random) for _ in range(count)]
+    return [retry_delay(seconds, random) for _ in range(count)]
 
 
 def test_nobody_is_called_back_before_there_is_something_for_them():
@@ -22,5 +26,5 @@
 
 
 def test_waits_have_bounds():
-    assert min(returns(0.0)) >= SHORTEST_SECONDS
-    assert max(returns(600.0)) == LONGEST_SECONDS
+    assert min(returns(0.0)) >= MIN_DELAY_SECONDS
+    assert max(returns(600.0)) == MAX_DELAY_SECONDS
