--- a/benchmarks/guards_left_out.py
+++ b/benchmarks/guards_left_out.py
@@ -119,8 +119,8 @@
         "GONE",
         "a request ends with its caller's connection",
         "ingress/worker.py",
-        "cancels_abandoned=True",
-        "cancels_abandoned=False",
+        "cancels_disconnected=True",
+        "cancels_disconnected=False",
     ),
     _guard(
         "CONFIG",
@@ -322,7 +322,7 @@
         "handed",
         "a late start closes no living process",
         "budget/delegation.py",
-        "if any(one.holder not in start.predecessors for one in stopped):",
+        "if any(entry.holder not in start.predecessors for entry in stopped):",
         "if False:",
     ),
     _guard(
--- a/src/ragwortkeel/cli/fleet.py
+++ b/src/ragwortkeel/cli/fleet.py
@@ -1,7 +1,7 @@
-"""Asking the nodes themselves, over their metrics ports.
+"""Query the processes of the fleet over their metrics ports.
 
-Only nodes know what is in force on them; asking them costs the platform one
-list of nodes, whatever the size of the fleet.
+Only a process knows which configuration it has in force.  Querying all processes
+costs the platform one list call, whatever the size of the fleet.
 """
 
 from collections.abc import Iterable
@@ -21,44 +21,48 @@
 from ragwortkeel.settings import Address
 from ragwortkeel.traces import SpanRecord, TraceReport
 
-NODE_SECONDS = 2.0
-NODES_AT_ONCE = 50
-WAIT_PAUSE_SECONDS = 0.2
+PROCESS_TIMEOUT_SECONDS = 2.0
+MAX_CONCURRENT_REQUESTS = 50
+POLL_INTERVAL_SECONDS = 0.2
 
 Body = TypeVar("Body")
 
 
 @dataclass(frozen=True, kw_only=True)
-class NodeState:
-    """A registered node and what it answered; None where it did not."""
+class ProcessState:
+    """A registered process and its answer.
+
+    `in_force` is None if the process did not answer, `listed` is None if the
+    platform's list of instances could not be read.
+    """
 
     node: Node
     in_force: InForce | None
     listed: bool | None
 
 
-async def registered(platform: Platform) -> list[Node]:
-    """Return the registered nodes in order of role and name."""
+async def list_registered(platform: Platform) -> list[Node]:
+    """Return the registered processes in order of role, zone and name."""
     listing = await list_kind(platform, NODES)
     nodes = []
     for stored in listing.by_name.values():
         try:
             nodes.append(msgspec.json.decode(stored.value, type=Node))
         except msgspec.DecodeError:
-            # One odd registration must not hide all the others.
+            # An unreadable registration must not hide the others.
             continue
     return sorted(nodes, key=lambda node: (node.role, node.zone, node.incarnation))
 
 
-async def states(
+async def fetch_states(
     platform: Platform, nodes: Iterable[Node], *, kind: str = "", name: str = ""
-) -> list[NodeState]:
-    """Return what each node says of one object, or of itself."""
+) -> list[ProcessState]:
+    """Return what each process has in force, of one object if `kind` is given."""
     live = await _live_addresses(platform)
     target = f"/in-force?kind={kind}&name={name}"
     asked = await _ask_all(nodes, target, InForce)
     return [
-        NodeState(
+        ProcessState(
             node=node,
             in_force=answer,
             listed=None if live is None else node.address in live,
@@ -70,18 +74,20 @@
 async def wait_in_force(
     platform: Platform, *, kind: str, name: str, version: int, seconds: float
 ) -> int:
-    """Return on how many nodes the version is in force, once on all.
+    """Wait until all processes have the version in force; return their number.
 
     Raises
     ------
     CommandLagging
-        Not on all within `seconds`; names those that lag.
+        If a process does not have it in force within `seconds`.
     """
     deadline = monotonic() + seconds
     while True:
-        nodes = concerned(await registered(platform), kind=kind, name=name)
-        found = await states(platform, nodes, kind=kind, name=name)
-        lagging = lagging_nodes(found, version)
+        nodes = processes_to_update(
+            await list_registered(platform), kind=kind, name=name
+        )
+        found = await fetch_states(platform, nodes, kind=kind, name=name)
+        lagging = lagging_processes(found, version)
         if not lagging:
             return len(found)
         if monotonic() >= deadline:
@@ -89,14 +95,14 @@
                 f"{kind}/{name} version {version} is accepted, but after {seconds:g} s "
                 f"not in force on {', '.join(lagging)}; see `ragwortkeel status`"
             )
-        await curio.sleep(WAIT_PAUSE_SECONDS)
+        await curio.sleep(POLL_INTERVAL_SECONDS)
 
 
-def concerned(nodes: Iterable[Node], *, kind: str, name: str) -> list[Node]:
-    """Return the nodes on which a change has to be in force.
+def processes_to_update(nodes: Iterable[Node], *, kind: str, name: str) -> list[Node]:
+    """Return the processes that have to apply a change.
 
-    Routers decide by every object.  Of sidecars only that of a changed upstream
-    holds its object; the versions of profiles reach sidecars with the work.
+    Routers use every profile and upstream.  A sidecar only uses the object of its
+    own upstream; it receives profile versions with the requests.
     """
     return [
         node
@@ -106,11 +112,11 @@
     ]
 
 
-def lagging_nodes(found: Iterable[NodeState], version: int) -> list[str]:
-    """Return the nodes where a version is not in force, as an operator reads them.
+def lagging_processes(found: Iterable[ProcessState], version: int) -> list[str]:
+    """Return descriptions of the processes where a version is not in force.
 
-    One that does not answer counts, unless the platform's list lacks it as
-    well: then it died without deregistering.
+    A process that does not answer counts as lagging, unless the platform's list of
+    instances lacks it too: then it stopped without deregistering.
     """
     lagging = []
     for state in found:
@@ -119,22 +125,26 @@
             if state.listed is not False:
                 lagging.append(f"{name} (no answer from {state.node.http_address})")
         elif (state.in_force.version or 0) < version:
-            held = state.in_force.version
-            lagging.append(f"{name} ({'none' if held is None else held})")
+            version_in_force = state.in_force.version
+            lagging.append(
+                f"{name} ({'none' if version_in_force is None else version_in_force})"
+            )
     return lagging
 
 
-async def spans(platform: Platform, trace_id: str) -> list[SpanRecord]:
-    """Return the spans of a trace from all nodes that answer, by start."""
-    nodes = await registered(platform)
+async def fetch_spans(platform: Platform, trace_id: str) -> list[SpanRecord]:
+    """Return the spans of a trace from all processes that answer, by start."""
+    nodes = await list_registered(platform)
     asked = await _ask_all(nodes, f"/traces/{trace_id}", TraceReport)
-    found = {span.span_id: span for _, one in asked if one for span in one.spans}
+    found = {
+        span.span_id: span for _, report in asked if report for span in report.spans
+    }
     return sorted(found.values(), key=lambda span: span.start_ns)
 
 
 async def _live_addresses(platform: Platform) -> set[str] | None:
     try:
-        return {one.address for one in (await platform.live()).values()}
+        return {instance.address for instance in (await platform.live()).values()}
     except PlatformError:
         return None
 
@@ -142,7 +152,7 @@
 async def _ask_all(
     nodes: Iterable[Node], target: str, cls: type[Body]
 ) -> list[tuple[Node, Body | None]]:
-    slots = curio.Semaphore(NODES_AT_ONCE)
+    slots = curio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
     async def ask(node: Node) -> tuple[Node, Body | None]:
         async with slots:
@@ -155,12 +165,12 @@
 
 async def _ask(node: Node, target: str, cls: type[Body]) -> Body | None:
     try:
-        where = Address.parse(node.http_address)
+        address = Address.parse(node.http_address)
     except ValueError:
         return None
-    client = HttpClient(host=where.host, port=where.port)
+    client = HttpClient(host=address.host, port=address.port)
     try:
-        response = await client.request("GET", target, timeout=NODE_SECONDS)
+        response = await client.request("GET", target, timeout=PROCESS_TIMEOUT_SECONDS)
         return msgspec.json.decode(response.body, type=cls)
     except (HttpError, msgspec.DecodeError):
         return None
@@ -168,10 +178,10 @@
         await client.close()
 
 
-async def note_in_force(
+async def in_force_note(
     platform: Platform, *, kind: str, name: str, version: int, wait: float
 ) -> str:
-    """Return what to add to a command's text, after waiting where asked to."""
+    """Wait if `wait` is given; return the addition to the command's output."""
     if not wait:
         return ""
     count = await wait_in_force(
--- a/src/ragwortkeel/cli/ingress.py
+++ b/src/ragwortkeel/cli/ingress.py
@@ -1,4 +1,4 @@
-"""``ragwortkeel ingress``: routes, services, customers, budgets and evacuations."""
+"""Implement ``ragwortkeel ingress``: configuration, budgets and evacuations."""
 
 from pathlib import Path
 from time import time
@@ -7,8 +7,13 @@
 from fire.decorators import SetParseFns
 
 from ragwortkeel.budget.shards import SHARDS_KIND, decode_shard
-from ragwortkeel.cli.objects import Held, Objects, list_kind, unavailable
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.objects import (
+    Objects,
+    VersionedObject,
+    list_kind,
+    unavailable_error,
+)
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.cli.plan import Plan, Session
 from ragwortkeel.exceptions import CommandError, LedgerUnreadable, PlatformUnavailable
 from ragwortkeel.ingress.configuration import (
@@ -22,8 +27,8 @@
 from ragwortkeel.settings import decode
 
 
-class Definition(msgspec.Struct, frozen=True, kw_only=True):
-    """What a command did to the configuration."""
+class ApplySummary(msgspec.Struct, frozen=True, kw_only=True):
+    """The revision of the applied configuration and the numbers of its entries."""
 
     revision: int
     routes: int
@@ -32,7 +37,7 @@
 
 
 class BudgetRow(msgspec.Struct, frozen=True, kw_only=True):
-    """One customer's budget as its ledger shows it, in tokens."""
+    """The budget in one customer's ledger, in tokens."""
 
     customer: str
     prepaid: int
@@ -42,99 +47,101 @@
 
 
 class Evacuation(msgspec.Struct, frozen=True, kw_only=True):
-    """The entry of an evacuated zone; `since` is a time of day in seconds."""
+    """The stored entry of an evacuated zone; `since` is in seconds of Unix time."""
 
     since: float = 0.0
 
 
 class EvacuationRow(msgspec.Struct, frozen=True, kw_only=True):
-    """One evacuated zone; `since` is None where its entry can't be read."""
+    """One evacuated zone; `since` is None if its entry has no readable time."""
 
     zone: str
     since: float | None
 
 
 class IngressCommands:
-    """Operate the ingress: what it routes, and what customers have left."""
+    """Operate the ingress: configuration, customer budgets and evacuations."""
 
     def __init__(self, *, session: Session) -> None:
         self._session = session
 
     @SetParseFns(file=str)
     def apply(self, file):
-        """Put a whole configuration in force, in place of the one before.
+        """Replace the ingress configuration.
 
         Parameters
         ----------
         file
             JSON with routes, services, customers and limits; see
-            docs/CONFIGURATION.md.  Its revision is set here.
+            docs/CONFIGURATION.md.  The command sets the revision.
         """
         wanted = decode(_read(file), IngressConfiguration)
 
-        async def scenario(platform):
-            return _described(await _apply(platform, wanted))
+        async def action(platform):
+            return _summary_result(await _apply(platform, wanted))
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     def show(self):
         """Show the configuration in force."""
 
-        async def scenario(platform):
-            held = await _objects(platform).read(CONFIGURATION_NAME)
-            text = msgspec.json.format(msgspec.json.encode(held.value)).decode()
-            return Result(data=held.value, text=text)
+        async def action(platform):
+            current = await _objects(platform).read(CONFIGURATION_NAME)
+            text = msgspec.json.format(msgspec.json.encode(current.value)).decode()
+            return Result(data=current.value, text=text)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(zone=str)
     def evacuate(self, zone):
-        """Send nothing new to the upstreams of an availability zone.
+        """Stop sending new requests to the upstreams of an availability zone.
 
         Parameters
         ----------
         zone
-            Its name, as the upstreams' entries spell it.
+            Name of the zone, as in the entries of the upstreams.
         """
 
-        async def scenario(platform):
+        async def action(platform):
             await _evacuations(platform).create(zone, Evacuation(since=time()))
             return Result(data={"zone": zone}, text=f"{zone} is evacuated")
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(zone=str)
     def take_back(self, zone):
-        """Let the upstreams of an evacuated availability zone serve again."""
+        """End the evacuation of an availability zone."""
 
-        async def scenario(platform):
+        async def action(platform):
             await _evacuations(platform).remove(zone)
             return Result(data={"zone": zone}, text=f"{zone} serves again")
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     def evacuations(self):
         """Show which availability zones are evacuated, and since when."""
-        return Plan(session=self._session, scenario=_evacuated_rows)
+        return Plan(session=self._session, action=_evacuated_rows)
 
     def budgets(self):
-        """Show what each customer has paid for, spent, and has left."""
-        return Plan(session=self._session, scenario=_budgets)
+        """Show each customer's prepaid, spent and remaining tokens."""
+        return Plan(session=self._session, action=_budgets)
 
 
 async def _apply(
     platform: Platform, wanted: IngressConfiguration
 ) -> IngressConfiguration:
     objects = _objects(platform)
-    held: Held[IngressConfiguration] | None = await objects.find(CONFIGURATION_NAME)
-    if held is None:
+    current: VersionedObject[IngressConfiguration] | None = await objects.find(
+        CONFIGURATION_NAME
+    )
+    if current is None:
         first = msgspec.structs.replace(wanted, revision=1)
         await objects.create(CONFIGURATION_NAME, first)
         return first
     changed = await objects.change(
         CONFIGURATION_NAME,
         lambda old: msgspec.structs.replace(wanted, revision=old.revision + 1),
-        version=held.version,
+        version=current.version,
     )
     return changed.value
 
@@ -143,13 +150,15 @@
     try:
         stored = await platform.get(SHARDS_KIND, SHARD_NAME)
     except PlatformUnavailable as exc:
-        raise unavailable(exc) from exc
+        raise unavailable_error(exc) from exc
     if stored is None:
         return Result(data=[], text="no budgets yet")
     try:
         ledgers = decode_shard(stored.value).ledger_by_customer
     except LedgerUnreadable as exc:
-        raise CommandError(f"the ledgers can't be read: {exc}") from exc
+        raise CommandError(
+            f"cannot decode the ledgers of the customers: {exc}"
+        ) from exc
     rows = [
         BudgetRow(
             customer=name,
@@ -162,7 +171,7 @@
     ]
     headings = ("customer", "prepaid", "spent", "held", "free")
     cells = [(r.customer, r.prepaid, r.spent, r.held, r.free) for r in rows]
-    return Result(data=rows, text=table(headings, cells))
+    return Result(data=rows, text=format_table(headings, cells))
 
 
 async def _evacuated_rows(platform: Platform) -> Result:
@@ -174,14 +183,14 @@
     if not rows:
         return Result(data=[], text="no zone is evacuated")
     cells = [(row.zone, row.since or "unknown") for row in rows]
-    return Result(data=rows, text=table(("zone", "since"), cells))
+    return Result(data=rows, text=format_table(("zone", "since"), cells))
 
 
 def _since(value: bytes) -> float | None:
     try:
         return msgspec.json.decode(value, type=Evacuation).since or None
     except msgspec.DecodeError:
-        # An entry counts by its name, whatever its writer put into it.
+        # The name of an entry is enough to evacuate the zone.
         return None
 
 
@@ -191,8 +200,8 @@
     )
 
 
-def _described(configuration: IngressConfiguration) -> Result:
-    done = Definition(
+def _summary_result(configuration: IngressConfiguration) -> Result:
+    done = ApplySummary(
         revision=configuration.revision,
         routes=len(configuration.routes),
         services=len(configuration.services),
--- a/src/ragwortkeel/cli/objects.py
+++ b/src/ragwortkeel/cli/objects.py
@@ -1,7 +1,7 @@
-"""Reading and writing operators' objects so that nobody's change is lost.
+"""Read and write operators' objects without losing concurrent changes.
 
-Every write names the version it was made from.  A lost answer is settled by
-reading again: the value there tells whether the write took effect.
+Every write names the version that it is based on.  After a lost answer, the object is
+read again: its value shows whether the write took effect.
 """
 
 from collections.abc import Callable
@@ -24,16 +24,16 @@
 )
 from ragwortkeel.platform import Listing, Platform, Stored
 
-ATTEMPTS = 4
-"""Tries of one write whose answers are lost; each is conditional, so repeats
-are harmless."""
+MAX_WRITE_ATTEMPTS = 4
+"""Bounds the attempts at one write whose answers are lost.  Repeats are harmless
+because each write is conditional."""
 
 Value = TypeVar("Value", bound=msgspec.Struct)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Held(Generic[Value]):
-    """An object as read, with the version that a change of it has to name."""
+class VersionedObject(Generic[Value]):
+    """An object, and the version that the next change has to name."""
 
     value: Value
     version: int
@@ -45,11 +45,11 @@
     Parameters
     ----------
     kind : str
-        Kind in the platform.
+        Kind of the objects in the platform.
     cls : type
-        What a value decodes to.
+        Type that the stored values decode to.
     noun : str
-        What operators call one, for messages.
+        Name of the kind in messages to operators.
     """
 
     def __init__(
@@ -60,38 +60,38 @@
         self._noun = noun
         self._decoder = msgspec.json.Decoder(cls)
 
-    async def read(self, name: str) -> Held[Value]:
-        """Return the object; `CommandError` where there is none."""
-        held = await self.find(name)
-        if held is None:
+    async def read(self, name: str) -> VersionedObject[Value]:
+        """Return the object, or raise `CommandError` if there is none."""
+        current = await self.find(name)
+        if current is None:
             raise CommandError(
                 f"no {self._noun} {name}; see `ragwortkeel {self._noun} list`"
             )
-        return held
+        return current
 
-    async def find(self, name: str) -> Held[Value] | None:
-        """Return the object or None."""
+    async def find(self, name: str) -> VersionedObject[Value] | None:
+        """Return the object, or None if there is none."""
         try:
             stored = await self._platform.get(self._kind, name)
         except PlatformUnavailable as exc:
-            raise unavailable(exc) from exc
-        return None if stored is None else self._held(stored)
+            raise unavailable_error(exc) from exc
+        return None if stored is None else self._decode(stored)
 
-    async def all(self) -> dict[str, Held[Value]]:
+    async def all(self) -> dict[str, VersionedObject[Value]]:
         """Return all objects of the kind by name, in order of name."""
         listing = await list_kind(self._platform, self._kind)
         by_name = listing.by_name
-        return {name: self._held(by_name[name]) for name in sorted(by_name)}
+        return {name: self._decode(by_name[name]) for name in sorted(by_name)}
 
     async def create(self, name: str, value: Value) -> int:
         """Create the object and return its version."""
         data = msgspec.json.encode(value)
         try:
-            return await self._settled(name, data, None)
+            return await self._write_with_retries(name, data, None)
         except AlreadyExists as exc:
             raise CommandConflict(
-                f"{self._noun} {name} exists already; choose another name, for "
-                "names of retired ones are not used again"
+                f"{self._noun} {name} exists already; choose another name: "
+                "names of retired objects are not used again"
             ) from exc
 
     async def change(
@@ -100,79 +100,85 @@
         transition: Callable[[Value], Value],
         *,
         version: int | None = None,
-    ) -> Held[Value]:
-        """Replace the object by what `transition` makes of it.
+    ) -> VersionedObject[Value]:
+        """Replace the object by the result of `transition`.
 
         Parameters
         ----------
         version : int, optional
-            The version that the operator looked at; another one is a conflict.
+            Version that the change is based on; any other version is a conflict.
         """
-        held = await self.read(name)
-        if version is not None and held.version != version:
-            raise self._conflict(name, VersionConflict(f"found {held.version}"))
-        value = transition(held.value)
+        current = await self.read(name)
+        if version is not None and current.version != version:
+            raise self._conflict_error(
+                name, VersionConflict(f"found {current.version}")
+            )
+        value = transition(current.value)
         data = msgspec.json.encode(value)
         try:
-            changed = await self._settled(name, data, held.version)
+            changed = await self._write_with_retries(name, data, current.version)
         except (VersionConflict, ObjectNotFound) as exc:
-            raise self._conflict(name, exc) from exc
-        return Held(value=value, version=changed)
+            raise self._conflict_error(name, exc) from exc
+        return VersionedObject(value=value, version=changed)
 
     async def remove(self, name: str) -> None:
-        """Delete the object as it is now; `CommandError` where there is none."""
+        """Delete the current version, or raise `CommandError` if there is none."""
         try:
             stored = await self._platform.get(self._kind, name)
             if stored is None:
                 raise CommandError(f"no {self._noun} {name}")
             await self._platform.delete(self._kind, name, stored.version)
         except PlatformUnavailable as exc:
-            raise unavailable(exc) from exc
+            raise unavailable_error(exc) from exc
         except OutcomeUnknown as exc:
-            raise self._uncertain(name) from exc
+            raise self._uncertain_error(name) from exc
         except (VersionConflict, ObjectNotFound) as exc:
-            raise self._conflict(name, exc) from exc
+            raise self._conflict_error(name, exc) from exc
 
-    async def _settled(self, name: str, data: bytes, version: int | None) -> int:
-        for _ in range(ATTEMPTS):
+    async def _write_with_retries(
+        self, name: str, data: bytes, version: int | None
+    ) -> int:
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 return await self._write(name, data, version)
             except OutcomeUnknown:
-                # The write may have been done before its answer was lost.  The
-                # same bytes at another version are this write or one like it;
-                # the old version says it was not done and may be sent again.
-                found = await self._reread(name)
+                # The write may have taken effect.  The same bytes at another
+                # version come from this write or an equal one.  The old version
+                # shows that the write did not take effect and can be repeated.
+                found = await self._read_again(name)
                 if found is not None and found.version != version:
                     if found.value == data:
                         return found.version
-                    raise self._conflict(name, None) from None
+                    raise self._conflict_error(name, None) from None
             except PlatformUnavailable as exc:
-                raise unavailable(exc) from exc
+                raise unavailable_error(exc) from exc
             except ValueRefused as exc:
-                raise CommandError(f"the platform refuses it: {exc}") from exc
-        raise self._uncertain(name)
+                raise CommandError(
+                    f"the platform refused to store the object: {exc}"
+                ) from exc
+        raise self._uncertain_error(name)
 
     async def _write(self, name: str, data: bytes, version: int | None) -> int:
         if version is None:
             return await self._platform.create(self._kind, name, data)
         return await self._platform.update(self._kind, name, data, version)
 
-    async def _reread(self, name: str) -> Stored | None:
+    async def _read_again(self, name: str) -> Stored | None:
         try:
             return await self._platform.get(self._kind, name)
         except PlatformUnavailable as exc:
-            raise self._uncertain(name) from exc
+            raise self._uncertain_error(name) from exc
 
-    def _held(self, stored: Stored) -> Held[Value]:
+    def _decode(self, stored: Stored) -> VersionedObject[Value]:
         try:
             value = self._decoder.decode(stored.value)
         except msgspec.DecodeError as exc:
             raise CommandError(
-                f"{self._noun} {stored.name} holds what this release cannot read: {exc}"
+                f"{self._noun} {stored.name} cannot be decoded by this release: {exc}"
             ) from exc
-        return Held(value=value, version=stored.version)
+        return VersionedObject(value=value, version=stored.version)
 
-    def _conflict(self, name: str, exc: Exception | None) -> CommandConflict:
+    def _conflict_error(self, name: str, exc: Exception | None) -> CommandConflict:
         detail = f" ({exc})" if exc else ""
         return CommandConflict(
             f"{self._noun} {name} was changed by somebody else meanwhile{detail}; "
@@ -180,7 +186,7 @@
             "then run this again"
         )
 
-    def _uncertain(self, name: str) -> CommandUncertain:
+    def _uncertain_error(self, name: str) -> CommandUncertain:
         return CommandUncertain(
             f"the platform's answer was lost: {self._noun} {name} may or may not be "
             f"changed; see `ragwortkeel {self._noun} show {name}` before running "
@@ -189,15 +195,15 @@
 
 
 async def list_kind(platform: Platform, kind: str, prefix: str = "") -> Listing:
-    """Return a whole kind, or say that the platform does not answer."""
+    """Return all objects of a kind, or raise `CommandUnavailable`."""
     try:
         return await platform.list(kind, prefix)
     except PlatformUnavailable as exc:
-        raise unavailable(exc) from exc
+        raise unavailable_error(exc) from exc
 
 
-def unavailable(exc: Exception) -> CommandUnavailable:
-    """Return what to tell an operator when the platform does not answer."""
+def unavailable_error(exc: Exception) -> CommandUnavailable:
+    """Return the error for a platform that does not answer."""
     return CommandUnavailable(
         f"the platform does not answer ({exc}); nothing was changed: check "
         "--platform or run this again once it is back"
--- a/src/ragwortkeel/cli/plan.py
+++ b/src/ragwortkeel/cli/plan.py
@@ -1,8 +1,7 @@
-"""A command as parsed, run only once its whole command line made sense.
+"""Defer the action of a command until its command line is fully parsed.
 
-`fire` calls a command before it looks at the arguments left over; were the
-command to act at once, a misspelt flag would change the platform and only then
-be reported.
+`fire` calls a command before it checks for unused arguments.  A command that acted
+immediately would change the platform before a misspelt flag is reported.
 """
 
 import os
@@ -19,26 +18,26 @@
 
 PLATFORM_VARIABLE = "RAGWORTKEEL_PLATFORM"
 
-Scenario = Callable[[Platform], Awaitable[Result]]
+Action = Callable[[Platform], Awaitable[Result]]
 
 
 @dataclass(frozen=True, kw_only=True)
 class Session:
-    """Which platform a command works on, and how its result is shown."""
+    """The platform that a command uses, and its output format."""
 
     settings: str
     platform: str
     as_json: bool
 
     def connect(self) -> HttpPlatform:
-        """Return the platform that flags, settings or environment name."""
+        """Return a client for the platform in the settings, flags or environment."""
         if self.settings:
             read = load(self.settings, CommandSettings)
             return HttpPlatform(address=read.platform, timeout=read.timeout_seconds)
         address = self.platform or os.environ.get(PLATFORM_VARIABLE, "")
         if not address:
             raise CommandError(
-                "which platform? give --platform ip:port or --settings file.json, "
+                "no platform given; add --platform ip:port or --settings file.json, "
                 f"or set {PLATFORM_VARIABLE}"
             )
         try:
@@ -48,39 +47,39 @@
 
 
 class Plan:
-    """What a command will do.
+    """The deferred action of a command.
 
     Parameters
     ----------
     session : Session
-        Which platform it works on, and how its result is shown.
-    scenario : callable
-        Does it.
+        Platform and output format.
+    action : callable
+        Performs the command on a platform and returns its result.
     needs_platform : bool
-        Whether it works on a platform at all; the scenario gets None where not.
+        Whether the action uses a platform; otherwise it gets None.
     """
 
-    __slots__ = ("_needs_platform", "_scenario", "_session")
+    __slots__ = ("_needs_platform", "_action", "_session")
 
     def __init__(
-        self, *, session: Session, scenario: Scenario, needs_platform: bool = True
+        self, *, session: Session, action: Action, needs_platform: bool = True
     ) -> None:
         self._session = session
-        self._scenario = scenario
+        self._action = action
         self._needs_platform = needs_platform
 
 
-def carry_out(plan: Plan) -> str:
-    """Run a plan and return what to print."""
+def run_plan(plan: Plan) -> str:
+    """Run a plan and return the text to print."""
     if not plan._needs_platform:
-        result = curio.run(plan._scenario, None)
-        return result.shown(as_json=plan._session.as_json)
+        result = curio.run(plan._action, None)
+        return result.render(as_json=plan._session.as_json)
     platform = plan._session.connect()
 
-    async def whole() -> Result:
+    async def run_and_close() -> Result:
         try:
-            return await plan._scenario(platform)
+            return await plan._action(platform)
         finally:
             await platform.close()
 
-    return curio.run(whole).shown(as_json=plan._session.as_json)
+    return curio.run(run_and_close).render(as_json=plan._session.as_json)
--- a/src/ragwortkeel/cli/report.py
+++ b/src/ragwortkeel/cli/report.py
@@ -1,4 +1,4 @@
-"""``ragwortkeel report``: from the lines of all processes to where callers lost."""
+"""Summarize failed requests from the log lines of all processes."""
 
 import zlib
 from collections import Counter
@@ -6,36 +6,37 @@
 
 import msgspec
 
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.decision_lines import DecisionLine, read_lines
 from ragwortkeel.exceptions import CommandError
 
 SPAN_SECONDS = 2.0
-"""Of a row of the table by time."""
+"""Duration of one row in the table by time."""
 
-RETRY_SPANS = 5
-"""Rows of that table in which retries of a service are counted together: ten seconds
-show whether they piled up at one service."""
+RETRY_WINDOW_SPANS = 5
+"""Consecutive spans over which the retries of a service are added up.  A window of
+ten seconds shows whether retries accumulated at one service."""
 
-MOST_NAMES = 10_000
-"""Customers and services that are told apart; those that come later count as one."""
+MAX_NAMES = 10_000
+"""Maximum number of customers, and of services, that are counted separately.  All
+further names are counted under `OTHERS`."""
 
-SHOWN_CUSTOMERS = 10
+MAX_SHOWN_CUSTOMERS = 10
 
-MOST_REQUEST_LINES = 10_000
-"""Of one request; a proper one leaves five."""
+MAX_REQUEST_LINES = 10_000
+"""Maximum number of lines shown for one request; a normal request has five."""
 
 OTHERS = "(others)"
 
-_SHORTEST_SECONDS = 0.001
+_FIRST_BUCKET_SECONDS = 0.001
 _BUCKET_FACTOR = 1.25
 
-CALLERS_OWN = frozenset({"unknown_key", "no_route", "bad_request"})
-"""Reasons of refusals that callers bring about."""
+CALLER_FAULT_REASONS = frozenset({"unknown_key", "no_route", "bad_request"})
+"""Refusal reasons caused by the caller."""
 
 
 class Quantiles(msgspec.Struct, frozen=True, kw_only=True):
-    """Upper bounds in seconds, a quarter too high at the most."""
+    """Quantiles as upper bounds in seconds, at most 25% too high."""
 
     count: int
     half: float
@@ -44,7 +45,7 @@
 
 
 class Retries(msgspec.Struct, frozen=True, kw_only=True):
-    """Decisions on another attempt at one service, `most` in any ten seconds."""
+    """Retry decisions at one service; `most` is the maximum in any ten seconds."""
 
     allowed: int
     refused: int
@@ -52,7 +53,7 @@
 
 
 class Span(msgspec.Struct, frozen=True, kw_only=True):
-    """What happened in some seconds, `at` of which the first is."""
+    """Counts of events in one span that begins at second `at` of the report."""
 
     at: float
     served: int
@@ -62,7 +63,7 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """Where callers lost, and what the processes cost."""
+    """Counts of served and failed requests, and the costs of the processes."""
 
     lines: int
     unreadable_by_file: dict[str, int]
@@ -84,13 +85,13 @@
 
 
 class _Durations:
-    """Counts durations in buckets, so that memory doesn't grow with them."""
+    """Counts durations in buckets, in memory independent of their number."""
 
     def __init__(self) -> None:
         self._count_by_bucket: Counter[int] = Counter()
 
     def add(self, seconds: float) -> None:
-        bucket, bound = 0, _SHORTEST_SECONDS
+        bucket, bound = 0, _FIRST_BUCKET_SECONDS
         while seconds > bound and bucket < 80:
             bucket, bound = bucket + 1, bound * _BUCKET_FACTOR
         self._count_by_bucket[bucket] += 1
@@ -103,17 +104,17 @@
             all_but_one_in_100=self._at(0.99),
         )
 
-    def _at(self, share: float) -> float:
-        wanted, seen = share * self._count_by_bucket.total(), 0
+    def _at(self, fraction: float) -> float:
+        wanted, seen = fraction * self._count_by_bucket.total(), 0
         for bucket in sorted(self._count_by_bucket):
             seen += self._count_by_bucket[bucket]
             if seen >= wanted:
-                return round(_SHORTEST_SECONDS * _BUCKET_FACTOR**bucket, 4)
+                return round(_FIRST_BUCKET_SECONDS * _BUCKET_FACTOR**bucket, 4)
         return 0.0
 
 
 class _RetryCounts:
-    """Counts decisions on another attempt, by service."""
+    """Counts retry decisions by service."""
 
     def __init__(self) -> None:
         self._refused: Counter[str] = Counter()
@@ -122,13 +123,13 @@
     def add(self, line: DecisionLine) -> None:
         service = line.fields.get("service", "unknown")
         known = service in self._allowed_by_service
-        if not known and len(self._allowed_by_service) >= MOST_NAMES:
+        if not known and len(self._allowed_by_service) >= MAX_NAMES:
             service = OTHERS
         allowed_by_span = self._allowed_by_service.setdefault(service, Counter())
         if line.fields.get("allowed") != "true":
             self._refused[service] += 1
         elif line.fields.get("charged") == "true":
-            # What is not charged reached no upstream.
+            # A retry that is not charged reached no upstream.
             allowed_by_span[int(line.at // SPAN_SECONDS)] += 1
 
     def by_service(self) -> dict[str, Retries]:
@@ -136,17 +137,17 @@
             service: Retries(
                 allowed=allowed_by_span.total(),
                 refused=self._refused[service],
-                most=_most_together(allowed_by_span),
+                most=_max_in_window(allowed_by_span),
             )
             for service, allowed_by_span in sorted(self._allowed_by_service.items())
         }
 
 
-def _most_together(count_by_span: Counter[int]) -> int:
-    """Return the most in so many spans in a row as retries are counted over."""
+def _max_in_window(count_by_span: Counter[int]) -> int:
+    """Return the maximum sum over `RETRY_WINDOW_SPANS` consecutive spans."""
     return max(
         (
-            sum(count_by_span[span + later] for later in range(RETRY_SPANS))
+            sum(count_by_span[span + later] for later in range(RETRY_WINDOW_SPANS))
             for span in list(count_by_span)
         ),
         default=0,
@@ -154,7 +155,7 @@
 
 
 class Collector:
-    """Adds up lines, in memory that does not grow with their number.
+    """Aggregates log lines, in memory independent of their number.
 
     Examples
     --------
@@ -185,7 +186,7 @@
         self._first_event = _Durations()
 
     def add(self, file: str, line: DecisionLine | None) -> None:
-        """Add one line of a file, or one that can't be read."""
+        """Add one line of a file; None stands for an unreadable line."""
         if line is None:
             self._unreadable[file] += 1
             return
@@ -211,9 +212,9 @@
                 self._dropped += int(line.number("count"))
 
     def report(self) -> Report:
-        """Return what was added up."""
+        """Return the report on all lines added."""
         first = self._first_at or 0.0
-        customers = self._lacks_by_customer.most_common(SHOWN_CUSTOMERS)
+        customers = self._lacks_by_customer.most_common(MAX_SHOWN_CUSTOMERS)
         return Report(
             lines=self._lines,
             unreadable_by_file=dict(self._unreadable),
@@ -250,16 +251,16 @@
         match line.event:
             case "refused":
                 self._refused[reason] += 1
-                if reason not in CALLERS_OWN:
+                if reason not in CALLER_FAULT_REASONS:
                     self._count(line, "refused")
             case "run_failed":
                 self._failed[reason] += 1
                 self._count(line, "failed")
             case "tokens_lacking":
-                self._lacks[cause_of_lack(line)] += 1
+                self._lacks[shortage_cause(line)] += 1
                 customer = line.fields.get("customer", "unknown")
                 known = customer in self._lacks_by_customer
-                if not known and len(self._lacks_by_customer) >= MOST_NAMES:
+                if not known and len(self._lacks_by_customer) >= MAX_NAMES:
                     customer = OTHERS
                 self._lacks_by_customer[customer] += 1
                 self._count(line, "lacked")
@@ -269,17 +270,17 @@
         self._counts_by_span.setdefault(span, Counter())[what] += 1
 
 
-def cause_of_lack(line: DecisionLine) -> str:
-    """Return why a process had no tokens for a request, from its `tokens_lacking`."""
+def shortage_cause(line: DecisionLine) -> str:
+    """Return why a process lacked tokens, from its `tokens_lacking` line."""
     needed = line.number("needed")
     if line.fields.get("ledger_age") == "-":
         return "not yet joined the ledgers"
-    away = "" if line.fields.get("reachable") == "true" else ", platform away"
+    suffix = "" if line.fields.get("reachable") == "true" else ", platform away"
     if line.number("unspent") < needed:
-        return f"budget spent{away}"
+        return f"budget spent{suffix}"
     if line.number("free") < needed:
-        return f"tokens with other processes{away}"
-    return f"cap reached{away}"
+        return f"tokens with other processes{suffix}"
+    return f"cap reached{suffix}"
 
 
 def report(files: tuple[str, ...], request: str) -> Result:
@@ -288,17 +289,19 @@
     Raises
     ------
     CommandError
-        A file can't be read, or no line names the request.
+        If a file cannot be read, or no line names the request.
     """
     if not files:
-        raise CommandError("which files? give log files, or - for standard input")
+        raise CommandError(
+            "which files to read? give log files, or - for standard input"
+        )
     if request:
-        return _story(files, request)
+        return _request_lines(files, request)
     collector = Collector()
     for file, line in _all_lines(files):
         collector.add(file, line)
     data = collector.report()
-    return Result(data=data, text=_text(data))
+    return Result(data=data, text=_report_text(data))
 
 
 def _all_lines(files: tuple[str, ...]) -> Iterator[tuple[str, DecisionLine | None]]:
@@ -310,7 +313,7 @@
             raise CommandError(f"cannot read {file}: {exc}") from exc
 
 
-def _story(files: tuple[str, ...], request: str) -> Result:
+def _request_lines(files: tuple[str, ...], request: str) -> Result:
     lines = [
         line
         for _, line in _all_lines(files)
@@ -321,10 +324,10 @@
     lines.sort(key=lambda line: line.at)
     rows = [
         (f"{line.at:.3f}", line.process, line.event, _pairs(line))
-        for line in lines[:MOST_REQUEST_LINES]
+        for line in lines[:MAX_REQUEST_LINES]
     ]
     data = [{"at": at, "process": p, "event": e, "fields": f} for at, p, e, f in rows]
-    return Result(data=data, text=table(("at", "process", "event", ""), rows))
+    return Result(data=data, text=format_table(("at", "process", "event", ""), rows))
 
 
 def _pairs(line: DecisionLine) -> str:
@@ -345,21 +348,21 @@
 
 
 def _add_counts(counter: Counter[str], text: str) -> None:
-    """Add counts from ``name:number,name:number``; what is no such pair is left out."""
+    """Add counts from ``name:number,name:number``; other pairs are ignored."""
     for pair in filter(None, text.split(",")):
         name, _, number = pair.rpartition(":")
         if number.isdecimal():
             counter[name] += int(number)
 
 
-def _text(data: Report) -> str:
+def _report_text(data: Report) -> str:
     unreadable = sum(data.unreadable_by_file.values())
-    parts = [
+    blocks = [
         f"{data.lines} lines of {data.processes} processes over {data.seconds} s; "
         f"{unreadable} not readable, {data.dropped} dropped by their writers",
         f"served {data.served}; loops late {data.late_loops}",
-        _durations("waited for a place and tokens", data.waited),
-        _durations("first event", data.first_event),
+        _quantiles_text("waited for a place and tokens", data.waited),
+        _quantiles_text("first event", data.first_event),
     ]
     for heading, counts in (
         ("refused", data.refused_by_reason),
@@ -371,22 +374,22 @@
         ("not readable", data.unreadable_by_file),
     ):
         if counts:
-            parts.append(table((heading, "count"), list(counts.items())))
+            blocks.append(format_table((heading, "count"), list(counts.items())))
     retries = [
         (service, found.allowed, found.refused, found.most)
         for service, found in data.retries_by_service.items()
     ]
     if retries:
         headings = ("retries at", "allowed", "refused", "most in ten seconds")
-        parts.append(table(headings, retries))
+        blocks.append(format_table(headings, retries))
     spans = [(s.at, s.served, s.refused, s.failed, s.lacked) for s in data.spans]
     if spans:
         headings = ("second", "served", "refused", "runs failed", "lacked tokens")
-        parts.append(table(headings, spans))
-    return "\n\n".join(parts)
+        blocks.append(format_table(headings, spans))
+    return "\n\n".join(blocks)
 
 
-def _durations(what: str, found: Quantiles) -> str:
+def _quantiles_text(what: str, found: Quantiles) -> str:
     return (
         f"{what}, s: half within {found.half}, nine tenths {found.nine_tenths}, "
         f"all but one in 100 {found.all_but_one_in_100} ({found.count})"
--- a/src/ragwortkeel/cli/reports.py
+++ b/src/ragwortkeel/cli/reports.py
@@ -1,21 +1,26 @@
-"""What the fleet looks like: status and traces."""
+"""Report the status of the fleet and the traces of requests."""
 
 import msgspec
 
-from ragwortkeel.cli.fleet import NodeState, registered, spans, states
+from ragwortkeel.cli.fleet import (
+    ProcessState,
+    fetch_spans,
+    fetch_states,
+    list_registered,
+)
 from ragwortkeel.cli.objects import Objects
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.configuration import PROFILES, UPSTREAMS, Profile, Upstream
 from ragwortkeel.exceptions import CommandError
 from ragwortkeel.platform import Platform
 from ragwortkeel.traces import SpanRecord
 
 
-class NodeRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A registered node; `revision` is None where it did not answer.
+class ProcessRow(msgspec.Struct, frozen=True, kw_only=True):
+    """A registered process; `revision` is None if the process did not answer.
 
-    `listed` says whether the platform's list shows it, None where that list
-    could not be read.
+    `listed` is whether the platform's list of instances contains the process, or
+    None if that list could not be read.
     """
 
     name: str
@@ -29,9 +34,9 @@
 
 
 class Status(msgspec.Struct, frozen=True, kw_only=True):
-    """The fleet at a glance."""
+    """The processes of the fleet, and counts of profiles and upstreams."""
 
-    nodes: list[NodeRow]
+    nodes: list[ProcessRow]
     profiles: int
     retired_profiles: int
     upstreams: int
@@ -39,8 +44,8 @@
 
 
 async def status(platform: Platform) -> Result:
-    """Return nodes, profiles and upstreams."""
-    found = await states(platform, await registered(platform))
+    """Return the processes and the numbers of profiles and upstreams."""
+    found = await fetch_states(platform, await list_registered(platform))
     profiles = await Objects(
         platform=platform, kind=PROFILES, cls=Profile, noun="profile"
     ).all()
@@ -60,12 +65,12 @@
 
 
 async def trace(platform: Platform, trace_id: str) -> Result:
-    """Return the spans of one request from all nodes."""
-    found = await spans(platform, trace_id)
+    """Return the spans of one request from all processes."""
+    found = await fetch_spans(platform, trace_id)
     if not found:
         raise CommandError(
-            f"no node holds spans of trace {trace_id}; nodes keep the latest only, "
-            "and a stopped node takes its own along"
+            f"no process holds spans of trace {trace_id}; processes only keep recent "
+            "spans, and lose them when they stop"
         )
     return Result(data=found, text="\n".join(span_lines(found)))
 
@@ -92,9 +97,9 @@
     return lines
 
 
-def _node_row(state: NodeState) -> NodeRow:
+def _node_row(state: ProcessState) -> ProcessRow:
     node = state.node
-    return NodeRow(
+    return ProcessRow(
         name=node.incarnation,
         role=node.role,
         zone=node.zone,
@@ -124,4 +129,4 @@
         f"{data.profiles} profiles ({data.retired_profiles} retired), "
         f"{data.upstreams} upstreams ({data.draining_upstreams} draining)"
     )
-    return f"{table(headings, rows)}\n{summary}"
+    return f"{format_table(headings, rows)}\n{summary}"
--- a/src/ragwortkeel/cli/upstreams.py
+++ b/src/ragwortkeel/cli/upstreams.py
@@ -1,11 +1,11 @@
-"""``ragwortkeel upstream``: moving upstreams in and out of service."""
+"""Implement ``ragwortkeel upstream``: put upstreams in and out of service."""
 
 import msgspec
 from fire.decorators import SetParseFns
 
-from ragwortkeel.cli.fleet import note_in_force
-from ragwortkeel.cli.objects import Held, Objects
-from ragwortkeel.cli.output import Result, table
+from ragwortkeel.cli.fleet import in_force_note
+from ragwortkeel.cli.objects import Objects, VersionedObject
+from ragwortkeel.cli.output import Result, format_table
 from ragwortkeel.cli.plan import Plan, Session
 from ragwortkeel.configuration import UPSTREAMS, Upstream, UpstreamState
 from ragwortkeel.exceptions import CommandError
@@ -14,14 +14,14 @@
 
 
 class UpstreamRow(msgspec.Struct, frozen=True, kw_only=True):
-    """An upstream as listed."""
+    """A listed upstream."""
 
     upstream: Upstream
     version: int
 
 
 class UpstreamCommands:
-    """Move upstreams in and out of service."""
+    """Put upstreams in and out of service."""
 
     def __init__(self, *, session: Session) -> None:
         self._session = session
@@ -43,17 +43,17 @@
         Parameters
         ----------
         name
-            Name of the upstream, as its sidecar's settings give it.
+            Name of the upstream, as in the settings of its sidecar.
         back_end
-            The back end that it is an instance of.
+            The back end that the upstream is an instance of.
         kind
             model or service.
         sidecar_address
-            ip:port of the sidecar beside it.
+            Address of its sidecar, as ip:port.
         zone
-            Its availability zone.
+            Availability zone of the upstream.
         resumes
-            Its engine can go on after tokens already produced.
+            The engine can continue an answer after given tokens.
         wait
             Seconds to wait until the change is in force everywhere.
         """
@@ -66,17 +66,17 @@
             "resumes": resumes,
         }
 
-        async def scenario(platform: Platform) -> Result:
+        async def action(platform: Platform) -> Result:
             upstream = decode(msgspec.json.encode(raw), Upstream)
             version = await _objects(platform).create(upstream.name, upstream)
-            held = Held(value=upstream, version=version)
-            return await _done(platform, held, "in service", wait)
+            current = VersionedObject(value=upstream, version=version)
+            return await _change_result(platform, current, "in service", wait)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(name=str)
     def drain(self, name, *, wait=0.0):
-        """Give an upstream no new work; what it has is finished.
+        """Stop sending new requests to an upstream; running requests finish.
 
         Parameters
         ----------
@@ -85,11 +85,11 @@
         wait
             Seconds to wait until the change is in force everywhere.
         """
-        return self._move(str(name), UpstreamState.DRAINING, "draining", wait)
+        return self._set_state(str(name), UpstreamState.DRAINING, "draining", wait)
 
     @SetParseFns(name=str)
     def put_back(self, name, *, wait=0.0):
-        """Give a drained upstream work again.
+        """Send requests to a drained upstream again.
 
         Parameters
         ----------
@@ -98,11 +98,11 @@
         wait
             Seconds to wait until the change is in force everywhere.
         """
-        return self._move(str(name), UpstreamState.SERVING, "in service", wait)
+        return self._set_state(str(name), UpstreamState.SERVING, "in service", wait)
 
     @SetParseFns(name=str)
     def retire(self, name, *, wait=0.0):
-        """Take an upstream out for good; its name is not used again.
+        """Retire an upstream permanently; its name is not used again.
 
         Parameters
         ----------
@@ -112,26 +112,27 @@
             Seconds to wait until the change is in force everywhere.
         """
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).change(
-                str(name), lambda one: msgspec.structs.replace(one, retired=True)
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).change(
+                str(name),
+                lambda upstream: msgspec.structs.replace(upstream, retired=True),
             )
-            return await _done(platform, held, "retired", wait)
+            return await _change_result(platform, current, "retired", wait)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     def list(self):
         """List the upstreams with state and zone."""
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).all()
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).all()
             rows = [
                 UpstreamRow(upstream=one.value, version=one.version)
-                for one in held.values()
+                for one in current.values()
             ]
             return Result(data=rows, text=_table(rows))
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
     @SetParseFns(name=str)
     def show(self, name):
@@ -143,41 +144,43 @@
             Name of the upstream.
         """
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).read(str(name))
-            row = UpstreamRow(upstream=held.value, version=held.version)
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).read(str(name))
+            row = UpstreamRow(upstream=current.value, version=current.version)
             return Result(data=row, text=_table([row]))
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
-    def _move(self, name: str, state: UpstreamState, done: str, wait: float) -> Plan:
-        def moved(one: Upstream) -> Upstream:
-            if one.retired:
+    def _set_state(
+        self, name: str, state: UpstreamState, done: str, wait: float
+    ) -> Plan:
+        def with_state(upstream: Upstream) -> Upstream:
+            if upstream.retired:
                 raise CommandError(f"upstream {name} is retired for good; add another")
-            return msgspec.structs.replace(one, state=state)
+            return msgspec.structs.replace(upstream, state=state)
 
-        async def scenario(platform: Platform) -> Result:
-            held = await _objects(platform).change(name, moved)
-            return await _done(platform, held, done, wait)
+        async def action(platform: Platform) -> Result:
+            current = await _objects(platform).change(name, with_state)
+            return await _change_result(platform, current, done, wait)
 
-        return Plan(session=self._session, scenario=scenario)
+        return Plan(session=self._session, action=action)
 
 
-# The word that operators know is one that Python keeps for itself.
+# The command is named "return", which is a reserved word in Python.
 setattr(UpstreamCommands, "return", UpstreamCommands.put_back)
 del UpstreamCommands.put_back
 
 
-async def _done(
-    platform: Platform, held: Held[Upstream], done: str, wait: float
+async def _change_result(
+    platform: Platform, current: VersionedObject[Upstream], done: str, wait: float
 ) -> Result:
-    name = held.value.name
-    text = f"upstream {name}: {done}, version {held.version}"
-    text += await note_in_force(
-        platform, kind=UPSTREAMS, name=name, version=held.version, wait=wait
+    name = current.value.name
+    text = f"upstream {name}: {done}, version {current.version}"
+    text += await in_force_note(
+        platform, kind=UPSTREAMS, name=name, version=current.version, wait=wait
     )
     return Result(
-        data=UpstreamRow(upstream=held.value, version=held.version), text=text
+        data=UpstreamRow(upstream=current.value, version=current.version), text=text
     )
 
 
@@ -199,4 +202,4 @@
         for row in rows
     ]
     headings = ("name", "back end", "kind", "zone", "state", "sidecar", "version")
-    return table(headings, cells)
+    return format_table(headings, cells)
--- a/src/ragwortkeel/decision_lines.py
+++ b/src/ragwortkeel/decision_lines.py
@@ -1,8 +1,8 @@
-"""Reads the key=value lines that processes log, of any number of processes.
+"""Reader of the key=value lines that processes log.
 
-Lines may stand behind a prefix whose last word names the process, as collectors put it;
-else the process is the file's name.  A line that is cut off or of another program is no
-line; whoever reads counts these.
+A collector may put a prefix before each line, whose last field is the name of the
+process; without a prefix the name is that of the file.  A line that is truncated or
+written by another program yields None, so that the caller can count such lines.
 """
 
 import gzip
@@ -18,19 +18,23 @@
 STANDARD_INPUT = "-"
 
 _PAIR = compiled(r'([^\s="]+)=("(?:[^"\\]|\\.)*"|[^\s"]*)(?=\s|$)')
-_MARKS = ("timestamp=", "level=")
+_FIRST_KEYS = ("timestamp=", "level=")
 
 
 @dataclass(frozen=True, kw_only=True)
 class DecisionLine:
-    """One event of one process.
+    """Event in a log line.
 
     Attributes
     ----------
     at : float
-        Seconds since the epoch; 0.0 where the line has no time.
+        Time in seconds since the epoch; 0.0 where the line has none.
+    process : str
+        Name of the process that logged the event.
+    event : str
+        Name of the event.
     fields : dict of str to str
-        All other pairs.
+        All other pairs of the line.
     """
 
     at: float
@@ -39,20 +43,22 @@
     fields: dict[str, str]
 
     def number(self, name: str, default: float = 0.0) -> float:
-        """Return a field as a number; the default where it is none."""
+        """Return a field as a number, or the default where it is not a number."""
         try:
             return float(self.fields.get(name, default))
         except ValueError:
             return default
 
 
-def parsed(text: str, *, process: str) -> DecisionLine | None:
-    """Return the event that a line tells of, or None where it tells of none."""
-    starts = [start for mark in _MARKS if (start := text.find(mark)) >= 0]
+def parse_line(text: str, *, process: str) -> DecisionLine | None:
+    """Return the event in a line, or None where the line holds none."""
+    starts = [
+        start for first_key in _FIRST_KEYS if (start := text.find(first_key)) >= 0
+    ]
     if not starts:
         return None
     prefix, text = text[: min(starts)].split(), text[min(starts) :]
-    fields = {key: _unquoted(value) for key, value in _PAIR.findall(text)}
+    fields = {key: _unquote(value) for key, value in _PAIR.findall(text)}
     event = fields.pop("event", None)
     if event is None:
         return None
@@ -65,12 +71,13 @@
 
 
 def read_lines(file: str) -> Iterator[DecisionLine | None]:
-    """Return the events of a file, None for each line that can't be read.
+    """Yield the event of each line of a file, None for a line that can't be parsed.
 
     Parameters
     ----------
     file : str
-        A path, of a gzip file where it ends in ``.gz``; ``-`` for standard input.
+        Path of a text file, or of a gzip file if it ends in ``.gz``; ``-`` for
+        standard input.
 
     Raises
     ------
@@ -78,23 +85,23 @@
         The file can't be opened.
     """
     process = Path(file).name.partition(".")[0]
-    with _opened(file) as lines:
+    with _open_file(file) as lines:
         for text in lines:
             if text.strip():
-                yield parsed(text, process=process)
+                yield parse_line(text, process=process)
 
 
 @contextmanager
-def _opened(file: str) -> Iterator[TextIO]:
+def _open_file(file: str) -> Iterator[TextIO]:
     if file == STANDARD_INPUT:
         yield sys.stdin
         return
-    opens = gzip.open if file.endswith(".gz") else open
-    with opens(file, "rt", encoding="utf-8", errors="replace") as lines:
+    open_text = gzip.open if file.endswith(".gz") else open
+    with open_text(file, "rt", encoding="utf-8", errors="replace") as lines:
         yield lines
 
 
-def _unquoted(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     try:
--- a/src/ragwortkeel/http_server.py
+++ b/src/ragwortkeel/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: whole requests in, answers out, peers held to bounds."""
+"""The HTTP server: buffers requests, limits peers and calls a handler."""
 
 import socket as _socket
 from collections.abc import Awaitable, Callable
@@ -10,28 +10,28 @@
 import h11
 
 from ragwortkeel.exceptions import BadRequest, ExchangeBroken
-from ragwortkeel.http_events import READ_CHUNK_BYTES, joined_headers, next_event
+from ragwortkeel.http_events import READ_CHUNK_BYTES, join_headers, next_event
 from ragwortkeel.http_responder import Request, Responder
 from ragwortkeel.logs import log_error, log_warning
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""A season's dossier fits with room to spare; more is refused with 413."""
+"""Larger bodies are refused with 413; the largest usual documents are smaller."""
 
 REQUEST_READ_SECONDS = 20.0
-"""A request that is not whole by then is refused with 408."""
+"""A request whose body is incomplete after this time is refused with 408."""
 
 KEEP_ALIVE_SECONDS = 60.0
 LISTEN_BACKLOG = 1024
 MAX_PIPELINED_BYTES = 64 * 1024
-"""Bytes of later requests read while one runs; the rest waits in the socket."""
+"""Bytes of pipelined requests read while one runs; more stay in the socket."""
 
 LINGER_SECONDS = 2.0
-"""How long a refused peer may go on sending before its connection is closed."""
+"""How long a refused peer may continue to send before the connection closes."""
 
-ACCEPT_PAUSE_SECONDS = 0.1
+ACCEPT_RETRY_SECONDS = 0.1
 STOP_POLL_SECONDS = 0.02
-NEWCOMER_SECONDS = 1.0
-"""How long a stop waits for requests on connections just accepted."""
+FIRST_REQUEST_SECONDS = 1.0
+"""How long a planned stop waits for the first request on new connections."""
 
 PROBLEM_TYPE = "application/problem+json"
 
@@ -40,29 +40,30 @@
 
 
 class HttpServer:
-    """A server whose accepting and whose open exchanges end separately.
+    """A server that can stop accepting while open exchanges continue.
 
     Parameters
     ----------
     host, port
-        Where to listen; port 0 takes a free one, found in `port` after `open`.
+        Address to listen on.  Port 0 selects a free port, which is in `port` after
+        `open`.
     handler
-        Called once a request is whole; may answer in pieces.
+        Called when a request is complete; may send its response in chunks.
     max_body_bytes
         Larger bodies are refused with 413 and never reach the handler.
     read_seconds
-        How long the body of a request may take, in seconds.
+        Maximum time for receiving the body of a request, in seconds.
     keep_alive_seconds
-        How long a connection may wait for the head of the next request.
-    cancels_abandoned
-        Whether the handler is cancelled once its caller has closed.
+        Maximum time for receiving the head of the next request, in seconds.
+    cancels_disconnected
+        Whether the handler is cancelled when its caller has closed the connection.
 
     Attributes
     ----------
     keep_alive_seconds, max_body_bytes
-        As given; may change while the server runs.
+        The parameters; may be changed while the server runs.
     open_exchanges : int
-        Requests begun and not yet answered.
+        Number of requests whose exchange has started and not ended.
 
     Examples
     --------
@@ -82,7 +83,7 @@
         max_body_bytes: int = MAX_BODY_BYTES,
         read_seconds: float = REQUEST_READ_SECONDS,
         keep_alive_seconds: float = KEEP_ALIVE_SECONDS,
-        cancels_abandoned: bool = False,
+        cancels_disconnected: bool = False,
     ) -> None:
         self.host = host
         self.port = port
@@ -91,8 +92,8 @@
         self.max_body_bytes = max_body_bytes
         self._read_seconds = read_seconds
         self.keep_alive_seconds = keep_alive_seconds
-        self._cancels_abandoned = cancels_abandoned
-        self._newcomers = 0
+        self._cancels_disconnected = cancels_disconnected
+        self._connections_before_request = 0
         self._idle_by_socket: dict[object, h11.Connection] = {}
         self._listener = None
         self._acceptor = None
@@ -107,10 +108,10 @@
         self.port = self._listener.getsockname()[1]
 
     async def serve(self) -> None:
-        """Serve until cancelled, which ends the exchanges that are still open.
+        """Serve until cancelled; cancelling ends the open exchanges.
 
-        A planned stop first calls `stop_accepting`, then waits until there are
-        no `open_exchanges`.
+        A planned stop first calls `stop_accepting`, then waits until
+        `open_exchanges` is 0.
         """
         async with self._connections:
             self._acceptor = await curio.spawn(self._accept)
@@ -120,31 +121,31 @@
                 await self._close_listener()
 
     def begin_closing(self) -> None:
-        """Tell each peer with its next answer that no other request may follow.
+        """Ask each peer to close its connection with the next response.
 
-        New connections are still taken: a balancer that looks once a second goes
-        on sending them for a while, and a closed port would break them off.
+        New connections are still accepted: a balancer that checks once a second
+        continues to open them for a while, and a closed port would refuse them.
         """
         self._stopping = True
 
     async def stop_accepting(self) -> None:
-        """Refuse new connections; open exchanges go on.
+        """Refuse new connections; open exchanges continue.
 
-        On return the requests of all connections accepted before have begun, or
-        their peers have let `NEWCOMER_SECONDS` pass.
+        On return, the first requests on all connections accepted before have
+        started, or `FIRST_REQUEST_SECONDS` have passed.
         """
         self._stopping = True
         await self._close_listener()
         waited = 0.0
-        while self._newcomers and waited < NEWCOMER_SECONDS:
+        while self._connections_before_request and waited < FIRST_REQUEST_SECONDS:
             await curio.sleep(STOP_POLL_SECONDS)
             waited += STOP_POLL_SECONDS
 
     async def close_idle(self) -> None:
-        """Close the connections on which no request has begun.
+        """Close the connections on which no request has started.
 
-        A peer would send its next one just before the end of a planned stop, too
-        late to be served whole.
+        Otherwise a peer might send a request just before the end of a planned
+        stop, too late to complete.
         """
         for sock, conn in list(self._idle_by_socket.items()):
             if not conn.trailing_data[0]:
@@ -152,12 +153,12 @@
                     await sock.shutdown(_socket.SHUT_RDWR)
 
     async def _close_listener(self) -> None:
-        # The accepting task has to be out of its wait before the listener is
-        # closed; closed under it, it would wait for ever on a freed descriptor.
+        # The accepting task has to end before the listener is closed; otherwise
+        # it would wait forever on a freed descriptor.
         if self._acceptor is not None:
             await self._acceptor.cancel()
         if self._listener is not None:
-            await self._take_pending()
+            await self._accept_pending()
             await self._listener.close()
             self._listener = None
 
@@ -166,26 +167,26 @@
             try:
                 sock, _ = await self._listener.accept()
             except OSError as exc:
-                # Out of descriptors, or a peer gone before it was accepted: one
-                # such error must not end the accepting for good.
+                # The process is out of descriptors, or the peer disconnected
+                # early.  Such an error must not stop the server from accepting.
                 log_warning("accept_failed", error=str(exc))
-                await curio.sleep(ACCEPT_PAUSE_SECONDS)
+                await curio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
-            await self._welcome(sock)
+            await self._start_connection(sock)
 
-    async def _take_pending(self) -> None:
-        """Accept what the system has already accepted for this process."""
-        # Closing the listener resets the connections in its backlog, requests
-        # sent on them included: their callers would not know whether they ran.
+    async def _accept_pending(self) -> None:
+        """Accept the connections in the backlog of the listener."""
+        # Closing the listener resets the connections in its backlog.  Callers that
+        # sent requests on them would not know whether these ran.
         with suppress(OSError):
             while True:
                 sock, _ = self._listener._socket.accept()
-                await self._welcome(curio.io.Socket(sock))
+                await self._start_connection(curio.io.Socket(sock))
 
-    async def _welcome(self, sock) -> None:
+    async def _start_connection(self, sock) -> None:
         with suppress(OSError):
             sock.setsockopt(_socket.IPPROTO_TCP, _socket.TCP_NODELAY, 1)
-        self._newcomers += 1
+        self._connections_before_request += 1
         await self._connections.spawn(self._connection, sock, daemon=True)
 
     async def _connection(self, sock) -> None:
@@ -207,7 +208,7 @@
         try:
             return await self._read_head(sock, conn)
         finally:
-            self._newcomers -= 1
+            self._connections_before_request -= 1
 
     async def _exchange(self, sock, conn, head: h11.Request) -> bool:
         """Serve one request; return whether another may follow."""
@@ -215,33 +216,37 @@
         self.open_exchanges += 1
         try:
             request = await self._read_request(sock, conn, head)
-            await self._answer(sock, conn, request, responder)
+            await self._run_handler(sock, conn, request, responder)
         finally:
             self.open_exchanges -= 1
         reusable = conn.our_state is h11.DONE and conn.their_state is h11.DONE
-        return reusable and not responder.gone.is_set()
+        return reusable and not responder.disconnected.is_set()
 
-    async def _answer(self, sock, conn, request: Request, responder: Responder) -> None:
+    async def _run_handler(
+        self, sock, conn, request: Request, responder: Responder
+    ) -> None:
         responder.bodiless = request.method == "HEAD"
         responder.closing = self._stopping
-        abandoned = await curio.current_task() if self._cancels_abandoned else None
+        handler_task = (
+            await curio.current_task() if self._cancels_disconnected else None
+        )
         watcher = await curio.spawn(
-            _watch_peer, sock, conn, responder, abandoned, daemon=True
+            _detect_disconnect, sock, conn, responder, handler_task, daemon=True
         )
         try:
             await self._handler(request, responder)
         except (OSError, ExchangeBroken):
             raise
         except Exception as exc:
-            # A fault in a handler must reach its caller as an error, never as an
-            # answer that looks whole, and must not harm other connections.
+            # The caller of a failed handler must receive an error, never a
+            # response that looks complete; other connections must not be affected.
             log_error("handler_failed", path=request.path, error=repr(exc))
             await _report_fault(responder)
         finally:
             await watcher.cancel()
 
     async def _read_head(self, sock, conn) -> h11.Request | None:
-        """Return the head of the next request; None where the peer is done."""
+        """Return the head of the next request, or None if the peer sends none."""
         self._idle_by_socket[sock] = conn
         try:
             async with curio.timeout_after(self.keep_alive_seconds):
@@ -260,8 +265,8 @@
 
     async def _read_request(self, sock, conn, head: h11.Request) -> Request:
         arrived_at = monotonic()
-        parts = _split_target(head)
-        headers = joined_headers(head.headers)
+        url = _split_target(head)
+        headers = join_headers(head.headers)
         self._check_length(int(headers.get("content-length", "0")))
         try:
             async with curio.timeout_after(self._read_seconds):
@@ -272,8 +277,8 @@
             ) from None
         return Request(
             method=head.method.decode("latin-1"),
-            path=parts.path,
-            query=dict(parse_qsl(parts.query)),
+            path=url.path,
+            query=dict(parse_qsl(url.query)),
             headers=headers,
             body=body,
             target=head.target.decode("latin-1"),
@@ -285,7 +290,7 @@
         )
 
     async def _read_body(self, sock, conn) -> bytes:
-        pieces = []
+        chunks = []
         size = 0
         while True:
             event = await next_event(sock, conn)
@@ -293,9 +298,9 @@
                 case h11.Data(data=data):
                     size += len(data)
                     self._check_length(size)
-                    pieces.append(bytes(data))
+                    chunks.append(bytes(data))
                 case h11.EndOfMessage():
-                    return b"".join(pieces)
+                    return b"".join(chunks)
                 case _:
                     raise BadRequest(
                         status=400, reason="body_cut_off", detail="the body ended early"
@@ -328,9 +333,9 @@
 
 
 async def _linger(sock) -> None:
-    """Read and drop what the peer still sends, for a while."""
+    """Read and drop what the peer sends, for up to `LINGER_SECONDS`."""
     # Closing with unread bytes resets the connection, and the reset can overtake
-    # the refusal: the caller would see a broken connection without a reason.
+    # the refusal: the caller would see an error without its reason.
     await sock.shutdown(_socket.SHUT_WR)
     try:
         async with curio.timeout_after(LINGER_SECONDS):
@@ -348,21 +353,21 @@
     await responder.respond(500, body, {"content-type": PROBLEM_TYPE})
 
 
-async def _watch_peer(
+async def _detect_disconnect(
     sock,
     conn: h11.Connection,
     responder: Responder,
-    abandoned: curio.Task | None,
+    handler_task: curio.Task | None,
 ) -> None:
-    """Notice a peer that leaves while its request runs, and cancel its handler."""
+    """Detect that the peer disconnects during its request; cancel the handler."""
     try:
         while data := await sock.recv(READ_CHUNK_BYTES):
-            # A pipelined request: h11 keeps it until the next cycle.
+            # h11 buffers a pipelined request until the next cycle.
             conn.receive_data(data)
             if len(conn.trailing_data[0]) > MAX_PIPELINED_BYTES:
                 return
     except OSError:
         pass
-    await responder.gone.set()
-    if abandoned is not None:
-        await abandoned.cancel(blocking=False)
+    await responder.disconnected.set()
+    if handler_task is not None:
+        await handler_task.cancel(blocking=False)
--- a/src/ragwortkeel/metrics.py
+++ b/src/ragwortkeel/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics by prometheus_client: one registry for each daemon.
+"""Metrics by prometheus_client, with one registry for each daemon.
 
-Labels come from small closed sets, and upstreams from the linked ones.  Profiles,
-customers and request ids are never labels: a quarter of a million time series
-would outweigh the daemon.
+Label values come from small closed sets; upstream labels are the linked upstreams.
+Profiles, customers and request ids are never labels, because a quarter of a million
+time series would use more memory than the daemon itself.
 """
 
 from prometheus_client import (
@@ -19,18 +19,18 @@
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 FIRST_TOKEN_BUCKETS = (0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0)
-"""Around the promise of 1.5 s for the first token."""
+"""Upper bounds in seconds, around the promise of 1.5 s for the first token."""
 
 QUEUE_WAIT_BUCKETS = (0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 15.0)
 
 
 class Metrics:
-    """What one daemon counts.
+    """Counters, gauges and histograms of one daemon.
 
     Examples
     --------
     >>> metrics = Metrics()
-    >>> metrics.request_ended(service="interactive", outcome="ok", reason="")
+    >>> metrics.record_request(service="interactive", outcome="ok", reason="")
 
     .. versionadded:: 0.1
     """
@@ -115,7 +115,7 @@
             "ragwortkeel_configuration_revision",
             "Highest configuration revision in force here.",
         )
-        self._revision_heard = self._gauge(
+        self._peer_revision = self._gauge(
             "ragwortkeel_configuration_revision_heard",
             "Highest configuration revision that a peer has in force.",
         )
@@ -130,7 +130,7 @@
         self._queued_requests = self._gauge(
             "ragwortkeel_queued_requests", "Requests that wait for an upstream."
         )
-        self._held_tokens = self._gauge(
+        self._slice_tokens = self._gauge(
             "ragwortkeel_slice_tokens", "Tokens of budget slices held and not spent."
         )
         self._queue_wait = self._histogram(
@@ -144,101 +144,101 @@
             FIRST_TOKEN_BUCKETS,
         )
 
-    def request_ended(self, *, service: str, outcome: str, reason: str) -> None:
-        """Count one final answer."""
+    def record_request(self, *, service: str, outcome: str, reason: str) -> None:
+        """Count a request by its final answer."""
         self._requests.labels(service, outcome, reason).inc()
 
-    def decided(self, *, decision: str, reason: str) -> None:
-        """Count one decision under load."""
+    def record_decision(self, *, decision: str, reason: str) -> None:
+        """Count a decision under load."""
         self._decisions.labels(decision, reason).inc()
 
-    def attempt_failed(self, *, failure: str) -> None:
-        """Count an attempt that failed."""
+    def record_attempt_failure(self, *, failure: str) -> None:
+        """Count a failed attempt."""
         self._failures.labels(failure).inc()
 
-    def retry_decided(self, *, service: str, cause: str, allowed: bool) -> None:
+    def record_retry_decision(self, *, service: str, cause: str, allowed: bool) -> None:
         """Count a decision on another attempt of a request."""
         self._retries.labels(service, cause, str(allowed).lower()).inc()
 
-    def upstream_crashed(self) -> None:
-        """Count a crash heard of."""
+    def record_crash(self) -> None:
+        """Count a crash of an upstream that became known to this process."""
         self._crashes.inc()
 
-    def upstream(self, *, name: str, limit: int, load: int) -> None:
-        """Note the limit and load of a linked upstream."""
+    def set_upstream_load(self, *, name: str, limit: int, load: int) -> None:
+        """Set the limit and load of a linked upstream, in requests."""
         self._upstream_limit.labels(name).set(limit)
         self._upstream_load.labels(name).set(load)
 
-    def upstream_announced(self, *, name: str, limit: float | None) -> None:
-        """Note the rate limit that an upstream announced; None for none."""
+    def set_announced_limit(self, *, name: str, limit: float | None) -> None:
+        """Set an upstream's announced limit in requests/s, or remove it for None."""
         gauge = self._upstream_announced.labels(name)
         if limit is None:
             self._upstream_announced.remove(name)
             return
         gauge.set(limit)
 
-    def tokens_spent(self, *, service: str, tokens: int) -> None:
-        """Add tokens that were billed."""
+    def record_tokens(self, *, service: str, tokens: int) -> None:
+        """Add billed tokens."""
         self._tokens.labels(service).inc(tokens)
 
-    def slice_operation(self, *, operation: str, outcome: str) -> None:
-        """Count one take, return, settle or transfer of a slice."""
+    def record_slice_operation(self, *, operation: str, outcome: str) -> None:
+        """Count an operation on a slice: take, return, settle, renew or transfer."""
         self._slices.labels(operation, outcome).inc()
 
-    def receipts(self, *, state: str, count: int = 1) -> None:
-        """Count receipts that were made or became durable."""
+    def record_receipts(self, *, state: str, count: int = 1) -> None:
+        """Count receipts that were created or became durable."""
         self._receipts.labels(state).inc(count)
 
-    def link_lost(self, *, peer: str) -> None:
-        """Count a link whose peer, of that role, went silent."""
+    def record_link_lost(self, *, peer: str) -> None:
+        """Count a link that was lost because its peer, of that role, was silent."""
         self._links_lost.labels(peer).inc()
 
-    def link_traffic(self, report: TrafficReport) -> None:
-        """Add the bytes that links carried since the last report."""
-        for kind, size in report.sent_by_kind.items():
+    def record_link_traffic(self, report: TrafficReport) -> None:
+        """Add the bytes of a report on links."""
+        for kind, size in report.sent_bytes_by_kind.items():
             self._link_bytes.labels("sent", kind).inc(size)
-        for kind, size in report.heard_by_kind.items():
+        for kind, size in report.received_bytes_by_kind.items():
             self._link_bytes.labels("heard", kind).inc(size)
 
-    def platform_failed(self, *, error: str) -> None:
+    def record_platform_failure(self, *, error: str) -> None:
         """Count a failed call to the platform."""
         self._platform_errors.labels(error).inc()
 
-    def platform_called(self, *, operation: str, kind: str, outcome: str) -> None:
-        """Count one call to the platform."""
+    def record_platform_call(self, *, operation: str, kind: str, outcome: str) -> None:
+        """Count a call to the platform."""
         self._platform_calls.labels(operation, kind, outcome).inc()
 
-    def configuration_in_force(self, *, revision: int) -> None:
-        """Note the highest revision in force."""
+    def set_configuration_revision(self, *, revision: int) -> None:
+        """Set the highest configuration revision in force here."""
         self._revision.set(revision)
 
-    def configuration_heard(self, *, revision: int) -> None:
-        """Note the highest revision that a peer has in force."""
-        self._revision_heard.set(revision)
+    def set_peer_revision(self, *, revision: int) -> None:
+        """Set the highest configuration revision in force at a peer."""
+        self._peer_revision.set(revision)
 
-    def zone_evacuated(self, *, zone: str, since: float) -> None:
-        """Note since when an availability zone is evacuated; 0 once it is back."""
+    def set_zone_evacuated_since(self, *, zone: str, since: float) -> None:
+        """Set the time of an availability zone's evacuation; 0 once it has ended."""
         self._zone_evacuated_since.labels(zone).set(since)
 
-    def load(self, *, running: int, queued: int) -> None:
-        """Note how many requests are open and how many of them wait."""
+    def set_load(self, *, running: int, queued: int) -> None:
+        """Set the number of open requests and how many of them are queued."""
         self._open_requests.set(running)
         self._queued_requests.set(queued)
 
-    def slice_tokens(self, *, tokens: int) -> None:
-        """Note the tokens held in slices."""
-        self._held_tokens.set(tokens)
+    def set_slice_tokens(self, *, tokens: int) -> None:
+        """Set the number of unspent tokens in slices."""
+        self._slice_tokens.set(tokens)
 
-    def queue_waited(self, *, service: str, seconds: float) -> None:
-        """Note how long a request waited."""
+    def record_queue_wait(self, *, service: str, seconds: float) -> None:
+        """Record the time that a request waited for its dispatch."""
         self._queue_wait.labels(service).observe(seconds)
 
-    def first_token(self, *, service: str, seconds: float) -> None:
-        """Note how long the first token took."""
+    def record_first_token(self, *, service: str, seconds: float) -> None:
+        """Record the time until the first token of a request."""
         self._first_token.labels(service).observe(seconds)
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _counter(self, name: str, help: str, labels: tuple[str, ...]) -> Counter:
--- a/src/ragwortkeel/platform_calls.py
+++ b/src/ragwortkeel/platform_calls.py
@@ -1,8 +1,8 @@
-"""Calls to an object service over HTTP, and what a failure of one lets conclude.
+"""Calls to an object service over HTTP, with errors that state the outcome.
 
-Each failure is turned into what the caller may conclude from it: certainly
-nothing changed (`PlatformUnavailable`), or nobody knows (`OutcomeUnknown`).  What
-the calls say is up to the client that uses them.
+A failed call raises `PlatformUnavailable` if certainly nothing changed, and
+`OutcomeUnknown` if a write may have taken effect.  The client that makes the calls
+defines their targets and bodies.
 """
 
 from collections.abc import Callable
@@ -23,22 +23,26 @@
 from ragwortkeel.settings import Address
 
 CALL_SECONDS = 2.0
-"""The platform answers in milliseconds; by then it is down or cut off."""
+"""Timeout of a call.
 
-_NOT_TAKEN = frozenset({429, 503})
-"""Refused at the door, so nothing changed."""
+The platform usually answers in milliseconds; after this time it is down or
+unreachable.
+"""
+
+_REFUSED_STATUSES = frozenset({429, 503})
+"""Statuses of calls that were refused without any effect."""
 
 
 class PlatformCalls:
-    """Reads and writes at one address.
+    """Reads and writes at one address of an object service.
 
     Parameters
     ----------
     address : str
         ``ip:port`` of the object service.
     timeout : float
-        Seconds for one call at the most, less while answers are quick; a watch has
-        its own wait on top.
+        Maximum seconds for one call; the timeout is shorter while answers are
+        fast.  The wait of a watch is added.
     on_failure : callable, optional
         Called with the kind of each failure, for metrics.
     """
@@ -50,8 +54,8 @@
         timeout: float = CALL_SECONDS,
         on_failure: Callable[[str], None] = lambda error: None,
     ) -> None:
-        where = Address.parse(address)
-        self._client = HttpClient(host=where.host, port=where.port)
+        parsed_address = Address.parse(address)
+        self._client = HttpClient(host=parsed_address.host, port=parsed_address.port)
         self._timeout = AnswerTimeout(max_seconds=timeout)
         self._on_failure = on_failure
 
@@ -62,31 +66,31 @@
         wait: float = 0.0,
         allowed: frozenset[int] = frozenset({200, 404}),
     ) -> Response:
-        """Return the answer to a read, of one of the `allowed` statuses."""
+        """Return the response to a read, if its status is one of `allowed`."""
         try:
             response = await self._request("GET", target, wait=wait)
         except (ConnectFailed, ExchangeBroken) as exc:
-            raise self.unavailable(str(exc)) from exc
+            raise self.unavailable_error(str(exc)) from exc
         if response.status not in allowed:
-            raise self.unavailable(f"status {response.status}")
+            raise self.unavailable_error(f"status {response.status}")
         return response
 
     async def write(
         self, method: str, target: str, body: bytes, headers: dict[str, str]
     ) -> Response:
-        """Return the answer to a write that the platform took up."""
+        """Return the response to a write that the platform did not refuse."""
         if len(body) > MAX_VALUE_BYTES:
-            raise ValueRefused(f"{target}: more than {MAX_VALUE_BYTES} bytes")
+            raise ValueRefused(f"{target}: value has more than {MAX_VALUE_BYTES} bytes")
         try:
             response = await self._request(method, target, body=body, headers=headers)
         except ConnectFailed as exc:
-            raise self.unavailable(str(exc)) from exc
+            raise self.unavailable_error(str(exc)) from exc
         except ExchangeBroken as exc:
-            # The write may have been done before its answer was lost; the
-            # caller re-reads, for only the platform's object can tell.
-            raise self.unknown(str(exc)) from exc
-        if response.status in _NOT_TAKEN:
-            raise self.unavailable(f"status {response.status}")
+            # The write may have taken effect before its response was lost; the
+            # caller has to read the object again to find out.
+            raise self.unknown_error(str(exc)) from exc
+        if response.status in _REFUSED_STATUSES:
+            raise self.unavailable_error(f"status {response.status}")
         if response.status in (400, 413):
             raise ValueRefused(f"{target}: status {response.status}")
         return response
@@ -94,7 +98,7 @@
     async def _request(
         self, method: str, target: str, *, wait: float = 0.0, **fields
     ) -> Response:
-        begun = monotonic()
+        started_at = monotonic()
         try:
             response = await self._client.request(
                 method, target, timeout=self._timeout.seconds + wait, **fields
@@ -103,28 +107,28 @@
             self._timeout.record_timeout()
             raise
         if not wait:
-            self._timeout.record_answer(monotonic() - begun)
+            self._timeout.record_answer(monotonic() - started_at)
         return response
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         await self._client.close()
 
-    def unavailable(self, why: str) -> PlatformUnavailable:
-        """Return the error for a call that certainly changed nothing."""
+    def unavailable_error(self, reason: str) -> PlatformUnavailable:
+        """Report and return the error for a call that certainly changed nothing."""
         self._on_failure("unavailable")
-        return PlatformUnavailable(why)
+        return PlatformUnavailable(reason)
 
-    def unknown(self, why: str) -> OutcomeUnknown:
-        """Return the error for a write that may have taken effect."""
+    def unknown_error(self, reason: str) -> OutcomeUnknown:
+        """Report and return the error for a write that may have taken effect."""
         self._on_failure("outcome_unknown")
-        return OutcomeUnknown(why)
+        return OutcomeUnknown(reason)
 
 
-def conditional(response: Response, kind: str, name: str) -> Response:
-    """Return the answer to a conditional write, unless another came first."""
+def check_conditional(response: Response, kind: str, name: str) -> Response:
+    """Return the response to a conditional write, or raise if it was refused."""
     if response.status == 404:
-        raise ObjectNotFound(f"{kind}/{name} is not there")
+        raise ObjectNotFound(f"{kind}/{name} does not exist")
     if response.status == 409:
-        raise VersionConflict(f"{kind}/{name} was changed meanwhile")
+        raise VersionConflict(f"{kind}/{name} has another version")
     return response
--- a/src/ragwortkeel/platform_counts.py
+++ b/src/ragwortkeel/platform_counts.py
@@ -1,7 +1,7 @@
-"""Counts the calls that a process makes to the platform, by purpose and outcome.
+"""Counts of a process's calls to the platform, by operation, kind and outcome.
 
-Each call is paid for, refused ones too, and what a fleet pays for is the sum over its
-processes: the counts tell which purpose grows with the fleet.
+The platform charges every call, also refused ones, so a fleet pays for the sum over
+its processes.  The counts show which calls increase with the size of the fleet.
 """
 
 from collections import Counter
@@ -21,7 +21,7 @@
 from ragwortkeel.platform import Changes, Instance, Listing, Platform, Stored
 
 REPORT_SECONDS = 2.0
-"""Between two log lines, however many calls there were."""
+"""Interval between log lines with the counts."""
 
 _CONFLICTS = (VersionConflict, AlreadyExists, ObjectNotFound)
 
@@ -34,7 +34,7 @@
     platform : Platform
         Makes the calls.
     metrics : Metrics
-        Where they are counted.
+        Receives the counts.
     """
 
     def __init__(self, *, platform: Platform, metrics: Metrics) -> None:
@@ -46,38 +46,40 @@
         """Return the object; see `Platform.get`."""
         operation = "get_stale" if stale else "get"
         call = self._platform.get(kind, name, stale=stale)
-        return await self._counted(operation, kind, call)
+        return await self._await_counted(operation, kind, call)
 
     async def list(self, kind: str, prefix: str = "") -> Listing:
         """Return all objects of a kind; see `Platform.list`."""
-        return await self._counted("list", kind, self._platform.list(kind, prefix))
+        return await self._await_counted(
+            "list", kind, self._platform.list(kind, prefix)
+        )
 
     async def create(self, kind: str, name: str, value: bytes) -> int:
         """Create the object; see `Platform.create`."""
         call = self._platform.create(kind, name, value)
-        return await self._counted("create", kind, call)
+        return await self._await_counted("create", kind, call)
 
     async def update(self, kind: str, name: str, value: bytes, version: int) -> int:
         """Replace the object at a version; see `Platform.update`."""
         call = self._platform.update(kind, name, value, version)
-        return await self._counted("update", kind, call)
+        return await self._await_counted("update", kind, call)
 
     async def delete(self, kind: str, name: str, version: int) -> None:
         """Delete the object at a version; see `Platform.delete`."""
         call = self._platform.delete(kind, name, version)
-        await self._counted("delete", kind, call)
+        await self._await_counted("delete", kind, call)
 
     async def watch(self, kind: str, revision: int, timeout: float) -> Changes:
         """Wait for changes; see `Platform.watch`."""
         call = self._platform.watch(kind, revision, timeout)
-        return await self._counted("watch", kind, call)
+        return await self._await_counted("watch", kind, call)
 
     async def live(self) -> dict[str, Instance]:
-        """Return the live instances; see `Platform.live`."""
-        return await self._counted("live", "instances", self._platform.live())
+        """Return live and leaving instances; see `Platform.live`."""
+        return await self._await_counted("live", "instances", self._platform.live())
 
     async def run(self) -> None:
-        """Log the counts until cancelled."""
+        """Log the counts regularly until cancelled."""
         while True:
             await curio.sleep(REPORT_SECONDS)
             self._report()
@@ -89,7 +91,7 @@
         log_info("platform_calls", calls=calls, seconds=REPORT_SECONDS)
         self._count_by_call.clear()
 
-    async def _counted(self, operation: str, kind: str, call: Awaitable):
+    async def _await_counted(self, operation: str, kind: str, call: Awaitable):
         outcome = "cancelled"
         try:
             rv = await call
@@ -106,6 +108,6 @@
             raise
         finally:
             self._count_by_call[f"{operation}/{kind}/{outcome}"] += 1
-            self._metrics.platform_called(
+            self._metrics.record_platform_call(
                 operation=operation, kind=kind, outcome=outcome
             )
--- a/src/ragwortkeel/process.py
+++ b/src/ragwortkeel/process.py
@@ -1,8 +1,9 @@
-"""What every daemon of the fleet does around its work: start, probes, reload, stop.
+"""Frame of every daemon of the fleet: start, probes, reload, stop.
 
-A TERM begins a planned stop: not ready, finish what is in flight, make durable
-what must last, exit 0.  A second signal, or the deadline, ends it at once; what
-was cut off is logged and the exit code is 1.
+SIGTERM or SIGINT begins a planned stop: the process reports that it is not ready,
+finishes the work in flight, makes its records durable and exits with 0.  A second
+signal, or the deadline, ends the stop at once; unfinished work is logged and the exit
+code is 1.
 """
 
 import signal
@@ -28,23 +29,23 @@
 EXIT_CLEAN = 0
 EXIT_FAILED = 1
 
-READY_LOOK_SECONDS = 0.05
+READY_POLL_SECONDS = 0.05
 
 
 @dataclass(frozen=True, kw_only=True)
 class Leftover:
-    """What a stop left undone, by kind; all zero after a clean one."""
+    """Unfinished work after a stop, by kind; all counts are 0 after a clean stop."""
 
     counts: dict[str, int]
 
     @property
-    def clean(self) -> bool:
-        """Whether nothing was left."""
+    def is_clean(self) -> bool:
+        """Whether the stop finished all work."""
         return not any(self.counts.values())
 
 
 class Worker(Protocol):
-    """The work of a daemon, as its process drives it."""
+    """Interface of a daemon's work, which `Process` runs."""
 
     metrics: Metrics
     tracing: Tracing
@@ -53,34 +54,34 @@
         """Bind the sockets."""
 
     async def run(self) -> None:
-        """Work until cancelled or failed."""
+        """Run until cancelled or failed."""
 
     @property
     def ready(self) -> bool:
-        """Whether work is taken."""
+        """Whether the worker accepts requests."""
 
     async def stop(self) -> Leftover:
-        """Finish what is in flight and make durable what must last."""
+        """Finish the work in flight, make records durable, return unfinished work."""
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return what is in force here of an object."""
+        """Return the version of an object that is in force here."""
 
 
 class Process:
-    """Runs a worker from start to exit code.
+    """Runner of a worker, from the start to the exit code.
 
     Parameters
     ----------
     worker
-        What the daemon does.
+        Work of the daemon.
     name
-        Of this node, in logs.
+        Name of this process in log lines.
     metrics_address
         ``ip:port`` of the probes.
     ready_path
-        Path on it that the balancer asks.
+        Path of the readiness probe that the balancer requests.
     reload
-        Called at each HUP, which says that the settings have changed.
+        Called at each SIGHUP, which announces that the settings file has changed.
 
     .. versionadded:: 0.1
     """
@@ -97,7 +98,9 @@
         self._reload = reload
         self._worker = worker
         self._name = name
-        self._lifecycle = Lifecycle(chart=ChartName.DAEMON, observer=self._log_change)
+        self._lifecycle = Lifecycle(
+            chart=ChartName.DAEMON, observer=self._log_transition
+        )
         probes = Probes(
             metrics=worker.metrics,
             tracing=worker.tracing,
@@ -105,11 +108,11 @@
             in_force=worker.in_force,
             ready_path=ready_path,
         )
-        where = Address.parse(metrics_address)
-        self._probes = probes.server(host=where.host, port=where.port)
+        address = Address.parse(metrics_address)
+        self._probes = probes.server(host=address.host, port=address.port)
 
     async def main(self) -> int:
-        """Return the exit code once everything is over."""
+        """Run the worker and return the exit code of the process."""
         async with SignalQueue(*_SIGNALS) as signals:
             try:
                 self._worker.open()
@@ -119,23 +122,25 @@
                 log_error("cannot_listen", node=self._name, error=str(exc))
                 return EXIT_FAILED
             self._lifecycle.fire("opened")
-            return await self._work(signals)
+            return await self._run_worker(signals)
 
-    async def _work(self, signals) -> int:
-        probing = await curio.spawn(self._probes.serve, daemon=True)
-        watching = await curio.spawn(self._watch_ready, daemon=True)
-        working = await curio.spawn(self._worker.run, daemon=True)
+    async def _run_worker(self, signals) -> int:
+        probe_task = await curio.spawn(self._probes.serve, daemon=True)
+        ready_task = await curio.spawn(self._watch_ready, daemon=True)
+        worker_task = await curio.spawn(self._worker.run, daemon=True)
         try:
-            asked = await _first(lambda: self._stop_signal(signals), working.wait)
-            if not asked:
-                return self._fail(working)
+            stop_requested = await _ends_first(
+                lambda: self._stop_signal(signals), worker_task.wait
+            )
+            if not stop_requested:
+                return self._fail(worker_task)
             return await self._stop(signals)
         finally:
-            for task in (watching, working, probing):
+            for task in (ready_task, worker_task, probe_task):
                 await task.cancel()
 
     async def _stop_signal(self, signals) -> None:
-        """Wait for a signal that ends the process; a HUP reloads."""
+        """Wait for a signal that ends the process; reload at each SIGHUP."""
         while await signals.get() is signal.SIGHUP:
             self._reload_settings()
 
@@ -144,47 +149,47 @@
         try:
             self._reload()
         except SettingsError as exc:
-            # What is in force holds: a broken file must not stop a process that
-            # works, as it would at a start.
+            # The former settings stay in force: an invalid file stops a process
+            # only at its start.
             log_error("settings_refused", node=self._name, error=str(exc))
 
     async def _stop(self, signals) -> int:
         self._lifecycle.fire("stop")
-        stopping = await curio.spawn(self._worker.stop, daemon=True)
-        finished = await _first(stopping.wait, lambda: self._stop_signal(signals))
+        stop_task = await curio.spawn(self._worker.stop, daemon=True)
+        finished = await _ends_first(stop_task.wait, lambda: self._stop_signal(signals))
         if not finished:
-            await stopping.cancel()
+            await stop_task.cancel()
             log_warning("stop_cut_short", node=self._name)
             return EXIT_FAILED
-        leftover = stopping.result
+        leftover = stop_task.result
         if self._lifecycle.can("drained"):
             self._lifecycle.fire("drained")
-        self._lifecycle.fire("flushed" if leftover.clean else "deadline")
-        if not leftover.clean:
+        self._lifecycle.fire("flushed" if leftover.is_clean else "deadline")
+        if not leftover.is_clean:
             log_warning("stop_left_over", node=self._name, **leftover.counts)
             return EXIT_FAILED
         return EXIT_CLEAN
 
-    def _fail(self, working: curio.Task) -> int:
+    def _fail(self, worker_task: curio.Task) -> int:
         self._lifecycle.fire("fail")
-        log_error("worker_failed", node=self._name, error=repr(working.exception))
+        log_error("worker_failed", node=self._name, error=repr(worker_task.exception))
         return EXIT_FAILED
 
     async def _watch_ready(self) -> None:
         while not self._worker.ready:
-            await curio.sleep(READY_LOOK_SECONDS)
+            await curio.sleep(READY_POLL_SECONDS)
         if self._lifecycle.can("learned"):
             self._lifecycle.fire("learned")
 
     def _readiness(self) -> Readiness:
         return Readiness(ready=self._worker.ready, state=self._lifecycle.state)
 
-    def _log_change(self, source: str, event: str, target: str) -> None:
+    def _log_transition(self, source: str, event: str, target: str) -> None:
         log_info("daemon_state", node=self._name, was=source, why=event, now=target)
 
 
-async def _first(preferred, other) -> bool:
-    """Wait for either call; return whether the preferred one ended first."""
+async def _ends_first(preferred, other) -> bool:
+    """Run both calls until one ends; return whether it was the preferred one."""
     async with curio.TaskGroup(wait=any) as group:
         first = await group.spawn(preferred)
         await group.spawn(other)
@@ -202,8 +207,8 @@
 def run_process(new_process: Callable[[], Process], *, level: LogLevel) -> int:
     """Run a process in a kernel of its own and return its exit code.
 
-    Plain curio tasks share one context, so that a log's or span's fields would
-    show up in another request; `ContextTask` keeps them apart.
+    Each `ContextTask` has its own context.  Plain curio tasks share one context, so
+    that fields of a log line or span would show up in those of another request.
     """
     configure_logs(level=_LEVELS[level])
     with curio.Kernel(taskcls=ContextTask) as kernel:
--- a/src/ragwortkeel/router/budget_account.py
+++ b/src/ragwortkeel/router/budget_account.py
@@ -1,7 +1,7 @@
-"""One profile's budget at one router: its slice, its waiting callers, its refills.
+"""One profile's budget at one router: its slice, waiting callers and renewals.
 
-An account's state is touched only between two awaits of its one task, except
-for `try_reserve` and `settle`, which await nothing.
+One task renews an account.  Other tasks change it only between two awaits of that
+task: they reserve, settle, and add or remove waiters and loans.
 """
 
 from collections.abc import Callable
@@ -37,24 +37,33 @@
 )
 from ragwortkeel.platform import Platform
 
-ATTEMPTS = 8
-"""Lost races in one refresh: routers of a busy profile write at the same time."""
+MAX_WRITE_ATTEMPTS = 8
+"""Greatest number of attempts to write the ledger in one renewal.
+
+Routers of a busy profile write at the same time, and only one of these writes succeeds.
+"""
 
 EXHAUSTED_RETRY_SECONDS = 60.0
-"""A spent budget changes by an operator's top-up, not by waiting."""
+"""Delay that a refused caller is asked for when the budget is spent.
+
+Only an operator's top-up changes that, so that early retries are useless.
+"""
 
 OUTAGE_RETRY_SECONDS = 5.0
-"""An outage is over in seconds or in minutes; this finds the short ones."""
+"""Delay that a refused caller is asked for while the platform is unreachable.
+
+Outages last seconds or minutes; the delay suits the short ones.
+"""
 
 
 @dataclass(frozen=True, kw_only=True)
 class BudgetTerms:
-    """What the keeper has to know of a profile.
+    """The settings of a profile that determine the size of its slices.
 
     Attributes
     ----------
     largest_request : int
-        Tokens of the largest reservation to expect.
+        Tokens of the largest expected reservation.
     """
 
     spread: Spread
@@ -62,13 +71,15 @@
     largest_request: int
 
 
-_GONE = BudgetTerms(spread=Spread.NARROW, ride_out_seconds=1.0, largest_request=0)
-"""Of a profile that is not configured any more: hold nothing for it."""
+_UNCONFIGURED_TERMS = BudgetTerms(
+    spread=Spread.NARROW, ride_out_seconds=1.0, largest_request=0
+)
+"""Terms of a profile that is no longer configured: its slice should be empty."""
 
 
 @dataclass(kw_only=True)
 class Waiter:
-    """A caller that waits for a refill; `done` says that its answer is there."""
+    """A caller that waits for tokens; `done` is set once it is served or refused."""
 
     tokens: int
     sidecar: str
@@ -79,23 +90,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Loan:
-    """Another router's wish for the tokens that it lacks."""
+    """Tokens that another router requests, or that it is lent."""
 
     router: str
     tokens: int
 
 
 class Account:
-    """A profile's slice with all that keeps it filled.
+    """A profile's slice, its waiting callers, and the writes that renew it.
 
     Parameters
     ----------
     terms : callable
-        Returns the profile's `BudgetTerms` as they are now.
+        Returns the profile's current `BudgetTerms`, or None if it is not configured.
     sidecars : callable
         Returns the sidecar incarnations that the profile may use now.
     nonce : callable
-        Returns a string that no other write carries.
+        Returns a string that is unique to one write.
     """
 
     def __init__(
@@ -112,8 +123,8 @@
         self.profile = profile
         self.refresh = SliceRefresh(slice_=Slice(profile=profile, router=router))
         self.meter = DemandMeter()
-        self.waiting: list[Waiter] = []
-        self.loans: list[Loan] = []
+        self.waiters: list[Waiter] = []
+        self.requested_loans: list[Loan] = []
         self.ledger = Ledger()
         self.reachable = True
         self.wake = curio.Event()
@@ -125,28 +136,28 @@
 
     @property
     def slice(self) -> Slice:
-        """The slice itself."""
+        """The slice from which requests reserve tokens."""
         return self.refresh.slice
 
     def need(self) -> SliceNeed:
-        """Return what slice sizes are worked out from."""
-        terms = self._terms() or _GONE
-        # A request above what the terms expect raises the cap while it waits.
-        waiting = [waiter.tokens for waiter in self.waiting]
+        """Return the figures from which slice sizes are computed."""
+        terms = self._terms() or _UNCONFIGURED_TERMS
+        # A request larger than the terms expect raises the cap while it waits.
+        waiting_tokens = [waiter.tokens for waiter in self.waiters]
         return SliceNeed(
             holding=self.slice.free + self.slice.reserved,
             demand=self.meter.rate(now=self._clock()),
-            largest_request=max([terms.largest_request, *waiting]),
-            waiting=sum(waiting),
-            lacking=self._lacking(),
+            largest_request=max([terms.largest_request, *waiting_tokens]),
+            waiting=sum(waiting_tokens),
+            lacking=self._lacking_tokens(),
             ride_out_seconds=terms.ride_out_seconds,
             spread=terms.spread,
         )
 
-    def worth_writing(self) -> bool:
-        """Whether a write to the ledger would change anything that matters."""
+    def needs_write(self) -> bool:
+        """Return whether the ledger has to be written."""
         slice_, router = self.slice, self.slice.router
-        if slice_.pending or slice_.unsettled or self.loans:
+        if slice_.pending or slice_.unsettled or self.requested_loans:
             return True
         if not set(self._sidecars()) <= slice_.named:
             return True
@@ -154,78 +165,80 @@
         if tokens_to_give_back(self.ledger, router=router, need=need):
             return True
         take = tokens_to_take(self.ledger, router=router, need=need)
-        # A slice well below its target is worth a write, a few tokens are not.
-        return take > (0 if self.waiting else need.holding // 4)
+        # Without waiting callers, a write has to add over a quarter of the slice.
+        return take > (0 if self.waiters else need.holding // 4)
 
-    def hopeless(self, waiter: Waiter) -> bool:
-        """Whether waiting longer can't help."""
+    def cannot_be_served(self, waiter: Waiter) -> bool:
+        """Return whether more waiting cannot provide the waiter's tokens."""
         if not self.reachable:
             return True
         return waiter.tokens > self.ledger.prepaid - self.ledger.total_spent
 
     async def renew(self) -> list[Loan]:
-        """Bring slice and ledger in step; return the loans that were granted.
+        """Synchronize the slice with the ledger; return the loans made to peers.
 
         Raises
         ------
         RouterSealed
-            The router has to go on under another incarnation.
+            The router needs another incarnation.
+        LedgerError
+            The ledger is unreadable or rejects the renewal.
         """
-        granted: list[Loan] = []
-        for _ in range(ATTEMPTS):
+        lent: list[Loan] = []
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
-                if await self._renew_once(granted):
+                if await self._renew_once(lent):
                     self.reachable = True
                     break
             except PlatformUnavailable:
                 self.reachable = False
                 break
-        return granted
+        return lent
 
     async def close(self) -> bool:
-        """Settle everything and end the grant; return whether that is done.
+        """Settle all spend and end the grant; return whether it is closed or sealed.
 
-        A slice with open attempts stays: it ends by a seal.
+        The grant of a slice with open attempts stays until a seal ends it.
         """
         if self.slice.open_by_id:
             return False
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 if await self._close_once():
                     return True
             except PlatformUnavailable:
                 return False
             except RouterSealed:
-                # Sealed, or closed by a write of ours whose answer was lost.
+                # Sealed, or closed by an earlier write whose answer was lost.
                 return True
         return False
 
-    def serve_waiting(self) -> list[Waiter]:
-        """Reserve for all waiters that fit now and return them."""
-        served = [waiter for waiter in self.waiting if self._fits(waiter)]
-        self.waiting = [one for one in self.waiting if one.reservation is None]
+    def serve_waiters(self) -> list[Waiter]:
+        """Reserve tokens for all waiters that the slice can serve; return them."""
+        served = [waiter for waiter in self.waiters if self._try_reserve(waiter)]
+        self.waiters = [other for other in self.waiters if other.reservation is None]
         return served
 
-    def refusal(self, found: BudgetRefused, *, tokens: int) -> BudgetRefused:
-        """Return what to tell a caller whom the slice has refused these tokens."""
+    def refusal(self, slice_refusal: BudgetRefused, *, tokens: int) -> BudgetRefused:
+        """Return the error for a caller that the slice refused these tokens."""
         spent = tokens > self.ledger.prepaid - self.ledger.total_spent
         if not self.reachable:
             kind, seconds = BudgetUnreachable, OUTAGE_RETRY_SECONDS
-        elif spent or isinstance(found, BudgetExhausted):
+        elif spent or isinstance(slice_refusal, BudgetExhausted):
             kind, seconds = BudgetExhausted, EXHAUSTED_RETRY_SECONDS
         else:
-            return found
+            return slice_refusal
         return kind(
             profile=self.profile,
-            tokens_left=found.tokens_left,
+            tokens_left=slice_refusal.tokens_left,
             retry_after_seconds=seconds,
         )
 
-    def _lacking(self) -> int:
-        smallest = min((waiter.tokens for waiter in self.waiting), default=0)
+    def _lacking_tokens(self) -> int:
+        smallest = min((waiter.tokens for waiter in self.waiters), default=0)
         return max(0, smallest - max(0, self.slice.free))
 
-    def _fits(self, waiter: Waiter) -> bool:
+    def _try_reserve(self, waiter: Waiter) -> bool:
         try:
             waiter.reservation = self.slice.reserve(
                 sidecar=waiter.sidecar, tokens=waiter.tokens
@@ -235,18 +248,18 @@
             return False
         return True
 
-    async def _renew_once(self, granted: list[Loan]) -> bool:
+    async def _renew_once(self, lent: list[Loan]) -> bool:
         version = await self._read()
-        if version is None or not self.worth_writing():
+        if version is None or not self.needs_write():
             return True
-        renewal = self._propose(granted)
+        renewal = self._propose(lent)
         try:
             ledger = self.ledger.renew(renewal)
         except LedgerError:
             self.refresh.record_refused()
             raise
         if not await self._write(ledger, version):
-            granted.clear()
+            lent.clear()
             return False
         self.ledger = ledger
         self.refresh.record_written(ledger)
@@ -287,21 +300,21 @@
             self.refresh.record_refused()
             raise
         except (OutcomeUnknown, curio.CancelledError) as exc:
-            # It may land even now: the next read tells, and until then nothing
-            # of what it gives back is spent.
+            # The write may still take effect.  The next read shows whether it did;
+            # until then the tokens that it returns are not spent.
             self.refresh.record_unknown(version=version)
             if isinstance(exc, curio.CancelledError):
                 raise
             return False
         return True
 
-    def _propose(self, granted: list[Loan]) -> Renewal:
+    def _propose(self, lent: list[Loan]) -> Renewal:
         need, router = self.need(), self.slice.router
-        loan = self._lend(need)
+        loan = self._next_loan(need)
         give_back = tokens_to_give_back(self.ledger, router=router, need=need)
         want = tokens_to_take(self.ledger, router=router, need=need)
         if loan is not None:
-            granted.append(loan)
+            lent.append(loan)
             give_back, want = loan.tokens, 0
         sidecars = self._sidecars()
         cap = exposure_cap(
@@ -317,9 +330,9 @@
             demand=need.demand,
         )
 
-    def _lend(self, need: SliceNeed) -> Loan | None:
-        while self.loans and self.slice.pending is None:
-            loan = self.loans.pop(0)
+    def _next_loan(self, need: SliceNeed) -> Loan | None:
+        while self.requested_loans and self.slice.pending is None:
+            loan = self.requested_loans.pop(0)
             grant = self.ledger.grants.get(loan.router)
             if grant is None:
                 continue
--- a/src/ragwortkeel/router/budgeting.py
+++ b/src/ragwortkeel/router/budgeting.py
@@ -1,4 +1,4 @@
-"""A router's budgets, receipts and seals, tied to its links and configuration."""
+"""Tasks that run a router's budgets, receipts and seals, over its links."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
@@ -21,7 +21,7 @@
 from ragwortkeel.router.budget_account import BudgetTerms
 from ragwortkeel.router.budget_keeper import BudgetKeeper
 from ragwortkeel.router.directory import Directory
-from ragwortkeel.router.janitor import Janitor
+from ragwortkeel.router.node_cleanup import NodeCleanup
 from ragwortkeel.router.observer import Observer
 from ragwortkeel.router.peers import PeerLinks
 from ragwortkeel.router.reaper import Reaper
@@ -29,21 +29,24 @@
 from ragwortkeel.router.sidecars import SidecarPool
 from ragwortkeel.tasks import run_together
 
-PROMPT_ALLOWANCE = 4096
-"""Bytes of an ordinary prompt; a larger one raises the cap when it comes."""
+PROMPT_ALLOWANCE_BYTES = 4096
+"""Bytes of an ordinary prompt, each counted as a token.
+
+A request with a larger prompt raises the exposure cap while it waits for tokens.
+"""
 
 
 class Budgeting:
-    """Keeps the slices, writes the receipts and takes back what the dead held.
+    """Runs budgets, receipts, and the settlement of failed routers' tokens.
 
     Parameters
     ----------
-    incarnation
+    incarnation : callable
         Returns the router's incarnation.
-    reincarnate
-        Replaces it once it is sealed, and returns the new one.
-    observer
-        Told how renewals end.
+    reincarnate : async callable
+        Replaces a sealed incarnation and returns the new one.
+    observer : Observer
+        Receives the outcomes of renewals.
 
     .. versionadded:: 0.1
     """
@@ -71,9 +74,9 @@
             terms=self._terms,
             sidecars=self._sidecars,
             reincarnate=reincarnate,
-            tell=self._tell,
+            send=self._send_to_router,
             clock=monotonic,
-            observe=observer.slice_renewed,
+            observe=observer.record_slice_renewal,
         )
         self.receipts = ReceiptWriter(
             platform=platform, writer=incarnation, clock=monotonic
@@ -81,46 +84,52 @@
         self._reaper = Reaper(
             platform=platform,
             incarnation=incarnation,
-            dead=self._dead_routers,
-            responsible=self._responsible,
-            gone=self._gone_for_good,
-            ask=self._ask,
+            failed_routers=self._failed_routers,
+            is_responsible=self._responsible,
+            is_removed=self._is_superseded,
+            request_seal=self._request_seal,
             clock=monotonic,
         )
-        self._janitor = Janitor(
+        self._node_cleanup = NodeCleanup(
             platform=platform,
             membership=membership,
             incarnation=incarnation,
             clock=monotonic,
         )
-        self._keeping: curio.Task | None = None
+        self._keeper_task: curio.Task | None = None
 
     async def run(self) -> None:
-        """Work until cancelled."""
-        self._keeping = await curio.spawn(self.keeper.run, daemon=True)
+        """Run all tasks until cancelled."""
+        self._keeper_task = await curio.spawn(self.keeper.run, daemon=True)
         await run_together(
             self._watch_keeper,
             self.receipts.run,
             self._reaper.run,
-            self._janitor.run,
-            self._tell_durable,
+            self._node_cleanup.run,
+            self._send_durable_receipts,
         )
 
     async def close(self) -> int:
-        """Make receipts durable and give slices back; return what stays undone."""
+        """Make receipts durable and return all slices; return the unfinished work.
+
+        Returns
+        -------
+        int
+            Receipts that are not durable, plus 1 if a slice could not be returned.
+        """
         await self.receipts.flush()
-        undone = self.receipts.held
-        if self._keeping is not None:
-            await self._keeping.cancel()
-        return undone + (not await self.keeper.returned_on_stop())
+        undone = self.receipts.pending_count
+        if self._keeper_task is not None:
+            await self._keeper_task.cancel()
+        return undone + (not await self.keeper.return_slices())
 
-    async def take(self, peer: str, sender: str, message: AnyMessage) -> bool:
-        """Take a router's message about slices; return whether it was one."""
+    async def receive(self, peer: str, sender: str, message: AnyMessage) -> bool:
+        """Handle a router's message about slices; return whether it was one."""
         match message:
             case SliceRequest():
-                await self.keeper.asked(sender, message)
+                await self.keeper.receive_slice_request(sender, message)
             case SliceTransfer():
-                answer = await self.keeper.lent(message)
+                answer = await self.keeper.receive_slice_transfer(message)
                 with suppress(LinkLost):
                     await self._peers.send(peer, answer)
             case _:
@@ -128,10 +137,10 @@
         return True
 
     async def _watch_keeper(self) -> None:
-        await self._keeping.wait()
-        if self._keeping.exception is not None and not self._keeping.cancelled:
-            raise self._keeping.exception
-        # Cancelled by `close`: a planned stop goes on without it.
+        await self._keeper_task.wait()
+        if self._keeper_task.exception is not None and not self._keeper_task.cancelled:
+            raise self._keeper_task.exception
+        # `close` cancelled it; the other tasks continue during a planned stop.
         await curio.Event().wait()
 
     def _terms(self, name: str) -> BudgetTerms | None:
@@ -144,38 +153,45 @@
             return ()
         names = self._directory.upstreams_of(found[0].back_ends)
         return tuple(
-            self._pool.views_by_upstream[one].incarnation
-            for one in names
-            if self._pool.is_up(one)
+            self._pool.views_by_upstream[upstream].incarnation
+            for upstream in names
+            if self._pool.is_up(upstream)
         )
 
-    async def _tell(self, router: str, message: SliceRequest | SliceTransfer) -> None:
+    async def _send_to_router(
+        self, router: str, message: SliceRequest | SliceTransfer
+    ) -> None:
         node = self._membership.node(router)
         if node is None:
-            raise LinkLost(f"{router} is not known")
+            raise LinkLost(
+                f"cannot send to router {router}: not in the membership list"
+            )
         await self._peers.send(node.address, message)
 
-    async def _ask(self, node: Node, seal: Seal) -> Sealed:
+    async def _request_seal(self, node: Node, seal: Seal) -> Sealed:
         upstream = self._pool.upstream_of(node.incarnation)
         if upstream is None:
-            raise LinkLost(f"{node.incarnation} is not connected")
+            raise LinkLost(f"cannot seal at sidecar {node.incarnation}: not connected")
         return await self._pool.seal(upstream, seal)
 
-    def _dead_routers(self) -> list[str]:
-        dead = self._membership.nodes(monotonic(), Liveness.DEAD)
+    def _failed_routers(self) -> list[str]:
+        failed = self._membership.nodes(monotonic(), Liveness.FAILED)
         return [
             node.incarnation
-            for node in dead
+            for node in failed
             if node.role == Role.ROUTER and self._responsible(node.incarnation)
         ]
 
     def _responsible(self, router: str) -> bool:
-        return self._membership.responsible(router, monotonic(), self._incarnation())
+        return self._membership.is_responsible(router, monotonic(), self._incarnation())
+
+    def _is_superseded(self, sidecar: str) -> bool:
+        """Return whether a sidecar failed and its upstream does not need it again.
 
-    def _gone_for_good(self, sidecar: str) -> bool:
-        """Whether a sidecar died and its upstream is retired or has another."""
+        The upstream was removed or retired, or has another sidecar.
+        """
         now = monotonic()
-        if self._membership.liveness(sidecar, now) is not Liveness.DEAD:
+        if self._membership.liveness(sidecar, now) is not Liveness.FAILED:
             return False
         upstream = self._membership.node(sidecar).upstream
         found = self._directory.upstream(upstream)
@@ -184,8 +200,8 @@
         successor = self._pool.views_by_upstream.get(upstream)
         return successor is not None and successor.incarnation not in ("", sidecar)
 
-    async def _tell_durable(self) -> None:
-        """Tell sidecars which receipts they may drop."""
+    async def _send_durable_receipts(self) -> None:
+        """Report durable receipts to the sidecars, which may then discard them."""
         while True:
             durable = await self.receipts.durable.get()
             upstream = self._pool.upstream_of(durable.sidecar)
@@ -201,6 +217,6 @@
         spread=profile.spread,
         ride_out_seconds=profile.ride_out_seconds,
         largest_request=max(
-            profile.call_tokens, profile.max_output_tokens + PROMPT_ALLOWANCE
+            profile.call_tokens, profile.max_output_tokens + PROMPT_ALLOWANCE_BYTES
         ),
     )
--- a/src/ragwortkeel/router/parts.py
+++ b/src/ragwortkeel/router/components.py
@@ -1,27 +1,27 @@
-"""What the requests of one router share."""
+"""Components that all requests of a router share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from ragwortkeel.budget.slice import Reservation
-from ragwortkeel.router.closing import Closing
 from ragwortkeel.router.dispatcher import Dispatcher
 from ragwortkeel.router.intents import IntentStore
 from ragwortkeel.router.interfaces import Budgets, Directory, Receipts
+from ragwortkeel.router.settlement import Settlement
 from ragwortkeel.router.sidecars import SidecarPool
 from ragwortkeel.traces import Tracing
 
 
 @dataclass(frozen=True, kw_only=True)
-class Parts:
-    """The shared parts of a router.
+class Components:
+    """Components that all requests of a router share.
 
     Attributes
     ----------
-    incarnation
-        Returns the router's incarnation, which changes once it is sealed.
-    clock
-        Monotonic seconds.
+    incarnation : callable
+        Returns the router's incarnation, which changes after a seal.
+    clock : callable
+        Returns monotonic seconds.
     """
 
     incarnation: Callable[[], str]
@@ -32,14 +32,14 @@
     pool: SidecarPool
     budgets: Budgets
     receipts: Receipts
-    closing: Closing
+    closing: Settlement
     tracing: Tracing
 
     def is_current(self, reservation: Reservation) -> bool:
-        """Whether a reservation may still be sent.
+        """Return whether a reservation may still be sent.
 
-        Failure: the router is sealed and goes on under a new incarnation between
-        a reservation and its dispatch; the run would be accounted to the new
-        one, which never set its tokens aside, and be spent twice.
+        The router may be sealed and change its incarnation between a reservation and
+        its dispatch.  The run would then count for the new incarnation, which did not
+        reserve its tokens, and the tokens would be spent twice.
         """
         return reservation.router == self.incarnation()
--- a/src/ragwortkeel/router/exchange.py
+++ b/src/ragwortkeel/router/exchange.py
@@ -1,8 +1,9 @@
-"""One idempotent request on its way, from admission to its whole answer.
+"""Processing of one idempotent request, from admission to its complete answer.
 
-Stages: find a run that an earlier router started, be admitted, reserve, run,
-and on a failure run again elsewhere.  A stream that broke off goes on where it
-stopped, if the upstream can do that; otherwise it ends with an error event.
+A request with an idempotency key is first answered from an earlier run, if a sidecar
+has one.  Otherwise the request is admitted, reserves tokens and is run; after a failure
+it is run again, at another upstream if possible.  An interrupted stream is resumed if
+the next upstream supports that, and otherwise ends with an error event.
 """
 
 from uuid import uuid4
@@ -22,7 +23,7 @@
 from ragwortkeel.policy.facts import Assignment, Failure, RequestFacts
 from ragwortkeel.policy.facts import Refusal as PolicyRefusal
 from ragwortkeel.router.attempt import (
-    RELINK_SECONDS,
+    RELINK_WAIT_SECONDS,
     Attempt,
     AttemptEnd,
     Broken,
@@ -31,8 +32,8 @@
     Lost,
 )
 from ragwortkeel.router.calls import Call
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.dispatches import build_dispatch
-from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.refusals import Outcome, Reason, Refusal
 from ragwortkeel.router.sinks import Sink
 from ragwortkeel.traces import traceparent_of
@@ -42,23 +43,38 @@
     """The idempotency key names an earlier request with another body."""
 
 
-RERUN_SECONDS = 1.0
-"""A caller that has nothing yet is served elsewhere rather than wait for a link
-that was silent for seconds already; the first run is cancelled when it is found."""
+RERUN_WAIT_SECONDS = 1.0
+"""Time to wait for a lost link while the caller has received nothing.
 
-SERVER_ERROR = 500
-"""From here on an answer blames the upstream, and another may do better."""
+The link was silent for seconds before it counted as lost, so a run elsewhere is faster.
+The first run is followed in the background, and cancelled if its request has no
+idempotency key.
+"""
+
+MIN_SERVER_ERROR_STATUS = 500
+"""Lowest HTTP status that marks an upstream's failure; another may succeed."""
 
-LOCATE_LIMIT = 16
-"""Sidecars asked for an earlier run; more than either deployment of today has."""
+MAX_LOCATE_SIDECARS = 16
+"""Greatest number of sidecars that are asked for an earlier run.
+
+Both current deployments have fewer sidecars.
+"""
 
 
 class Exchange:
     """Serves one idempotent call into a sink.
 
-    `run` returns None once the answer is whole, else the final refusal, which
-    the owner sends.  Cancelling `run` follows the open run to its end in the
-    background and, where nobody can come back for it, stops it.
+    `run` returns None once the answer is complete, or else the final refusal, which
+    the caller of `run` sends.  If `run` is cancelled, the open run is followed to its
+    end in the background; without an idempotency key no retry can use its answer, and
+    it is cancelled at the sidecar.
+
+    Attributes
+    ----------
+    may_have_run : bool
+        Whether an upstream may have run the call.
+    tokens : int
+        Tokens spent by the run that gave the complete answer.
     """
 
     def __init__(
@@ -67,20 +83,20 @@
         call: Call,
         version: int,
         facts: RequestFacts,
-        parts: Parts,
+        components: Components,
         sink: Sink,
     ) -> None:
         self._call = call
         self._version = version
         self._facts = facts
-        self._parts = parts
+        self._components = components
         self._sink = sink
         self.may_have_run = False
         self.tokens = 0
-        self._heard_first = False
+        self._first_token_received = False
 
     async def run(self) -> Refusal | None:
-        """Serve the call."""
+        """Serve the call; return its refusal, or None if it was answered."""
         try:
             if self._call.key_given and await self._replay():
                 return None
@@ -89,11 +105,11 @@
         try:
             return await self._run_until_done()
         finally:
-            # A no-op for a request that has ended.
-            await self._parts.dispatcher.left(self._facts.request_id)
+            # Has no effect on a request that has ended.
+            await self._components.dispatcher.record_disconnect(self._facts.request_id)
 
     async def _replay(self) -> bool:
-        """Answer from a run that an earlier attempt of the caller started."""
+        """Answer from an earlier run of the request; return whether it was complete."""
         found = await self._find_run()
         if found is None:
             return False
@@ -113,17 +129,17 @@
         return True
 
     async def _find_run(self) -> tuple[str, str] | None:
-        names = self._parts.directory.upstreams_of(self._facts.back_ends)
-        asked = [name for name in names if self._parts.pool.is_up(name)]
+        names = self._components.directory.upstreams_of(self._facts.back_ends)
+        connected = [name for name in names if self._components.pool.is_up(name)]
         async with curio.TaskGroup(wait=all) as group:
-            for name in asked[:LOCATE_LIMIT]:
+            for name in connected[:MAX_LOCATE_SIDECARS]:
                 await group.spawn(
-                    self._parts.pool.locate,
+                    self._components.pool.locate,
                     name,
                     self._call.profile,
                     self._call.request_id,
                 )
-        for name, located in zip(asked, group.results, strict=False):
+        for name, located in zip(connected, group.results, strict=False):
             if located is None:
                 continue
             if located.fingerprint not in ("", self._call.fingerprint):
@@ -133,20 +149,20 @@
         return None
 
     async def _run_until_done(self) -> Refusal | None:
-        decision = await self._parts.dispatcher.admit(self._facts)
+        decision = await self._components.dispatcher.admit(self._facts)
         while isinstance(decision, Assignment):
-            if self._sink.begun and not self._can_go_on(decision.upstream):
-                # From its start again, the answer would follow what was sent.
-                return _BROKEN_OFF
+            if self._sink.has_started and not self._can_resume(decision.upstream):
+                # A run from the start would repeat what the caller already received.
+                return _INTERRUPTED
             try:
                 end = await self._attempt(decision)
             except BudgetRefused as exc:
                 return self._budget_refusal(exc)
-            if isinstance(end, Completed) and end.status < SERVER_ERROR:
+            if isinstance(end, Completed) and end.status < MIN_SERVER_ERROR_STATUS:
                 await self._finish(end)
                 return None
             self._sink.restart()
-            decision = await self._parts.dispatcher.retry(
+            decision = await self._components.dispatcher.retry(
                 self._facts.request_id, failure_of(end)
             )
         if decision is None:
@@ -155,20 +171,20 @@
 
     async def _finish(self, end: Completed) -> None:
         self.tokens = end.tokens
-        await self._parts.dispatcher.finished(self._facts.request_id)
+        await self._components.dispatcher.record_finish(self._facts.request_id)
         await self._sink.finish(end.status, end.content_type)
 
     async def _attempt(self, assignment: Assignment) -> AttemptEnd:
         upstream = assignment.upstream
-        view = self._parts.pool.views_by_upstream.get(upstream)
+        view = self._components.pool.views_by_upstream.get(upstream)
         if view is None or not view.link.up:
             return Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
         attempt = self._new_attempt(upstream, uuid4().hex)
-        self._heard_first = False
-        reservation = await self._parts.budgets.reserve(
-            self._call.profile, self._call.bound, attempt.sidecar
+        self._first_token_received = False
+        reservation = await self._components.budgets.reserve(
+            self._call.profile, self._call.bound_tokens, attempt.sidecar
         )
-        with self._parts.tracing.span(
+        with self._components.tracing.span(
             "dispatch", parent=self._call.traceparent, upstream=upstream
         ) as span:
             order = build_dispatch(
@@ -179,7 +195,7 @@
                 facts=self._facts,
                 attempt=attempt,
                 reservation=reservation,
-                parts=self._parts,
+                components=self._components,
                 traceparent=traceparent_of(span),
                 alone=assignment.alone,
             )
@@ -188,48 +204,50 @@
     async def _run_attempt(
         self, attempt: Attempt, reservation: Reservation, order: Dispatch
     ) -> AttemptEnd:
-        current = self._parts.is_current(reservation)
+        current = self._components.is_current(reservation)
         if not current or not await attempt.open(order):
-            await self._parts.budgets.settle(reservation, 0)
+            await self._components.budgets.settle(reservation, 0)
             return Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
         ran_before, self.may_have_run = self.may_have_run, True
         end: AttemptEnd | None = None
         try:
-            end = await attempt.follow(patience=self._patience)
+            end = await attempt.follow(link_wait_seconds=self._link_wait_seconds)
         finally:
             await self._close(reservation, attempt, end)
         if isinstance(end, Declined):
             self.may_have_run = ran_before
         return end
 
-    def _patience(self) -> float:
-        return RELINK_SECONDS if self._sink.begun else RERUN_SECONDS
+    def _link_wait_seconds(self) -> float:
+        return RELINK_WAIT_SECONDS if self._sink.has_started else RERUN_WAIT_SECONDS
 
     async def _close(
         self, reservation: Reservation, attempt: Attempt, end: AttemptEnd | None
     ) -> None:
-        if end is None or (isinstance(end, Lost) and attempt.may_go_on):
-            # Given up on, or cut off while the sidecar may still be running it.
+        if end is None or (isinstance(end, Lost) and attempt.may_continue):
+            # Abandoned, or disconnected while the sidecar may still be running it.
             stop = not self._call.key_given
-            await self._parts.closing.abandon(
+            await self._components.closing.follow_in_background(
                 reservation, attempt, self._call, cancel=stop
             )
             return
-        await self._parts.closing.settle(reservation, attempt, end, self._call)
+        await self._components.closing.settle(reservation, attempt, end, self._call)
 
     def _new_attempt(self, upstream: str, nonce: str) -> Attempt:
         async def emit(data: bytes) -> None:
-            if not self._heard_first:
-                self._heard_first = True
-                await self._parts.dispatcher.first_token(self._facts.request_id)
-            if rv.status < SERVER_ERROR:
+            if not self._first_token_received:
+                self._first_token_received = True
+                await self._components.dispatcher.record_first_token(
+                    self._facts.request_id
+                )
+            if rv.status < MIN_SERVER_ERROR_STATUS:
                 await self._sink.write(data, rv.content_type)
 
         rv = Attempt(
             nonce=nonce,
             upstream=upstream,
-            sidecar=self._parts.pool.views_by_upstream[upstream].incarnation,
-            pool=self._parts.pool,
+            sidecar=self._components.pool.views_by_upstream[upstream].incarnation,
+            pool=self._components.pool,
             emit=emit,
         )
         return rv
@@ -241,8 +259,8 @@
         fields["resume_from_tokens"] = self._sink.tokens
         return msgspec.json.encode(fields)
 
-    def _can_go_on(self, upstream: str) -> bool:
-        found = self._parts.directory.upstream(upstream)
+    def _can_resume(self, upstream: str) -> bool:
+        found = self._components.directory.upstream(upstream)
         return found is not None and found[0].resumes
 
     def _budget_refusal(self, exc: BudgetRefused) -> Refusal:
@@ -253,7 +271,7 @@
         )
 
 
-_BROKEN_OFF = Refusal(
+_INTERRUPTED = Refusal(
     outcome=Outcome.FAILED,
     reason=Reason.UPSTREAM_FAILED,
     detail="the answer broke off and cannot be continued",
@@ -262,7 +280,7 @@
 
 
 def failure_of(end: AttemptEnd) -> Failure:
-    """Return how the scheduler counts an attempt without a usable answer."""
+    """Return the scheduler's failure class of an attempt without a usable answer."""
     match end:
         case Declined(reason=RefusalReason.OVERLOADED):
             return Failure.OVERLOADED
@@ -279,7 +297,7 @@
 
 
 def refusal_of(decision: PolicyRefusal, *, may_have_run: bool) -> Refusal:
-    """Return the caller's refusal for the scheduler's."""
+    """Return the caller's refusal for a refusal of the scheduler."""
     ran = may_have_run or decision.may_have_run
     return Refusal(
         outcome=Outcome.FAILED if ran else Outcome.NOT_RUN,
--- a/src/ragwortkeel/router/filing_runs.py
+++ b/src/ragwortkeel/router/filing_runs.py
@@ -1,8 +1,8 @@
 """The run of a filing at a sidecar, from its dispatch to its recorded outcome.
 
-A run that has been dispatched outlives the request that started it: it is
-followed in a task of its own, and its outcome is made durable even when nobody
-waits for the answer any more.
+A dispatched run continues after the request that started it ends.  A separate
+task follows the run and makes its outcome durable, even if no caller waits for
+the answer.
 """
 
 from contextlib import suppress
@@ -30,9 +30,9 @@
     Lost,
 )
 from ragwortkeel.router.calls import Call
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.dispatches import build_dispatch
-from ragwortkeel.router.parts import Parts
-from ragwortkeel.router.sinks import WholeSink
+from ragwortkeel.router.sinks import BufferedSink
 from ragwortkeel.runs.intent import (
     AskSidecar,
     Intent,
@@ -43,12 +43,12 @@
 )
 from ragwortkeel.traces import traceparent_of
 
-ASK_SECONDS = 1.0
-"""A sidecar that is up answers in well under a millisecond."""
+TOMBSTONE_TIMEOUT_SECONDS = 1.0
+"""A reachable sidecar answers in well under a millisecond."""
 
 
 class FilingRuns:
-    """Runs one must-not-repeat call at sidecars, as its filing decides."""
+    """Runs one must-not-repeat call at the sidecars that its filing selects."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
         call: Call,
         version: int,
         facts: RequestFacts,
-        parts: Parts,
-        sink: WholeSink,
+        parts: Components,
+        sink: BufferedSink,
     ) -> None:
         self._call = call
         self._version = version
@@ -65,8 +65,8 @@
         self._parts = parts
         self._sink = sink
 
-    def attempt(self, upstream: str, nonce: str, sidecar: str) -> Attempt:
-        """Return an attempt whose answer goes to the sink."""
+    def new_attempt(self, upstream: str, nonce: str, sidecar: str) -> Attempt:
+        """Return an attempt that writes its answer to the sink."""
 
         async def emit(data: bytes) -> None:
             await self._sink.write(data, rv.content_type)
@@ -81,16 +81,19 @@
         )
         return rv
 
-    async def ask(self, step: AskSidecar) -> RunState | None:
-        """Have the sidecar promise never to run a nonce, unless it ran."""
+    async def request_tombstone(self, step: AskSidecar) -> RunState | None:
+        """Ask the sidecar to never run a nonce, and return the state of its run.
+
+        Return None if the sidecar is unreachable.
+        """
         upstream = self._parts.pool.upstream_of(step.sidecar)
         if upstream is None:
             return None
         reader = self._parts.pool.subscribe(step.nonce, upstream)
         try:
-            question = Tombstone(nonce=step.nonce, sidecar=step.sidecar)
-            await self._parts.pool.send(upstream, question)
-            async with curio.timeout_after(ASK_SECONDS):
+            message = Tombstone(nonce=step.nonce, sidecar=step.sidecar)
+            await self._parts.pool.send(upstream, message)
+            async with curio.timeout_after(TOMBSTONE_TIMEOUT_SECONDS):
                 while True:
                     event = await reader.queue.get()
                     if isinstance(event, TombstoneResult):
@@ -101,21 +104,21 @@
             self._parts.pool.unsubscribe(reader)
 
     async def run(
-        self, held: StoredIntent, reservation: Reservation, *, alone: bool
+        self, stored: StoredIntent, reservation: Reservation, *, alone: bool
     ) -> AttemptEnd:
-        """Dispatch the intent, once, and return how it ended."""
-        running = await curio.spawn(self._run, held, reservation, alone, daemon=True)
-        return await running.join()
+        """Dispatch the stored intent once and return how the run ended."""
+        task = await curio.spawn(self._run, stored, reservation, alone, daemon=True)
+        return await task.join()
 
     async def _run(
-        self, held: StoredIntent, reservation: Reservation, alone: bool
+        self, stored: StoredIntent, reservation: Reservation, alone: bool
     ) -> AttemptEnd:
-        intent = held.intent
-        attempt = self.attempt(intent.upstream, intent.nonce, intent.sidecar)
+        intent = stored.intent
+        attempt = self.new_attempt(intent.upstream, intent.nonce, intent.sidecar)
         with self._parts.tracing.span(
             "dispatch", parent=self._call.traceparent, upstream=intent.upstream
         ) as span:
-            order = build_dispatch(
+            dispatch = build_dispatch(
                 call=self._call,
                 body=self._call.body,
                 idempotent=False,
@@ -123,52 +126,55 @@
                 facts=self._facts,
                 attempt=attempt,
                 reservation=reservation,
-                parts=self._parts,
+                components=self._parts,
                 traceparent=traceparent_of(span),
                 alone=alone,
             )
-            # Failure: paused since the intent was written, this router wakes to
-            # fresh heartbeats and dispatches what a retry has taken over.  The
-            # epoch from before the intent is too old by then.
-            order = replace(order, epoch=intent.epoch)
-            return await self._run_to_outcome(attempt, reservation, held, order)
+            # Failure: this router is paused after it wrote the intent, and a
+            # retry takes the intent over.  After the pause the router receives
+            # new heartbeats and would dispatch a second run.  The sidecar
+            # rejects it, because the epoch stored in the intent has expired.
+            dispatch = replace(dispatch, epoch=intent.epoch)
+            return await self._run_to_outcome(attempt, reservation, stored, dispatch)
 
     async def _run_to_outcome(
         self,
         attempt: Attempt,
         reservation: Reservation,
-        held: StoredIntent,
-        order: Dispatch,
+        stored: StoredIntent,
+        dispatch: Dispatch,
     ) -> AttemptEnd:
         end = Declined(reason=RefusalReason.UPSTREAM_UNREACHABLE)
-        if self._parts.is_current(reservation) and await attempt.open(order):
+        if self._parts.is_current(reservation) and await attempt.open(dispatch):
             end = await attempt.follow()
-        if isinstance(end, Lost) and attempt.may_go_on:
-            await self._parts.closing.abandon(
+        if isinstance(end, Lost) and attempt.may_continue:
+            await self._parts.closing.follow_in_background(
                 reservation, attempt, self._call, cancel=False
             )
             return end
         await self._parts.closing.settle(reservation, attempt, end, self._call)
-        await self.start_recording(end, held, attempt)
+        await self.start_recording(end, stored, attempt)
         return end
 
     async def start_recording(
-        self, end: AttemptEnd, held: StoredIntent, attempt: Attempt
+        self, end: AttemptEnd, stored: StoredIntent, attempt: Attempt
     ) -> None:
-        """Make the outcome of a run durable in the background."""
-        outcome = self._outcome(end)
+        """Start a task that makes the outcome of a run durable."""
+        outcome = self._outcome_of(end)
         if outcome is not None:
-            done = with_outcome(held.intent, outcome)
-            await curio.spawn(self._record, done, held.version, attempt, daemon=True)
+            final_intent = with_outcome(stored.intent, outcome)
+            await curio.spawn(
+                self._record, final_intent, stored.version, attempt, daemon=True
+            )
 
-    async def _record(self, done: Intent, version: int, attempt: Attempt) -> None:
-        """Make an outcome durable and tell the sidecar, which then may forget."""
-        if await self._parts.intents.record(done, version):
-            message = OutcomeDurable(nonces=(done.nonce,))
+    async def _record(self, intent: Intent, version: int, attempt: Attempt) -> None:
+        """Make an outcome durable and notify the sidecar, which may then drop it."""
+        if await self._parts.intents.record(intent, version):
+            message = OutcomeDurable(nonces=(intent.nonce,))
             with suppress(LinkLost):
                 await self._parts.pool.send(attempt.upstream, message)
 
-    def _outcome(self, end: AttemptEnd) -> Outcome | None:
+    def _outcome_of(self, end: AttemptEnd) -> Outcome | None:
         match end:
             case Completed(status=status, content_type=content_type, tokens=tokens):
                 return Outcome(
--- a/src/ragwortkeel/router/observer.py
+++ b/src/ragwortkeel/router/observer.py
@@ -1,4 +1,4 @@
-"""What a router tells of itself: a log line and metrics for each event."""
+"""Log lines and metrics for the events of a router."""
 
 from dataclasses import dataclass
 
@@ -18,10 +18,20 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Observed:
-    """How one request went; `refusal` is None if it was answered.
-
-    `first_token_seconds` is None where nothing was streamed.
+class EndedRequest:
+    """A request that has ended.
+
+    Attributes
+    ----------
+    refusal : Refusal or None
+        None if the request was answered.
+    seconds : float
+        Time from the request's arrival to its end.
+    tokens : int
+        Tokens that the answer cost.
+    first_token_seconds : float or None
+        Time from the request's arrival to the first streamed data; None if
+        nothing was streamed.
     """
 
     call: Call
@@ -34,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Gauges:
-    """The state of a router at one moment."""
+    """Values of the gauges of a router at one moment."""
 
     revision: int
     running: int
@@ -43,7 +53,7 @@
 
 
 class Observer:
-    """Logs and counts.
+    """Writes the log lines and updates the metrics of a router.
 
     .. versionadded:: 0.1
     """
@@ -51,36 +61,41 @@
     def __init__(self, *, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def request_ended(self, observed: Observed) -> None:
-        """Tell how a request went."""
-        refusal, service = observed.refusal, observed.profile.service
+    def record_request(self, ended: EndedRequest) -> None:
+        """Log and count a request that has ended."""
+        refusal, service = ended.refusal, ended.profile.service
         outcome = ANSWERED if refusal is None else refusal.outcome
         reason = "" if refusal is None else refusal.reason
-        self._metrics.request_ended(service=service, outcome=outcome, reason=reason)
-        if observed.tokens:
-            self._metrics.tokens_spent(service=service, tokens=observed.tokens)
-        if observed.first_token_seconds is not None:
-            self._metrics.first_token(
-                service=service, seconds=observed.first_token_seconds
+        self._metrics.record_request(service=service, outcome=outcome, reason=reason)
+        if ended.tokens:
+            self._metrics.record_tokens(service=service, tokens=ended.tokens)
+        if ended.first_token_seconds is not None:
+            self._metrics.record_first_token(
+                service=service, seconds=ended.first_token_seconds
             )
         log_info(
             "request_ended",
-            profile=observed.profile.name,
-            request=observed.call.request_id,
+            profile=ended.profile.name,
+            request=ended.call.request_id,
             outcome=outcome,
             reason=reason,
-            seconds=observed.seconds,
-            tokens=observed.tokens,
-            trace=trace_id_of(observed.call.traceparent),
+            seconds=ended.seconds,
+            tokens=ended.tokens,
+            trace=trace_id_of(ended.call.traceparent),
         )
 
-    def decided(self, decision: Assignment | PolicyRefusal, waited: float) -> None:
-        """Tell what the scheduler decided, after `waited` seconds in the queue."""
+    def record_decision(
+        self, decision: Assignment | PolicyRefusal, waited: float
+    ) -> None:
+        """Log and count a decision of the scheduler.
+
+        `waited` is the time in the queue in seconds.
+        """
         request = decision.request
         match decision:
             case Assignment(upstream=upstream, attempt=attempt, alone=alone):
-                self._metrics.decided(decision=DISPATCHED, reason="")
-                self._metrics.queue_waited(
+                self._metrics.record_decision(decision=DISPATCHED, reason="")
+                self._metrics.record_queue_wait(
                     service=request.service_class, seconds=waited
                 )
                 log_debug(
@@ -92,7 +107,7 @@
                     waited=waited,
                 )
             case PolicyRefusal(reason=reason):
-                self._metrics.decided(decision=REFUSED, reason=reason)
+                self._metrics.record_decision(decision=REFUSED, reason=reason)
                 log_info(
                     "refused",
                     request=request.request_id,
@@ -101,14 +116,14 @@
                     retry_after=decision.retry_after_seconds,
                 )
 
-    def attempt_failed(self, request_id: str, failure: Failure) -> None:
-        """Tell that an attempt gave no usable answer."""
-        self._metrics.attempt_failed(failure=failure)
+    def record_attempt_failure(self, request_id: str, failure: Failure) -> None:
+        """Log and count an attempt without a usable answer."""
+        self._metrics.record_attempt_failure(failure=failure)
         log_info("attempt_failed", request=request_id, failure=failure)
 
-    def upstream_crashed(self, crash: Crash) -> None:
-        """Tell of a crash that was news here."""
-        self._metrics.upstream_crashed()
+    def record_crash(self, crash: Crash) -> None:
+        """Log and count an upstream crash that this router didn't know of."""
+        self._metrics.record_crash()
         log_warning(
             "upstream_crashed",
             crash=crash.crash_id,
@@ -116,29 +131,29 @@
             alone=crash.alone,
         )
 
-    def upstream_load(self, report: LoadReport) -> None:
-        """Show what a sidecar reports."""
-        self._metrics.upstream(
+    def record_load(self, report: LoadReport) -> None:
+        """Update the metrics of an upstream from its sidecar's load report."""
+        self._metrics.set_upstream_load(
             name=report.upstream,
             limit=report.limit,
             load=report.running + report.waiting,
         )
 
-    def slice_renewed(self, outcome: str) -> None:
-        """Count how bringing a slice and its ledger in step ended."""
-        self._metrics.slice_operation(operation="renew", outcome=outcome)
+    def record_slice_renewal(self, outcome: str) -> None:
+        """Count the outcome of a slice's renewal at its ledger."""
+        self._metrics.record_slice_operation(operation="renew", outcome=outcome)
 
-    def platform_failed(self, error: str) -> None:
-        """Count a failed call of the platform."""
-        self._metrics.platform_failed(error=error)
+    def record_platform_failure(self, error: str) -> None:
+        """Count a failed platform call."""
+        self._metrics.record_platform_failure(error=error)
 
-    def link_down(self, role: str, peer: str) -> None:
-        """Tell that a peer went silent."""
-        self._metrics.link_lost(peer=role)
+    def record_link_down(self, role: str, peer: str) -> None:
+        """Log and count the loss of a link."""
+        self._metrics.record_link_lost(peer=role)
         log_warning("link_down", role=role, peer=peer)
 
-    def gauges(self, gauges: Gauges) -> None:
-        """Show the state of the moment."""
-        self._metrics.configuration_in_force(revision=gauges.revision)
-        self._metrics.load(running=gauges.running, queued=gauges.queued)
-        self._metrics.slice_tokens(tokens=gauges.slice_tokens)
+    def set_gauges(self, gauges: Gauges) -> None:
+        """Set the gauges to the router's present values."""
+        self._metrics.set_configuration_revision(revision=gauges.revision)
+        self._metrics.set_load(running=gauges.running, queued=gauges.queued)
+        self._metrics.set_slice_tokens(tokens=gauges.slice_tokens)
--- a/src/ragwortkeel/router/reaper.py
+++ b/src/ragwortkeel/router/reaper.py
@@ -1,9 +1,10 @@
-"""Takes back what dead routers held, by seals and never by time.
+"""Settles the grants of failed routers by seals, never by timeouts.
 
-Who is dead is decided elsewhere, from two kinds of evidence; being wrong costs
-the router its incarnation and nothing else.  For each dead one the order is:
-the seal object, the seal order to each registered sidecar, then the ledgers.
-A seal is kept open until every sidecar its grants name has reported for good.
+`ragwortkeel.membership` decides which routers have failed, from two kinds of
+evidence; a router that is sealed by mistake only continues under another
+incarnation.  For each failed router the reaper writes the seal object, then sends
+the seal to each registered sidecar, then updates the ledgers.  A seal stays open
+until each sidecar in the router's grants has sent its final report or is removed.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -28,20 +29,21 @@
 from ragwortkeel.platform import Platform, Stored
 from ragwortkeel.router.receipt_writer import write_segment
 
-ROUND_SECONDS = 2.0
-"""Between two rounds over open seals; one round asks each sidecar once."""
+ROUND_INTERVAL_SECONDS = 2.0
+"""Time between two rounds; in a round each sidecar receives each open seal once."""
 
-SWEEP_SECONDS = 60.0
-"""A sealed router may open a grant after its seal was closed; a sweep finds it."""
+SWEEP_INTERVAL_SECONDS = 60.0
+"""Time between two rounds that process closed seals too: a sealed router that
+doesn't know of its seal may still open a grant."""
 
-ATTEMPTS = 8
+MAX_UPDATE_ATTEMPTS = 8
 
 
 class SealRecord(msgspec.Struct, frozen=True, kw_only=True):
     """The seal object in the platform; its name is the router's incarnation.
 
-    `closed` once no ledger holds anything of the router and all receipts that
-    its sidecars reported are durable.
+    `by` is the incarnation that wrote it.  `closed` is set once no ledger has a
+    grant of the router and all receipts that its sidecars reported are durable.
     """
 
     router: str
@@ -50,31 +52,34 @@
 
 
 @dataclass(kw_only=True)
-class _Round:
-    """What the sidecars said about one router in one round."""
+class _RoundResult:
+    """Reports of the sidecars about one router in one round."""
 
-    listed: set[str] = field(default_factory=set)
+    registered: set[str] = field(default_factory=set)
     sealed_by_sidecar: dict[str, Sealed] = field(default_factory=dict)
-    gone: set[str] = field(default_factory=set)
-    receipts_left: bool = False
+    removed: set[str] = field(default_factory=set)
+    receipts_pending: bool = False
 
 
 class Reaper:
-    """Seals dead routers and settles what they left.
+    """Seals failed routers and settles their grants.
 
     Parameters
     ----------
     incarnation : callable
         Returns this router's incarnation.
-    dead : callable
-        Returns the incarnations of dead routers that this router acts on.
-    responsible : callable
-        Whether this router works on the seal of an incarnation.
-    gone : callable
-        Whether a sidecar incarnation is gone for good with its upstream.
-    ask : async callable
-        Sends a `Seal` to a sidecar's node and returns its `Sealed`; raises
-        `LinkError` where there is no answer.
+    failed_routers : callable
+        Returns the incarnations of the failed routers that this router seals.
+    is_responsible : callable
+        Returns whether this router processes the seal of an incarnation.
+    is_removed : callable
+        Returns whether a sidecar incarnation has failed and its upstream is
+        retired or has another sidecar.
+    request_seal : async callable
+        Sends a `Seal` to the sidecar of a `Node` and returns its `Sealed`; raises
+        `LinkError` if there is no answer.
+    clock : callable
+        Returns monotonic seconds.
 
     .. versionadded:: 0.1
     """
@@ -84,36 +89,36 @@
         *,
         platform: Platform,
         incarnation: Callable[[], str],
-        dead: Callable[[], Iterable[str]],
-        responsible: Callable[[str], bool],
-        gone: Callable[[str], bool],
-        ask: Callable[[Node, Seal], Awaitable[Sealed]],
+        failed_routers: Callable[[], Iterable[str]],
+        is_responsible: Callable[[str], bool],
+        is_removed: Callable[[str], bool],
+        request_seal: Callable[[Node, Seal], Awaitable[Sealed]],
         clock: Callable[[], float],
     ) -> None:
         self._platform = platform
         self._incarnation = incarnation
-        self._dead = dead
-        self._responsible = responsible
-        self._gone = gone
-        self._ask = ask
+        self._failed_routers = failed_routers
+        self._is_responsible = is_responsible
+        self._is_removed = is_removed
+        self._request_seal = request_seal
         self._clock = clock
         self._swept_at: float | None = None
 
     async def run(self) -> None:
-        """Work in rounds until cancelled; an outage only delays them."""
+        """Run rounds until cancelled; a platform outage delays them."""
         while True:
             try:
-                await self.round()
+                await self.run_round()
             except PlatformError as exc:
                 log_info("reaper_waits", error=str(exc))
-            await curio.sleep(ROUND_SECONDS)
+            await curio.sleep(ROUND_INTERVAL_SECONDS)
 
-    async def round(self) -> None:
-        """Seal the newly dead and go on with open seals once."""
-        for router in self._dead():
+    async def run_round(self) -> None:
+        """Seal newly failed routers and process each open seal once."""
+        for router in self._failed_routers():
             await self._write_seal(router)
-        for router in await self._seals_to_work_on():
-            await self._work_on(router)
+        for router in await self._seals_to_process():
+            await self._process_seal(router)
 
     async def _write_seal(self, router: str) -> None:
         record = SealRecord(router=router, by=self._incarnation())
@@ -123,83 +128,86 @@
             return
         log_info("router_sealed", router=router)
 
-    async def _seals_to_work_on(self) -> list[str]:
+    async def _seals_to_process(self) -> list[str]:
         listing = await self._platform.list(SEALS)
         now = self._clock()
-        sweep = self._swept_at is None or now - self._swept_at >= SWEEP_SECONDS
-        if sweep:
+        is_sweep = (
+            self._swept_at is None or now - self._swept_at >= SWEEP_INTERVAL_SECONDS
+        )
+        if is_sweep:
             self._swept_at = now
         return [
             name
             for name, stored in listing.by_name.items()
-            if self._responsible(name) and (sweep or not _record(stored).closed)
+            if self._is_responsible(name) and (is_sweep or not _record(stored).closed)
         ]
 
-    async def _work_on(self, router: str) -> None:
-        # The order of the guard: the seal is in the platform already, so a
-        # sidecar missing in this list reads the seal before it lets work in.
-        found = await self._ask_sidecars(router)
-        await self._keep_receipts(router, found)
+    async def _process_seal(self, router: str) -> None:
+        # The seal was written before this list is read, so that a sidecar that
+        # is not in the list yet reads the seal before it accepts runs.
+        result = await self._ask_sidecars(router)
+        await self._write_receipts(router, result)
         open_ledgers = 0
         listing = await self._platform.list(LEDGERS)
         for profile, stored in listing.by_name.items():
             if router in decode_ledger(stored.value).grants:
-                open_ledgers += not await self._settle(profile, router, found)
-        if not open_ledgers and not found.receipts_left:
+                open_ledgers += not await self._settle(profile, router, result)
+        if not open_ledgers and not result.receipts_pending:
             await self._close_seal(router)
 
-    async def _ask_sidecars(self, router: str) -> _Round:
-        found = _Round()
+    async def _ask_sidecars(self, router: str) -> _RoundResult:
+        result = _RoundResult()
         listing = await self._platform.list(NODES)
         nodes = [
             msgspec.json.decode(s.value, type=Node) for s in listing.by_name.values()
         ]
         sidecars = [node for node in nodes if node.role == Role.SIDECAR]
-        found.listed = {node.incarnation for node in sidecars}
+        result.registered = {node.incarnation for node in sidecars}
         async with curio.TaskGroup() as group:
             for node in sidecars:
-                await group.spawn(self._ask_one, node, router, found)
-        return found
+                await group.spawn(self._ask_one, node, router, result)
+        return result
 
-    async def _ask_one(self, node: Node, router: str, found: _Round) -> None:
-        if self._gone(node.incarnation):
-            found.gone.add(node.incarnation)
+    async def _ask_one(self, node: Node, router: str, result: _RoundResult) -> None:
+        if self._is_removed(node.incarnation):
+            result.removed.add(node.incarnation)
             return
         try:
-            sealed = await self._ask(node, Seal(router=router))
+            sealed = await self._request_seal(node, Seal(router=router))
         except LinkError:
             return
-        # Another incarnation at that address says nothing about this one.
+        # Another incarnation at the same address can't report for this one.
         if sealed.sidecar == node.incarnation:
-            found.sealed_by_sidecar[node.incarnation] = sealed
+            result.sealed_by_sidecar[node.incarnation] = sealed
 
-    async def _keep_receipts(self, router: str, found: _Round) -> None:
-        """Make the dead router's receipts durable before its grants close."""
+    async def _write_receipts(self, router: str, result: _RoundResult) -> None:
+        """Make the failed router's receipts durable before its grants are closed."""
         receipts = [
             receipt
-            for sealed in found.sealed_by_sidecar.values()
+            for sealed in result.sealed_by_sidecar.values()
             for receipt in sealed.receipts
         ]
         for segment in segments(writer=router, receipts=receipts):
             await write_segment(self._platform, segment)
-        running = any(sealed.running for sealed in found.sealed_by_sidecar.values())
-        found.receipts_left = running
+        running = any(sealed.running for sealed in result.sealed_by_sidecar.values())
+        result.receipts_pending = running
 
-    async def _settle(self, profile: str, router: str, found: _Round) -> bool:
-        """Bring what is known into one ledger; return whether the grant closed."""
-        for _ in range(ATTEMPTS):
+    async def _settle(self, profile: str, router: str, result: _RoundResult) -> bool:
+        """Apply the reports to one ledger; return whether it has no grant left."""
+        for _ in range(MAX_UPDATE_ATTEMPTS):
             stored = await self._platform.get(LEDGERS, profile)
             if stored is None:
                 return True
             before = decode_ledger(stored.value)
-            ledger = _with_reports(before, profile, router, found)
+            ledger = _with_reports(before, profile, router, result)
             if ledger == before:
                 return router not in ledger.grants
             value = encode_ledger(ledger)
             try:
                 await self._platform.update(LEDGERS, profile, value, stored.version)
             except (VersionConflict, ObjectNotFound, OutcomeUnknown):
-                # Every step here may be repeated, so a lost answer is no harm.
+                # Each change is idempotent, so an update with a lost answer is
+                # repeated.
                 continue
             return router not in ledger.grants
         return False
@@ -217,17 +225,20 @@
         log_info("seal_closed", router=router)
 
 
-def _with_reports(ledger: Ledger, profile: str, router: str, found: _Round) -> Ledger:
+def _with_reports(
+    ledger: Ledger, profile: str, router: str, result: _RoundResult
+) -> Ledger:
     ledger = ledger.seal(router)
-    for sidecar, sealed in found.sealed_by_sidecar.items():
-        # Running attempts may still spend: their sidecar stays at its bound.
+    for sidecar, sealed in result.sealed_by_sidecar.items():
+        # Running attempts may still spend tokens, so that their sidecar
+        # stays charged with its cap.
         if profile not in sealed.running:
             spent = sealed.ran.get(profile, 0)
             ledger = ledger.report(router=router, sidecar=sidecar, tokens=spent)
     grant = ledger.grants.get(router)
     for sidecar in sorted(grant.settled if grant else ()):
-        # One that has left the list has nothing more to tell.
-        if sidecar in found.gone or sidecar not in found.listed:
+        # A sidecar that is not registered any more sends no further report.
+        if sidecar in result.removed or sidecar not in result.registered:
             ledger = ledger.write_off(router=router, sidecar=sidecar)
     return ledger
 
--- a/src/ragwortkeel/router/router.py
+++ b/src/ragwortkeel/router/router.py
@@ -1,4 +1,4 @@
-"""The central object of the router daemon; it ties the parts and their tasks."""
+"""The central object of the router daemon, which runs its components as tasks."""
 
 from random import Random
 from time import monotonic
@@ -8,7 +8,7 @@
 
 from ragwortkeel.configuration import UPSTREAMS, Node, Role, UpstreamState
 from ragwortkeel.configuration_store import ConfigurationStore
-from ragwortkeel.gossip import FromPeer, Gossip, Learn
+from ragwortkeel.gossip import FromPeer, Gossip, MergeObjects
 from ragwortkeel.httpio import HttpServer
 from ragwortkeel.links import LinkDown, LinkUp, Received
 from ragwortkeel.logs import log_warning
@@ -25,7 +25,7 @@
 from ragwortkeel.policy.quarantine import Crash
 from ragwortkeel.policy.scheduler import Scheduler
 from ragwortkeel.router.budgeting import Budgeting
-from ragwortkeel.router.closing import Closing
+from ragwortkeel.router.components import Components
 from ragwortkeel.router.directory import Directory
 from ragwortkeel.router.dispatcher import Dispatcher
 from ragwortkeel.router.gateway import Gateway
@@ -34,50 +34,51 @@
     upstreams_to_link,
 )
 from ragwortkeel.router.observer import Gauges, Observer
-from ragwortkeel.router.parts import Parts
 from ragwortkeel.router.peers import PeerLinks
+from ragwortkeel.router.settlement import Settlement
 from ragwortkeel.router.sidecars import SidecarPool
 from ragwortkeel.settings import Address, RouterSettings
 from ragwortkeel.tasks import run_together
 from ragwortkeel.traces import Tracing
 
-BALANCER_SECONDS = 1.0
-"""A planned stop says so this long before it refuses connections, so that the
-balancer looks once and sends callers elsewhere."""
+BALANCER_NOTICE_SECONDS = 1.0
+"""Time between reporting as not ready and refusing connections on a planned stop,
+so that the balancer's next check removes this router."""
 
-DRAIN_LOOK_SECONDS = 0.05
+DRAIN_POLL_SECONDS = 0.05
 
 SIDECAR_PREFIX = "sidecar:"
-"""Marks a gossip peer that is reached through the sidecars' links."""
+"""Prefix of the names of gossip peers that are reached over sidecar links; the name
+of the upstream follows."""
 
 
 def new_incarnation(name: str) -> str:
-    """Return a name for one life of a node, never used twice."""
+    """Return a unique incarnation for the process with this name."""
     return f"{name}-{uuid4().hex[:12]}"
 
 
 class Router:
-    """One router: callers in front, sidecars behind, other routers beside.
+    """A router, with its links to callers, sidecars and other routers.
 
     Parameters
     ----------
     settings
-        Names and addresses.
+        Names, addresses and the stop deadline.
     incarnation
-        Unique to this start of the process.
+        Unique name of this start of the process.
     platform
         The platform's client.
     observer
-        Told of requests, decisions and links.
+        Records requests, decisions and lost links.
     tracing
-        Where spans go.
+        Records the spans.
 
     Examples
     --------
     >>> router = Router(settings=settings, incarnation="r1-7f3a", ...)
     >>> router.open()
     >>> task = await curio.spawn(router.run)
-    >>> cut_off = await router.drain()
+    >>> unfinished = await router.drain()
 
     .. versionadded:: 0.1
     """
@@ -101,7 +102,7 @@
         self.pool = SidecarPool(
             incarnation=lambda: self.incarnation,
             revision=self.revision,
-            on_crash=self._take_crash,
+            on_crash=self._receive_crash,
         )
         self.peers = PeerLinks(
             address=settings.address, incarnation=incarnation, revision=self.revision
@@ -113,7 +114,7 @@
             store=self.store,
             send=self._send,
             random=random,
-            listener=self._on_fresh,
+            listener=self._apply_changes,
         )
         self.dispatcher = Dispatcher(
             scheduler=Scheduler(zone=settings.zone, random=random),
@@ -126,12 +127,12 @@
             pool=self.pool,
             peers=self.peers,
             incarnation=lambda: self.incarnation,
-            reincarnate=self._reincarnate,
+            reincarnate=self._start_new_incarnation,
             observer=observer,
         )
         budgets, receipts = self.budgeting.keeper, self.budgeting.receipts
-        self.closing = Closing(budgets=budgets, receipts=receipts)
-        self.parts = Parts(
+        self.settlement = Settlement(budgets=budgets, receipts=receipts)
+        self.parts = Components(
             incarnation=lambda: self.incarnation,
             clock=monotonic,
             intents=IntentStore(platform=platform),
@@ -140,39 +141,39 @@
             pool=self.pool,
             budgets=budgets,
             receipts=receipts,
-            closing=self.closing,
+            closing=self.settlement,
             tracing=tracing,
         )
         self.gateway = Gateway(
-            parts=self.parts,
-            observe=observer.request_ended,
+            components=self.parts,
+            observe=observer.record_request,
             refresh=self.gossip.refresh,
         )
         self.stopping = False
         self._zone_routers: tuple[str, ...] = ()
         self._state_by_upstream: dict[str, tuple[str, bool]] = {}
-        where = Address.parse(settings.http)
+        http_address = Address.parse(settings.http)
         self._server = HttpServer(
-            host=where.host, port=where.port, handler=self.gateway.handle
+            host=http_address.host, port=http_address.port, handler=self.gateway.handle
         )
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the balancer may send requests to this router."""
         return not self.stopping and self.gossip.complete()
 
     def gauges(self) -> Gauges:
-        """Return the state of the moment."""
+        """Return the present values of the gauges."""
         rows = self.budgeting.keeper.rows()
         return Gauges(
             revision=self.store.revision,
             running=self._server.open_exchanges,
-            queued=self.dispatcher.queued,
+            queued=self.dispatcher.queued_count,
             slice_tokens=sum(row.free for row in rows),
         )
 
     def is_linked_to(self, node: Node) -> bool:
-        """Return whether a sidecar is at the other end of one of the links."""
+        """Return whether this router has a link to the sidecar of a node."""
         view = self.pool.views_by_upstream.get(node.upstream)
         return view is not None and view.link.address == node.address
 
@@ -200,58 +201,59 @@
 
     async def _serve_callers(self) -> None:
         await self._server.serve()
-        # A planned stop: the rest goes on until receipts and slices are settled.
+        # After a planned stop the other tasks run until receipts and slices are
+        # settled.
         await curio.Event().wait()
 
     async def drain(self) -> int:
-        """Stop taking callers and wait for open requests; return how many were cut.
+        """Stop accepting requests and wait for open requests and runs.
 
-        A request in flight is never cut off before the settings' deadline.
+        Return how many are unfinished at the stop deadline of the settings.
         """
         self.stopping = True
-        await curio.sleep(BALANCER_SECONDS)
+        await curio.sleep(BALANCER_NOTICE_SECONDS)
         self.gateway.stopping = True
         await self._server.stop_accepting()
         try:
             async with curio.timeout_after(self.settings.stop_deadline_seconds):
-                while self._open():
-                    await curio.sleep(DRAIN_LOOK_SECONDS)
+                while self._open_count():
+                    await curio.sleep(DRAIN_POLL_SECONDS)
         except curio.TaskTimeout:
-            return self._open()
+            return self._open_count()
         return 0
 
-    def _open(self) -> int:
-        return self._server.open_exchanges + self.closing.open_runs
+    def _open_count(self) -> int:
+        return self._server.open_exchanges + self.settlement.open_runs
 
     async def close(self) -> None:
-        """Close the links; call it last."""
+        """Close the links; no other method may be called afterwards."""
         await self.pool.close()
         await self.peers.close()
 
-    async def _reincarnate(self) -> str:
-        """Go on under another incarnation; the old one is sealed.
+    async def _start_new_incarnation(self) -> str:
+        """Replace the incarnation after it was sealed, and return the new one.
 
-        Awaits nothing: a reservation of one incarnation must not be sent under
-        another.
+        The method awaits nothing, so that no reservation of the old incarnation
+        is sent with the new one.
         """
         log_warning("router_was_sealed", incarnation=self.incarnation)
         self.incarnation = new_incarnation(self.settings.name)
-        self.peers.reincarnate(self.incarnation)
-        self.pool.reincarnate()
+        self.peers.set_incarnation(self.incarnation)
+        self.pool.update_incarnation()
         return self.incarnation
 
-    async def meet(self, zone_routers: tuple[str, ...]) -> None:
-        """Take over which routers share this one's zone, itself included."""
-        if zone_routers != self._zone_routers or self.pool.lingering:
+    async def set_zone_routers(self, zone_routers: tuple[str, ...]) -> None:
+        """Set the addresses of the routers in this zone, this one included."""
+        if zone_routers != self._zone_routers or self.pool.removed_with_runs:
             self._zone_routers = zone_routers
-            await self._follow_upstreams()
+            await self._update_links()
 
-    async def _on_fresh(self, fresh: list[VersionedObject]) -> None:
-        self.membership.apply(fresh)
-        if any(one.kind == UPSTREAMS for one in fresh):
-            await self._follow_upstreams()
+    async def _apply_changes(self, changes: list[VersionedObject]) -> None:
+        self.membership.apply(changes)
+        if any(change.kind == UPSTREAMS for change in changes):
+            await self._update_links()
 
-    async def _follow_upstreams(self) -> None:
+    async def _update_links(self) -> None:
         known = {n: upstream for n, (upstream, _) in self.directory.upstreams().items()}
         linked = upstreams_to_link(
             known,
@@ -259,11 +261,11 @@
             zone=self.settings.zone,
             routers=self._zone_routers,
         )
-        await self.pool.follow(linked)
-        await self._offer_upstreams()
+        await self.pool.set_upstreams(linked)
+        await self._update_scheduler()
 
-    async def _offer_upstreams(self) -> None:
-        """Tell the scheduler which upstreams may be given work."""
+    async def _update_scheduler(self) -> None:
+        """Update the scheduler with the upstreams that may receive requests."""
         usable = []
         for name, (upstream, _) in self.directory.upstreams().items():
             serving = upstream.state is UpstreamState.SERVING and not upstream.retired
@@ -274,81 +276,82 @@
                         name=name, back_end=upstream.back_end, zone=upstream.zone
                     )
                 )
-        await self.dispatcher.upstreams_changed(usable)
+        await self.dispatcher.set_upstreams(usable)
 
     async def _read_sidecars(self) -> None:
         while True:
-            event = await self.pool.others.get()
+            event = await self.pool.other_events.get()
             match event:
                 case LinkUp():
-                    await self._offer_upstreams()
+                    await self._update_scheduler()
                 case LinkDown(peer=peer):
-                    self._observer.link_down(Role.SIDECAR, peer)
-                    await self._offer_upstreams()
+                    self._observer.record_link_down(Role.SIDECAR, peer)
+                    await self._update_scheduler()
                 case Received(peer=peer, envelope=envelope):
-                    await self._take_from_sidecar(peer, envelope)
+                    await self._receive_from_sidecar(peer, envelope)
 
-    async def _take_from_sidecar(self, upstream: str, envelope) -> None:
+    async def _receive_from_sidecar(self, upstream: str, envelope) -> None:
         peer = SIDECAR_PREFIX + upstream
-        self.membership.heard(envelope.sender, monotonic())
+        self.membership.record_message(envelope.sender, monotonic())
         match envelope.message:
             case Heartbeat() as load:
-                await self._take_load(upstream, envelope.sender, load)
-                await self._to_gossip(peer, envelope.revision, None)
+                await self._receive_load(upstream, envelope.sender, load)
+                await self._forward_to_gossip(peer, envelope.revision, None)
             case Refused(newer=newer):
-                await self.gossip.inbox.put(Learn(objects=newer))
+                await self.gossip.inbox.put(MergeObjects(objects=newer))
             case message:
-                await self._to_gossip(peer, envelope.revision, message)
+                await self._forward_to_gossip(peer, envelope.revision, message)
 
-    async def _take_crash(self, seen: CrashSeen) -> None:
-        """Note a crash, and pass it on where it is news."""
+    async def _receive_crash(self, seen: CrashSeen) -> None:
+        """Record a crash, and forward it to the peers if it was unknown here."""
         crash = Crash(
             crash_id=seen.crash_id,
             fingerprints=frozenset(seen.fingerprints),
             alone=seen.alone,
         )
-        if await self.dispatcher.crashed(crash):
-            self._observer.upstream_crashed(crash)
+        if await self.dispatcher.record_crash(crash):
+            self._observer.record_crash(crash)
             await self.peers.send_all(seen)
 
-    async def _take_load(self, upstream: str, sender: str, load: Heartbeat) -> None:
+    async def _receive_load(self, upstream: str, sender: str, load: Heartbeat) -> None:
         state = (sender, load.leaving)
         known = self._state_by_upstream.get(upstream)
         if known != state:
             self._state_by_upstream[upstream] = state
             if known is not None and known[0] != sender:
-                # Another process answers at its address: it carries nothing more.
-                self.budgeting.keeper.forget_sidecar(known[0])
-            await self._offer_upstreams()
+                # Another incarnation answers at the address, so that the old one
+                # runs nothing more.
+                self.budgeting.keeper.remove_sidecar(known[0])
+            await self._update_scheduler()
         report = LoadReport(
             upstream=upstream,
             running=load.running,
             waiting=load.waiting,
             limit=load.limit,
         )
-        self._observer.upstream_load(report)
-        await self.dispatcher.report(report)
+        self._observer.record_load(report)
+        await self.dispatcher.record_load(report)
 
     async def _read_peers(self) -> None:
         while True:
             event = await self.peers.inbox.get()
             if isinstance(event, LinkDown):
-                self._observer.link_down(Role.ROUTER, event.peer)
+                self._observer.record_link_down(Role.ROUTER, event.peer)
             if not isinstance(event, Received):
                 continue
             envelope = event.envelope
             message = envelope.message
-            self.membership.heard(envelope.sender, monotonic())
+            self.membership.record_message(envelope.sender, monotonic())
             if isinstance(message, Heartbeat):
                 message = None
             if isinstance(message, CrashSeen):
-                await self._take_crash(message)
+                await self._receive_crash(message)
                 continue
-            if await self.budgeting.take(event.peer, envelope.sender, message):
+            if await self.budgeting.receive(event.peer, envelope.sender, message):
                 continue
-            await self._to_gossip(event.peer, envelope.revision, message)
+            await self._forward_to_gossip(event.peer, envelope.revision, message)
 
-    async def _to_gossip(
+    async def _forward_to_gossip(
         self, peer: str, revision: int, message: AnyMessage | None
     ) -> None:
         event = FromPeer(peer=peer, revision=revision, message=message)
