--- a/src/ragwortkeel/router/sidecars.py
+++ b/src/ragwortkeel/router/sidecars.py
@@ -1,7 +1,7 @@
 """The links from a router to the sidecars of the configured upstreams.
 
-One task owns the inbox of all links and hands each message to the exchange
-whose nonce it names; what names none goes to `others`.
+One task reads the inbox of all links and delivers each message to the
+subscriptions with its nonce.  Events without a nonce go to `other_events`.
 """
 
 from collections.abc import Awaitable, Callable
@@ -29,8 +29,8 @@
     TombstoneResult,
 )
 
-LOCATE_SECONDS = 1.0
-"""A sidecar that is up answers in well under a millisecond."""
+ANSWER_TIMEOUT_SECONDS = 1.0
+"""A reachable sidecar answers in well under a millisecond."""
 
 RunEvent = (
     Started | Chunk | Finished | Failed | Refused | TombstoneResult | LinkUp | LinkDown
@@ -39,19 +39,22 @@
 
 @dataclass(kw_only=True)
 class SidecarView:
-    """What the router last heard of one sidecar."""
+    """Link to one sidecar, and what the router last received from it."""
 
     upstream: str
     link: Link
     task: curio.Task
     incarnation: str = ""
     load: Heartbeat = field(default_factory=Heartbeat)
-    heard_at: float = 0.0
+    last_received_at: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Subscription:
-    """One reader of one run; a retry may read along with the first caller."""
+    """Subscription of one reader to a run.
+
+    Several exchanges may read the same run, for example when the caller retries.
+    """
 
     nonce: str
     upstream: str
@@ -66,16 +69,19 @@
     incarnation, revision
         As for `Link`.
     on_crash
-        Awaited with each crash before anything later of that sidecar is
-        handed out: a run that broke in the crash must not be sent on unseen.
+        Awaited with each crash before later messages of that sidecar are
+        delivered, so that a run that the crash broke isn't retried before the
+        crash is recorded.
 
     Attributes
     ----------
     views_by_upstream : dict of str to SidecarView
-    lingering : set of str
-        Upstreams that are not wanted any more and still have runs in flight.
-    others : curio.Queue
-        `Received` events that belong to no run, and every link's up and down.
+        Links that are open or being opened.
+    removed_with_runs : set of str
+        Upstreams that are removed and still have runs in flight.
+    other_events : curio.Queue
+        `Received` events that belong to no run, and the `LinkUp` and `LinkDown`
+        events of all links.
 
     .. versionadded:: 0.1
     """
@@ -88,59 +94,70 @@
         on_crash: Callable[[CrashSeen], Awaitable[None]],
     ) -> None:
         self.views_by_upstream: dict[str, SidecarView] = {}
-        self.lingering: set[str] = set()
-        self.others: curio.Queue = curio.Queue()
+        self.removed_with_runs: set[str] = set()
+        self.other_events: curio.Queue = curio.Queue()
         self._incarnation = incarnation
         self._revision = revision
         self._on_crash = on_crash
         self._inbox: curio.Queue = curio.Queue()
         self._subscriptions_by_nonce: dict[str, list[Subscription]] = {}
-        self._locating: dict[tuple[str, str, str], curio.Queue] = {}
-        self._sealing: dict[tuple[str, str], curio.Queue] = {}
+        self._locate_queues_by_key: dict[tuple[str, str, str], curio.Queue] = {}
+        self._seal_queues_by_key: dict[tuple[str, str], curio.Queue] = {}
 
-    async def follow(self, upstreams_by_name: dict[str, Upstream]) -> None:
-        """Open links to new upstreams and close those to removed ones.
+    async def set_upstreams(self, upstreams_by_name: dict[str, Upstream]) -> None:
+        """Open links to new upstreams and close links to removed upstreams.
 
-        One with runs in flight is kept for the next call: closing it would cut
-        their answers off.
+        A link to a removed upstream with runs in flight stays open and is
+        checked again by the next call, because closing it would interrupt the
+        answers.
         """
-        self.lingering.clear()
+        self.removed_with_runs.clear()
         for name, view in list(self.views_by_upstream.items()):
             wanted = upstreams_by_name.get(name)
             if wanted is not None and wanted.sidecar_address == view.link.address:
                 continue
             if wanted is None and self._has_runs(name):
-                self.lingering.add(name)
+                self.removed_with_runs.add(name)
                 continue
-            await self._drop(name)
+            await self._remove(name)
         for name, upstream in upstreams_by_name.items():
             if name not in self.views_by_upstream:
                 await self._add(name, upstream.sidecar_address)
 
     def _has_runs(self, upstream: str) -> bool:
-        readers = self._subscriptions_by_nonce.values()
-        return any(one.upstream == upstream for each in readers for one in each)
+        subscriptions = self._subscriptions_by_nonce.values()
+        return any(
+            reader.upstream == upstream
+            for readers in subscriptions
+            for reader in readers
+        )
 
     def is_up(self, upstream: str) -> bool:
-        """Return whether the sidecar is connected and known by incarnation."""
+        """Return whether the sidecar is connected and its incarnation is known."""
         view = self.views_by_upstream.get(upstream)
         return view is not None and view.link.up and bool(view.incarnation)
 
     async def send(self, upstream: str, message: AnyMessage) -> None:
-        """Send to an upstream's sidecar; `LinkLost` when that cannot be."""
+        """Send a message to an upstream's sidecar.
+
+        Raises
+        ------
+        LinkLost
+            There is no connection to the sidecar.
+        """
         view = self.views_by_upstream.get(upstream)
         if view is None:
-            raise LinkLost(f"no link to {upstream}")
+            raise LinkLost(f"no link to the sidecar of {upstream}")
         await view.link.send(message)
 
     def subscribe(self, nonce: str, upstream: str) -> Subscription:
-        """Return a subscription whose queue gets everything about a run."""
+        """Return a subscription whose queue receives all messages of a run."""
         rv = Subscription(nonce=nonce, upstream=upstream, queue=curio.Queue())
         self._subscriptions_by_nonce.setdefault(nonce, []).append(rv)
         return rv
 
     def unsubscribe(self, subscription: Subscription) -> None:
-        """Forget a reader; later messages for it are dropped."""
+        """Remove a subscription; its queue receives no further messages."""
         readers = self._subscriptions_by_nonce.get(subscription.nonce, [])
         if subscription in readers:
             readers.remove(subscription)
@@ -157,45 +174,51 @@
     async def locate(
         self, upstream: str, profile: str, request_id: str
     ) -> Located | None:
-        """Ask a sidecar for a run of a request; None when it does not answer."""
+        """Ask a sidecar for its run of a request; return None without an answer."""
         key = (upstream, profile, request_id)
-        queue = self._locating.setdefault(key, curio.Queue())
+        queue = self._locate_queues_by_key.setdefault(key, curio.Queue())
         try:
             await self.send(upstream, Locate(profile=profile, request_id=request_id))
-            async with curio.timeout_after(LOCATE_SECONDS):
+            async with curio.timeout_after(ANSWER_TIMEOUT_SECONDS):
                 return await queue.get()
         except (LinkLost, curio.TaskTimeout):
             return None
         finally:
-            self._locating.pop(key, None)
+            self._locate_queues_by_key.pop(key, None)
 
-    def reincarnate(self) -> None:
-        """Send under the router's new incarnation from now on."""
+    def update_incarnation(self) -> None:
+        """Send all later messages with the router's new incarnation."""
         for view in self.views_by_upstream.values():
             view.link.incarnation = self._incarnation()
 
     async def seal(self, upstream: str, seal: Seal) -> Sealed:
-        """Have a sidecar seal a router; `LinkLost` where it does not answer."""
+        """Send a seal to a sidecar and return its answer.
+
+        Raises
+        ------
+        LinkLost
+            The sidecar does not answer.
+        """
         key = (upstream, seal.router)
-        queue = self._sealing.setdefault(key, curio.Queue())
+        queue = self._seal_queues_by_key.setdefault(key, curio.Queue())
         try:
             await self.send(upstream, seal)
-            async with curio.timeout_after(LOCATE_SECONDS):
+            async with curio.timeout_after(ANSWER_TIMEOUT_SECONDS):
                 return await queue.get()
         except curio.TaskTimeout as exc:
-            raise LinkLost(f"{upstream} did not answer") from exc
+            raise LinkLost(f"sidecar of {upstream} did not answer a seal") from exc
         finally:
-            self._sealing.pop(key, None)
+            self._seal_queues_by_key.pop(key, None)
 
     async def run(self) -> None:
-        """Hand out what arrives until cancelled."""
+        """Deliver received events until cancelled."""
         while True:
-            await self._hand_out(await self._inbox.get())
+            await self._deliver_event(await self._inbox.get())
 
     async def close(self) -> None:
         """Close all links."""
         for name in list(self.views_by_upstream):
-            await self._drop(name)
+            await self._remove(name)
 
     async def _add(self, name: str, address: str) -> None:
         link = Link(
@@ -208,33 +231,35 @@
         task = await curio.spawn(link.run, daemon=True)
         self.views_by_upstream[name] = SidecarView(upstream=name, link=link, task=task)
 
-    async def _drop(self, name: str) -> None:
+    async def _remove(self, name: str) -> None:
         view = self.views_by_upstream.pop(name)
         await view.task.cancel()
-        await self._tell_runs(name, LinkDown(peer=name))
+        await self._deliver_to_runs(name, LinkDown(peer=name))
 
-    async def _hand_out(self, event: LinkEvent) -> None:
+    async def _deliver_event(self, event: LinkEvent) -> None:
         match event:
             case Received(peer=peer, envelope=envelope):
-                self._note_sender(peer, envelope.sender)
-                await self._hand_out_message(event, envelope.message)
+                self._record_sender(peer, envelope.sender)
+                await self._deliver_message(event, envelope.message)
             case LinkUp() | LinkDown():
-                await self._tell_runs(event.peer, event)
-                await self.others.put(event)
+                await self._deliver_to_runs(event.peer, event)
+                await self.other_events.put(event)
 
-    async def _hand_out_message(self, event: Received, message: AnyMessage) -> None:
+    async def _deliver_message(self, event: Received, message: AnyMessage) -> None:
         match message:
             case Heartbeat():
-                self._note_load(event.peer, message)
-                await self.others.put(event)
+                self._record_load(event.peer, message)
+                await self.other_events.put(event)
             case Sealed(router=router):
-                queue = self._sealing.get((event.peer, router))
+                queue = self._seal_queues_by_key.get((event.peer, router))
                 if queue is not None:
                     await queue.put(message)
             case CrashSeen():
                 await self._on_crash(message)
             case Located(profile=profile, request_id=request_id):
-                queue = self._locating.get((event.peer, profile, request_id))
+                queue = self._locate_queues_by_key.get(
+                    (event.peer, profile, request_id)
+                )
                 if queue is not None:
                     await queue.put(message)
             case (
@@ -244,23 +269,23 @@
                 for reader in self._subscriptions_by_nonce.get(message.nonce, ()):
                     await reader.queue.put(message)
                 if isinstance(message, Refused) and message.newer:
-                    await self.others.put(event)
+                    await self.other_events.put(event)
             case _:
-                await self.others.put(event)
+                await self.other_events.put(event)
 
-    async def _tell_runs(self, upstream: str, event: LinkUp | LinkDown) -> None:
+    async def _deliver_to_runs(self, upstream: str, event: LinkUp | LinkDown) -> None:
         for readers in list(self._subscriptions_by_nonce.values()):
             for reader in readers:
                 if reader.upstream == upstream:
                     await reader.queue.put(event)
 
-    def _note_sender(self, peer: str, incarnation: str) -> None:
+    def _record_sender(self, peer: str, incarnation: str) -> None:
         view = self.views_by_upstream.get(peer)
         if view is not None:
             view.incarnation = incarnation
-            view.heard_at = monotonic()
+            view.last_received_at = monotonic()
 
-    def _note_load(self, peer: str, load: Heartbeat) -> None:
+    def _record_load(self, peer: str, load: Heartbeat) -> None:
         view = self.views_by_upstream.get(peer)
         if view is not None:
             view.load = load
--- a/src/ragwortkeel/router/sinks.py
+++ b/src/ragwortkeel/router/sinks.py
@@ -1,9 +1,8 @@
-"""Where an answer goes: a stream to the caller, or a whole body at the end.
+"""Sinks that send an answer to the caller, streamed or as one body.
 
-A stream passes on only whole events, so that a run which breaks off can be
-continued by another upstream without a torn event in between, and an answer
-that cannot be continued ends with an explicit error event, never by just
-stopping.
+A stream contains only complete events, so that another upstream can continue an
+interrupted run after the last event.  An answer that can't be continued ends
+with an error event, so that the caller doesn't mistake it for a complete one.
 """
 
 import re
@@ -22,44 +21,47 @@
 
 EVENT_STREAM = "text/event-stream"
 EVENT_END = b"\n\n"
-TOKEN_MARK = re.compile(rb'"content":\s*"(?!")')
-"""Stands in each event that carries a token, and in no other: engines begin with
-an empty one, and counted, it would make a resumed stream skip a token."""
+TOKEN_PATTERN = re.compile(rb'"content":\s*"(?!")')
+"""Matches the content of each event that carries a token.  The first event of an
+engine has empty content; if it were counted, a resumed stream would skip a
+token."""
 
 HEADER_REQUEST_ID = "idempotency-key"
 HEADER_TRACE = "traceparent"
 
 
 class EventSplitter:
-    """Cuts a byte stream into whole server-sent events and counts tokens."""
+    """Splits a byte stream into complete server-sent events and counts tokens."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial_event = b""
         self.tokens = 0
 
     def add(self, data: bytes) -> bytes:
-        """Return what is whole now; the torn rest waits."""
-        whole, mark, self._rest = (self._rest + data).rpartition(EVENT_END)
-        self.tokens += len(TOKEN_MARK.findall(whole))
-        return whole + mark
-
-    def take_rest(self) -> bytes:
-        """Return what is left at the end of a whole answer."""
-        rv, self._rest = self._rest, b""
+        """Return the events that are complete now and store the partial one."""
+        events, end, self._partial_event = (self._partial_event + data).rpartition(
+            EVENT_END
+        )
+        self.tokens += len(TOKEN_PATTERN.findall(events))
+        return events + end
+
+    def drain_partial_event(self) -> bytes:
+        """Return and clear the remainder at the end of a complete answer."""
+        rv, self._partial_event = self._partial_event, b""
         return rv
 
-    def drop_rest(self) -> None:
-        """Forget a torn event: its run will not go on."""
-        self._rest = b""
+    def discard_partial_event(self) -> None:
+        """Discard the partial event of an interrupted run."""
+        self._partial_event = b""
 
 
 class StreamSink:
-    """Streams an answer to the caller as it comes.
+    """Streams an answer to the caller.
 
     Attributes
     ----------
-    begun_at : float or None
-        When the caller got the first part, in monotonic seconds.
+    started_at : float or None
+        Time of the first data sent to the caller, in monotonic seconds.
     """
 
     def __init__(
@@ -70,37 +72,37 @@
         traceparent: str = "",
         clock: Callable[[], float] = monotonic,
     ) -> None:
-        self.begun_at: float | None = None
+        self.started_at: float | None = None
         self._responder = responder
         self._request_id = request_id
         self._headers = _headers_of(request_id, traceparent)
         self._clock = clock
         self._splitter = EventSplitter()
-        self._plain: list[bytes] = []
+        self._plain_chunks: list[bytes] = []
 
     @property
-    def begun(self) -> bool:
-        """Whether the caller has part of the answer, so that no problem fits."""
-        return self.begun_at is not None
+    def has_started(self) -> bool:
+        """Whether the answer's head is sent, so that no status can follow."""
+        return self.started_at is not None
 
     @property
     def tokens(self) -> int:
-        """Tokens passed on so far."""
+        """Number of tokens sent to the caller."""
         return self._splitter.tokens
 
     async def write(self, data: bytes, content_type: str) -> None:
-        """Pass on what is whole."""
+        """Send the events that `data` completes."""
         if not content_type.startswith(EVENT_STREAM):
-            # An engine refuses a stream request by a plain answer.
-            self._plain.append(data)
+            # Engines refuse a stream request with a plain body.
+            self._plain_chunks.append(data)
             return
-        await self._pass_on(self._splitter.add(data))
+        await self._send_events(self._splitter.add(data))
 
-    async def _pass_on(self, data: bytes) -> None:
+    async def _send_events(self, data: bytes) -> None:
         if not data:
             return
-        if not self.begun:
-            self.begun_at = self._clock()
+        if not self.has_started:
+            self.started_at = self._clock()
             headers = self._headers | {
                 "content-type": EVENT_STREAM,
                 "cache-control": "no-store",
@@ -109,24 +111,24 @@
         await self._send(self._responder.send(data))
 
     def restart(self) -> None:
-        """Expect a run that goes on after the tokens already passed on."""
-        self._splitter.drop_rest()
-        self._plain.clear()
+        """Prepare for another run, which continues after the tokens sent."""
+        self._splitter.discard_partial_event()
+        self._plain_chunks.clear()
 
     async def finish(self, status: int, content_type: str) -> None:
-        """End the answer, which is whole."""
-        # Engines may end their last event otherwise than by an empty line.
-        await self._pass_on(self._splitter.take_rest())
-        if not self.begun:
+        """Complete the answer."""
+        # The last event of an engine may lack the empty line at its end.
+        await self._send_events(self._splitter.drain_partial_event())
+        if not self.has_started:
             headers = self._headers | {"content-type": content_type}
-            body = b"".join(self._plain)
+            body = b"".join(self._plain_chunks)
             await self._send(self._responder.respond(status, body, headers))
             return
         await self._send(self._responder.finish())
 
     async def refuse(self, refusal: Refusal) -> None:
-        """End the answer by a refusal, or by an error event once begun."""
-        if not self.begun:
+        """End the answer with a refusal, or with an error event if it has started."""
+        if not self.has_started:
             await _respond_problem(
                 self._responder, refusal, self._request_id, self._headers
             )
@@ -137,13 +139,13 @@
         await self._send(self._responder.finish())
 
     async def _send(self, sending) -> None:
-        # The caller may be gone while its run goes on for a later retry.
+        # The caller may have disconnected; its run continues for a retry.
         with suppress(ExchangeBroken):
             await sending
 
 
-class WholeSink:
-    """Collects an answer and sends it once it is whole."""
+class BufferedSink:
+    """Collects an answer and sends it when it is complete."""
 
     def __init__(
         self,
@@ -153,41 +155,41 @@
         traceparent: str = "",
         clock: Callable[[], float] = monotonic,
     ) -> None:
-        self.begun_at: float | None = None
-        self.begun = False
+        self.started_at: float | None = None
+        self.has_started = False
         self.tokens = 0
         self._responder = responder
         self._request_id = request_id
         self._headers = _headers_of(request_id, traceparent)
-        self._pieces: list[bytes] = []
+        self._chunks: list[bytes] = []
 
     async def write(self, data: bytes, content_type: str) -> None:
-        """Keep a piece."""
-        self._pieces.append(data)
+        """Add a chunk to the answer."""
+        self._chunks.append(data)
 
     def restart(self) -> None:
-        """Forget the pieces of a run that broke off."""
-        self._pieces.clear()
+        """Discard the chunks of an interrupted run."""
+        self._chunks.clear()
 
     @property
     def body(self) -> bytes:
-        """What has been collected."""
-        return b"".join(self._pieces)
+        """The collected answer."""
+        return b"".join(self._chunks)
 
     async def finish(self, status: int, content_type: str) -> None:
-        """Send the answer."""
+        """Send the collected answer."""
         headers = self._headers | {"content-type": content_type}
         with suppress(ExchangeBroken):
             await self._responder.respond(status, self.body, headers)
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Send a refusal instead."""
+        """Send a refusal instead of the answer."""
         await _respond_problem(
             self._responder, refusal, self._request_id, self._headers
         )
 
 
-Sink = StreamSink | WholeSink
+Sink = StreamSink | BufferedSink
 
 
 def _headers_of(request_id: str, traceparent: str) -> dict[str, str]:
--- a/src/ragwortkeel/router/worker.py
+++ b/src/ragwortkeel/router/worker.py
@@ -1,4 +1,4 @@
-"""The router daemon's work: the router, its budgets and its place in the fleet."""
+"""The tasks of a router process: the router, its registration and its peers."""
 
 from random import Random
 from time import monotonic
@@ -7,24 +7,24 @@
 
 from ragwortkeel.configuration import Node, Role
 from ragwortkeel.configuration_store import InForce
-from ragwortkeel.gossip import Partners
+from ragwortkeel.gossip import ExchangePeers
 from ragwortkeel.membership import Liveness
 from ragwortkeel.metrics import Metrics
 from ragwortkeel.platform_client import HttpPlatform
 from ragwortkeel.process import Leftover
-from ragwortkeel.registration import deregister, follow_list, register
-from ragwortkeel.router.neighbours import partners, zone_members
+from ragwortkeel.registration import deregister, poll_list, register
+from ragwortkeel.router.neighbours import peers_to_link, zone_router_addresses
 from ragwortkeel.router.observer import Observer
 from ragwortkeel.router.router import Router, new_incarnation
 from ragwortkeel.settings import RouterSettings
 from ragwortkeel.tasks import run_together
 from ragwortkeel.traces import Tracing
 
-NEIGHBOURS_SECONDS = 1.0
+NEIGHBOURS_INTERVAL_SECONDS = 1.0
 
 
 class RouterWorker:
-    """Everything a router process runs.
+    """Runs a router and its registration, and selects its peers.
 
     .. versionadded:: 0.1
     """
@@ -35,7 +35,7 @@
         self._settings = settings
         self._observer = Observer(metrics=self.metrics)
         self._platform = HttpPlatform(
-            address=settings.platform, on_failure=self._observer.platform_failed
+            address=settings.platform, on_failure=self._observer.record_platform_failure
         )
         self._router = Router(
             settings=settings,
@@ -48,7 +48,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the balancer may send requests to this router."""
         return self._router.ready
 
     def open(self) -> None:
@@ -56,24 +56,24 @@
         self._router.open()
 
     async def run(self) -> None:
-        """Work until cancelled or until a task fails."""
+        """Run all tasks until cancelled or until one of them fails."""
         await run_together(
             self._router.run,
-            self._follow_neighbours,
+            self._update_neighbours,
             self._follow_list,
             self._stay_registered,
         )
 
     async def stop(self) -> Leftover:
-        """Finish open requests, make receipts durable, give slices back."""
-        cut = await self._router.drain()
-        undone = await self._router.budgeting.close()
+        """Finish open requests, make receipts durable and return the slices."""
+        unfinished = await self._router.drain()
+        unsettled = await self._router.budgeting.close()
         await deregister(self._platform, self._node())
         await self._router.close()
-        return Leftover(counts={"requests": cut, "undone": undone})
+        return Leftover(counts={"requests": unfinished, "undone": unsettled})
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return what is in force here of an object."""
+        """Return the state of a configuration object in this process."""
         return self._router.store.in_force(kind, name)
 
     def _node(self) -> Node:
@@ -86,40 +86,46 @@
         )
 
     async def _stay_registered(self) -> None:
-        """Register, and again under the next incarnation after a seal."""
+        """Register the router, and again after a seal changes its incarnation."""
         while True:
             node = self._node()
             await register(self._platform, node)
             while node.incarnation == self._router.incarnation:
-                await curio.sleep(NEIGHBOURS_SECONDS)
+                await curio.sleep(NEIGHBOURS_INTERVAL_SECONDS)
 
     async def _follow_list(self) -> None:
-        await follow_list(self._platform, self._router.membership)
+        await poll_list(self._platform, self._router.membership)
 
-    async def _follow_neighbours(self) -> None:
+    async def _update_neighbours(self) -> None:
         while True:
-            await self._meet(monotonic())
-            self._observer.gauges(self._router.gauges())
-            await curio.sleep(NEIGHBOURS_SECONDS)
+            await self._update_peers(monotonic())
+            self._observer.set_gauges(self._router.gauges())
+            await curio.sleep(NEIGHBOURS_INTERVAL_SECONDS)
 
-    async def _meet(self, now: float) -> None:
-        """Link to the partners and to routers that only a link can tell about."""
+    async def _update_peers(self, now: float) -> None:
+        """Link to the selected peers and to the routers that need a probe."""
         settings, membership = self._settings, self._router.membership
         nodes = membership.nodes(now, *Liveness)
-        present = [node for node in nodes if node.incarnation not in self._dead(now)]
-        addresses = partners(present, address=settings.address, zone=settings.zone)
+        present = [
+            node
+            for node in nodes
+            if node.incarnation not in self._failed_incarnations(now)
+        ]
+        addresses = peers_to_link(present, address=settings.address, zone=settings.zone)
         addresses = addresses or set(settings.peers)
-        probed = {n.address for n in membership.to_probe() if n.role == Role.ROUTER}
+        probed = {
+            n.address for n in membership.nodes_to_probe() if n.role == Role.ROUTER
+        }
         followed = (addresses | probed) - {settings.address}
-        await self._router.peers.follow(followed)
+        await self._router.peers.set_addresses(followed)
         for node in nodes:
             if node.address in followed or self._router.is_linked_to(node):
-                membership.probing(node.incarnation, now)
-        members = zone_members(present, settings.zone)
-        await self._router.meet(members)
-        change = Partners(addresses=tuple(addresses), zone_members=members)
+                membership.record_probe(node.incarnation, now)
+        members = zone_router_addresses(present, settings.zone)
+        await self._router.set_zone_routers(members)
+        change = ExchangePeers(addresses=tuple(addresses), zone_members=members)
         await self._router.gossip.inbox.put(change)
 
-    def _dead(self, now: float) -> set[str]:
-        dead = self._router.membership.nodes(now, Liveness.DEAD)
-        return {node.incarnation for node in dead}
+    def _failed_incarnations(self, now: float) -> set[str]:
+        failed = self._router.membership.nodes(now, Liveness.FAILED)
+        return {node.incarnation for node in failed}
--- a/src/ragwortkeel/sidecar/crashes.py
+++ b/src/ragwortkeel/sidecar/crashes.py
@@ -1,7 +1,8 @@
-"""Which requests were running when the upstream crashed, for the quarantine.
+"""Requests that were running when the upstream crashed, for the quarantine.
 
-The sidecar alone sees everything that ran there.  It gives each crash an id and
-names the bodies once; routers pass that on and decide by `policy.quarantine`.
+Only the sidecar knows everything that ran at the upstream.  It assigns each crash
+an id and reports the fingerprints of the requests once; routers forward the report
+and decide by `policy.quarantine`.
 """
 
 from dataclasses import dataclass
@@ -10,8 +11,8 @@
 from ragwortkeel.policy.quarantine import fingerprint
 from ragwortkeel.sidecar.effects import Peer, Send
 
-PEER_SECONDS = 10.0
-"""Routers heartbeat every second; one not heard for so long is gone."""
+PEER_EXPIRY_SECONDS = 10.0
+"""Silence after which a router counts as disconnected; heartbeats come each second."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -20,64 +21,68 @@
     alone: bool
 
 
-class CrashWatch:
-    """Runs in flight by nonce, and the crashes that they were part of.
+class CrashDetector:
+    """Tracks the runs in flight and reports the crashes that broke them.
 
     Parameters
     ----------
     sidecar
-        Incarnation, the first half of each crash's id.
+        Incarnation of this sidecar, the first half of each crash id.
     """
 
     def __init__(self, *, sidecar: str) -> None:
         self._sidecar = sidecar
         self._running_by_nonce: dict[str, _Suspect] = {}
-        self._told: set[str] = set()
-        self._heard_by_peer: dict[Peer, float] = {}
-        self._crashes = 0
+        self._reported_nonces: set[str] = set()
+        self._last_received_at_by_peer: dict[Peer, float] = {}
+        self._crash_count = 0
 
-    def started(self, dispatch: Dispatch) -> None:
-        """Note a run that goes to the upstream."""
+    def record_start(self, dispatch: Dispatch) -> None:
+        """Record a run that is sent to the upstream."""
         self._running_by_nonce[dispatch.nonce] = _Suspect(
             fingerprint=dispatch.fingerprint or fingerprint(dispatch.body),
             alone=dispatch.alone,
         )
 
-    def ended(self, nonce: str) -> None:
-        """Note that a run is over."""
+    def record_end(self, nonce: str) -> None:
+        """Record that a run ended."""
         self._running_by_nonce.pop(nonce, None)
-        self._told.discard(nonce)
+        self._reported_nonces.discard(nonce)
 
-    def heard(self, peer: Peer, now: float) -> None:
-        """Note a router that is connected."""
+    def record_peer(self, peer: Peer, now: float) -> None:
+        """Record a message of a connected router."""
         if peer:
-            self._heard_by_peer[peer] = now
+            self._last_received_at_by_peer[peer] = now
 
-    def forget_gone(self, now: float) -> None:
-        """Forget routers that are not heard any more.
+    def remove_expired_peers(self, now: float) -> None:
+        """Remove routers that have sent nothing for `PEER_EXPIRY_SECONDS`.
 
-        Every reconnection is a peer of another name, so they would add up.
+        Each reconnection creates a peer with a new name, so they would accumulate.
         """
-        self._heard_by_peer = self._recent(now)
+        self._last_received_at_by_peer = self._live_peers(now)
 
-    def crashed(self, nonce: str, now: float) -> list[Send]:
-        """Tell every connected router of the crash that broke a run, once.
+    def report_crash(self, nonce: str, now: float) -> list[Send]:
+        """Report the crash that broke a run to each connected router, once.
 
-        One crash breaks every run in flight, and each reports it: the first
-        names them all, so that the rest are not taken for crashes of their own.
+        One crash breaks every run in flight, and each run reports it.  The first
+        report names all of them, so the others don't count as separate crashes.
         """
-        if nonce in self._told or nonce not in self._running_by_nonce:
+        if nonce in self._reported_nonces or nonce not in self._running_by_nonce:
             return []
-        self._crashes += 1
-        self._told.update(self._running_by_nonce)
+        self._crash_count += 1
+        self._reported_nonces.update(self._running_by_nonce)
         suspects = list(self._running_by_nonce.values())
         seen = CrashSeen(
-            crash_id=f"{self._sidecar}/{self._crashes}",
+            crash_id=f"{self._sidecar}/{self._crash_count}",
             fingerprints=tuple(sorted({s.fingerprint for s in suspects})),
             alone=len(suspects) == 1 and suspects[0].alone,
         )
-        return [Send(peer=peer, message=seen) for peer in self._recent(now)]
-
-    def _recent(self, now: float) -> dict[Peer, float]:
-        since = now - PEER_SECONDS
-        return {peer: at for peer, at in self._heard_by_peer.items() if at >= since}
+        return [Send(peer=peer, message=seen) for peer in self._live_peers(now)]
+
+    def _live_peers(self, now: float) -> dict[Peer, float]:
+        since = now - PEER_EXPIRY_SECONDS
+        return {
+            peer: at
+            for peer, at in self._last_received_at_by_peer.items()
+            if at >= since
+        }
--- a/src/ragwortkeel/sidecar/gate.py
+++ b/src/ragwortkeel/sidecar/dispatch_check.py
@@ -1,4 +1,4 @@
-"""Whether a dispatch is let in, from all that the sidecar knows."""
+"""Check of a dispatch against journal, admission, answers and isolation."""
 
 from ragwortkeel.messages import Dispatch, RefusalReason
 from ragwortkeel.runs.answer import AnswerStore
@@ -7,13 +7,13 @@
 from ragwortkeel.sidecar.isolation import Isolation
 
 
-class Gate:
+class DispatchCheck:
     """Finds the reason to refuse a dispatch whose nonce is new.
 
     Parameters
     ----------
     incarnation
-        Of this sidecar.
+        Incarnation of this sidecar.
     """
 
     def __init__(
@@ -32,34 +32,34 @@
         self._isolation = isolation
 
     def reason_to_refuse(self, sender: str, dispatch: Dispatch) -> RefusalReason | None:
-        """Return why the dispatch of a router is not let in, or None."""
+        """Return the reason to refuse the dispatch of a router, or None."""
         if dispatch.sidecar != self._incarnation:
-            # Failure: a router's order to this sidecar's predecessor, whose
-            # journal is gone, would run here what may have run there.
+            # Failure prevented: a dispatch to the predecessor, whose journal is
+            # lost, runs here although it may have run there.
             return RefusalReason.WRONG_INCARNATION
         if self._journal.is_sealed(sender):
-            # Failure: a paused router wakes and spends a slice that has been
-            # given back meanwhile.
+            # Failure prevented: a router resumes after a pause and spends a
+            # slice that has been given back meanwhile.
             return RefusalReason.SEALED
-        if not self._is_fresh(dispatch):
+        if not self._accepts_epoch(dispatch):
             return RefusalReason.STALE_EPOCH
-        if not dispatch.idempotent and self._runs_already(dispatch):
+        if not dispatch.idempotent and self._is_duplicate(dispatch):
             return RefusalReason.DUPLICATE
         if (
             self._journal.is_full
             or self._answers.is_nearly_full
-            or self._isolation.taken
+            or self._isolation.is_occupied
         ):
             return RefusalReason.OVERLOADED
         return self._admission.reason_to_refuse(dispatch, self._journal.running)
 
-    def _is_fresh(self, dispatch: Dispatch) -> bool:
+    def _accepts_epoch(self, dispatch: Dispatch) -> bool:
         if dispatch.idempotent and dispatch.epoch == 0:
             # A router that sends each dispatch only once needs no epoch here.
             return True
         return self._journal.accepts_epoch(dispatch.epoch)
 
-    def _runs_already(self, dispatch: Dispatch) -> bool:
-        # The intent keeps two attempts apart; this holds even if it is lost.
+    def _is_duplicate(self, dispatch: Dispatch) -> bool:
+        # Intents exclude two attempts already; this check needs no intent.
         found = self._journal.nonce_of_request(dispatch.profile, dispatch.request_id)
         return found is not None
--- a/src/ragwortkeel/sidecar/load.py
+++ b/src/ragwortkeel/sidecar/load.py
@@ -1,4 +1,4 @@
-"""Reading the upstream's own load report, which routers hear in heartbeats."""
+"""Polling of the upstream's load report, which heartbeats send to routers."""
 
 from dataclasses import dataclass
 
@@ -8,10 +8,10 @@
 from ragwortkeel.exceptions import ConnectFailed, ExchangeBroken
 from ragwortkeel.httpio import HttpClient
 
-POLL_SECONDS = 0.5
-"""Engines report with a lag of this order; asking more often tells nothing new."""
+POLL_INTERVAL_SECONDS = 0.5
+"""Engines report with a lag of this order, so more frequent polls gain nothing."""
 
-ANSWER_SECONDS = 2.0
+RESPONSE_TIMEOUT_SECONDS = 2.0
 OK = 200
 
 
@@ -23,25 +23,27 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LoadReport:
-    """What the upstream says of itself, a while ago; zeros where it says nothing."""
+    """The upstream's last load report; values are zero where it sends none."""
 
     waiting: int = 0
     limit: int = 0
 
 
-async def watch_load(client: HttpClient, inbox: curio.Queue) -> None:
-    """Put a `LoadReport` on the inbox now and then, until cancelled."""
+async def poll_load(client: HttpClient, inbox: curio.Queue) -> None:
+    """Put a `LoadReport` on the inbox periodically, until cancelled."""
     while True:
         report = await read_load(client)
         if report is not None:
             await inbox.put(report)
-        await curio.sleep(POLL_SECONDS)
+        await curio.sleep(POLL_INTERVAL_SECONDS)
 
 
 async def read_load(client: HttpClient) -> LoadReport | None:
-    """Return the upstream's report, None where it gives none."""
+    """Return the upstream's load report, or None where it sends none."""
     try:
-        response = await client.request("GET", "/load", timeout=ANSWER_SECONDS)
+        response = await client.request(
+            "GET", "/load", timeout=RESPONSE_TIMEOUT_SECONDS
+        )
         if response.status != OK:
             return None
         load = msgspec.json.decode(response.body, type=_Load)
--- a/src/ragwortkeel/sidecar/runner.py
+++ b/src/ragwortkeel/sidecar/runner.py
@@ -1,4 +1,4 @@
-"""The tasks of runs in flight at the upstream, by nonce."""
+"""Tasks of the runs in flight at the upstream, by nonce."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,12 @@
 from ragwortkeel.httpio import HttpClient
 from ragwortkeel.logs import log_error
 from ragwortkeel.messages import Dispatch, FailureReason
-from ragwortkeel.sidecar.upstream import CANCEL_SECONDS, Report, UpstreamRun, cancel_at
+from ragwortkeel.sidecar.upstream import (
+    CANCEL_TIMEOUT_SECONDS,
+    ReportEvent,
+    UpstreamRun,
+    cancel_request,
+)
 from ragwortkeel.traces import Tracing, traceparent_of
 
 
@@ -27,17 +32,19 @@
     client
         The upstream's HTTP client.
     report
-        Takes the events of every run.
+        Receives the events of every run.
     tracing
         Starts a span for each run.
 
     Attributes
     ----------
     fencing_number : int
-        Sent with every order once the sidecar is registered.
+        Sent with every request once the sidecar is registered.
     """
 
-    def __init__(self, *, client: HttpClient, report: Report, tracing: Tracing) -> None:
+    def __init__(
+        self, *, client: HttpClient, report: ReportEvent, tracing: Tracing
+    ) -> None:
         self._client = client
         self._report = report
         self._tracing = tracing
@@ -59,18 +66,18 @@
         self._running_by_nonce[dispatch.nonce] = _Running(run=run, task=task)
 
     async def cancel(self, nonce: str, request_id: str) -> None:
-        """Ask the upstream to end a run, so that it says what it cost."""
+        """Ask the upstream to end a run, so that it reports the cost."""
         if nonce in self._running_by_nonce:
             await curio.spawn(self._cancel, nonce, request_id, daemon=True)
 
     async def stop(self, nonce: str, request_id: str) -> None:
-        """Close the run's connection and tell the upstream to stop."""
+        """Close the run's connection and ask the upstream to stop."""
         running = self._running_by_nonce.pop(nonce, None)
         if running is None:
             return
         await running.task.cancel(blocking=False)
         await curio.spawn(
-            cancel_at, self._client, request_id, self.fencing_number, daemon=True
+            cancel_request, self._client, request_id, self.fencing_number, daemon=True
         )
 
     async def stop_all(self) -> None:
@@ -79,21 +86,21 @@
             await running.task.cancel()
 
     async def _cancel(self, nonce: str, request_id: str) -> None:
-        await cancel_at(self._client, request_id, self.fencing_number)
-        await curio.sleep(CANCEL_SECONDS)
+        await cancel_request(self._client, request_id, self.fencing_number)
+        await curio.sleep(CANCEL_TIMEOUT_SECONDS)
         running = self._running_by_nonce.pop(nonce, None)
         if running is not None:
-            # The engine goes on all the same: cut off, at the most it can cost.
+            # The engine ignored the request: abort, at the bound of the cost.
             await running.task.cancel()
-            await running.run.broken(FailureReason.CANCELLED)
+            await running.run.report_broken(FailureReason.CANCELLED)
 
     async def _run(self, run: UpstreamRun, nonce: str, span: Span) -> None:
         try:
             await run.run()
         except Exception as exc:
-            # A fault of this program must not leave a caller waiting for good.
+            # An exception must not leave a caller waiting forever.
             log_error("run_crashed", nonce=nonce, error=repr(exc))
-            await run.broken(FailureReason.UPSTREAM_ERROR)
+            await run.report_broken(FailureReason.UPSTREAM_ERROR)
         finally:
             span.end()
             self._running_by_nonce.pop(nonce, None)
--- a/src/ragwortkeel/sidecar/worker.py
+++ b/src/ragwortkeel/sidecar/worker.py
@@ -1,4 +1,4 @@
-"""The sidecar daemon's work: the sidecar, and the configuration it needs."""
+"""Tasks of the sidecar daemon: the sidecar and its configuration."""
 
 from random import Random
 from time import monotonic
@@ -8,7 +8,7 @@
 
 from ragwortkeel.configuration import PROFILES, UPSTREAMS
 from ragwortkeel.configuration_store import ConfigurationStore, InForce
-from ragwortkeel.gossip import FromPeer, Gossip, Partners
+from ragwortkeel.gossip import ExchangePeers, FromPeer, Gossip
 from ragwortkeel.links import Received
 from ragwortkeel.messages import Heartbeat, VersionedObject
 from ragwortkeel.metrics import Metrics
@@ -19,15 +19,15 @@
 from ragwortkeel.tasks import run_together
 from ragwortkeel.traces import Tracing
 
-PEER_SECONDS = 10.0
-"""A router that has not been heard for this long is no partner any more."""
+PEER_EXPIRY_SECONDS = 10.0
+"""Silence after which a router is removed from the gossip partners."""
 
 
 class SidecarWorker:
     """Everything a sidecar process runs.
 
-    A sidecar holds its own upstream's object and hears of it from the routers
-    that are linked to it; it never watches the platform.
+    A sidecar stores its own upstream's object and receives it from connected
+    routers; it never watches the platform.
 
     .. versionadded:: 0.1
     """
@@ -44,7 +44,7 @@
             },
         )
         self._peer_messages: curio.Queue = curio.Queue()
-        self._heard_by_peer: dict[str, float] = {}
+        self._last_received_at_by_peer: dict[str, float] = {}
         self._sidecar = Sidecar(
             settings=settings,
             incarnation=f"{settings.name}-{uuid4().hex[:12]}",
@@ -61,14 +61,14 @@
             store=self._store,
             send=self._sidecar.send,
             random=Random(),
-            listener=self._learn,
+            listener=self._receive_objects,
             follows=False,
         )
         self._serving: curio.Task | None = None
 
     @property
     def ready(self) -> bool:
-        """Whether work is let in."""
+        """Whether work is admitted."""
         return self._sidecar.admitted
 
     def open(self) -> None:
@@ -76,12 +76,12 @@
         self._sidecar.open()
 
     async def run(self) -> None:
-        """Work until cancelled or until a task fails."""
+        """Run until cancelled or until a task fails."""
         self._serving = await curio.spawn(self._sidecar.run, daemon=True)
         await run_together(self._gossip.run, self._read_peers, self._watch_sidecar)
 
     async def stop(self) -> Leftover:
-        """Finish what is in flight, flush receipts, deregister."""
+        """Finish the runs in flight, write receipts and deregister."""
         await self._sidecar.stop()
         leftover = await self._serving.join()
         return Leftover(
@@ -93,23 +93,23 @@
         )
 
     def in_force(self, kind: str, name: str) -> InForce:
-        """Return what is in force here of an object."""
+        """Return the version of an object that is in force here."""
         return self._store.in_force(kind, name)
 
     async def _watch_sidecar(self) -> None:
         await self._serving.wait()
         if self._serving.exception is not None:
             raise self._serving.exception
-        # A planned stop: its caller holds the result and ends the process.
+        # After a planned stop the caller has the result and ends the process.
         await curio.Event().wait()
 
-    async def _learn(self, fresh: list[VersionedObject]) -> None:
-        await self._sidecar.learn(tuple(fresh))
+    async def _receive_objects(self, objects: list[VersionedObject]) -> None:
+        await self._sidecar.receive_objects(tuple(objects))
 
     async def _read_peers(self) -> None:
         while True:
             received = await self._peer_messages.get()
-            await self._note_peer(received)
+            await self._record_peer(received)
             message = received.envelope.message
             event = FromPeer(
                 peer=received.peer,
@@ -118,13 +118,19 @@
             )
             await self._gossip.inbox.put(event)
 
-    async def _note_peer(self, received: Received) -> None:
+    async def _record_peer(self, received: Received) -> None:
         now = monotonic()
-        is_new = received.peer not in self._heard_by_peer
-        self._heard_by_peer[received.peer] = now
-        gone = [p for p, at in self._heard_by_peer.items() if now - at > PEER_SECONDS]
-        for peer in gone:
-            del self._heard_by_peer[peer]
-        if is_new or gone:
-            partners = tuple(self._heard_by_peer)
-            await self._gossip.inbox.put(Partners(addresses=partners, zone_members=()))
+        is_new = received.peer not in self._last_received_at_by_peer
+        self._last_received_at_by_peer[received.peer] = now
+        expired_peers = [
+            p
+            for p, at in self._last_received_at_by_peer.items()
+            if now - at > PEER_EXPIRY_SECONDS
+        ]
+        for peer in expired_peers:
+            del self._last_received_at_by_peer[peer]
+        if is_new or expired_peers:
+            partners = tuple(self._last_received_at_by_peer)
+            await self._gossip.inbox.put(
+                ExchangePeers(addresses=partners, zone_members=())
+            )
--- a/src/ragwortkeel/signals.py
+++ b/src/ragwortkeel/signals.py
@@ -1,8 +1,8 @@
-"""Signals as messages to a curio task; curio 1.6 itself has nothing for them.
+"""Delivery of signals to a curio task, which curio 1.6 does not support itself.
 
-Python runs a handler only between two steps of its own, and a kernel that waits
-for sockets takes none: the signal would be seen at the next timeout.  So the
-interpreter writes the signal's number to a socket, on which a task waits.
+Python runs a signal handler only between two byte code instructions, and a kernel that
+waits for sockets executes none, so that the handler would run only at the next timeout.
+Therefore the interpreter writes the number of the signal to a socket that a task reads.
 """
 
 import signal
@@ -14,17 +14,18 @@
 
 
 class SignalQueue:
-    """An asynchronous context manager that catches signals.
+    """Asynchronous context manager that catches signals.
 
     Parameters
     ----------
     numbers
-        The signals to catch; their former handlers come back on exit.
+        Signals to catch; their former handlers are restored on exit.
 
     Examples
     --------
-    >>> async with SignalQueue(signal.SIGTERM) as signals:
-    ...     number = await signals.get()
+    >>> async def wait_for_term():
+    ...     async with SignalQueue(signal.SIGTERM) as signals:
+    ...         return await signals.get()
 
     .. versionadded:: 0.1
     """
@@ -33,16 +34,16 @@
         self._numbers = numbers
         self._handlers = {}
         self._former_fd = -1
-        self._reading = None
-        self._writing = None
+        self._receiver = None
+        self._sender = None
         self._caught: list[int] = []
 
     async def __aenter__(self) -> "SignalQueue":
-        reading, self._writing = socket.socketpair()
-        self._writing.setblocking(False)
-        self._reading = curio.io.Socket(reading)
+        receiver, self._sender = socket.socketpair()
+        self._sender.setblocking(False)
+        self._receiver = curio.io.Socket(receiver)
         self._former_fd = signal.set_wakeup_fd(
-            self._writing.fileno(), warn_on_full_buffer=False
+            self._sender.fileno(), warn_on_full_buffer=False
         )
         for number in self._numbers:
             self._handlers[number] = signal.signal(number, _ignore)
@@ -52,18 +53,18 @@
         for number, handler in self._handlers.items():
             signal.signal(number, handler)
         signal.set_wakeup_fd(self._former_fd)
-        self._writing.close()
-        await self._reading.close()
+        self._sender.close()
+        await self._receiver.close()
 
     async def get(self) -> signal.Signals:
-        """Return the next signal caught, in order."""
+        """Wait for the next signal and return it, in the order of arrival."""
         while not self._caught:
-            # Other signals that Python handles are written there as well.
-            for number in await self._reading.recv(BUFFER_BYTES):
+            # The interpreter also writes the other signals that Python handles.
+            for number in await self._receiver.recv(BUFFER_BYTES):
                 if number in self._numbers:
                     self._caught.append(number)
         return signal.Signals(self._caught.pop(0))
 
 
 def _ignore(number: int, frame) -> None:
-    """Let the wake-up descriptor carry the signal."""
+    """Do nothing; the signal is read from the wake-up descriptor."""
--- a/tests/budget/world.py
+++ b/tests/budget/world.py
@@ -1,4 +1,4 @@
-"""The routers, sidecars, reaper, operator and platform of the random walks."""
+"""Routers, sidecars, reaper, operator and platform for the random walks."""
 
 from dataclasses import dataclass, field
 
@@ -14,11 +14,11 @@
 @dataclass
 class RouterModel:
     incarnation: str
-    place: int
+    index: int
     slice: Slice = field(init=False)
     refresh: SliceRefresh = field(init=False)
     snapshot: tuple[int, Ledger] | None = None
-    paused: bool = False
+    suspended: bool = False
 
     def __post_init__(self):
         self.slice = Slice(profile=PROFILE, router=self.incarnation)
@@ -29,7 +29,7 @@
 @dataclass
 class SidecarModel:
     incarnation: str
-    place: int
+    index: int
     accounts: SidecarAccounts = field(default_factory=SidecarAccounts)
     registered: bool = False
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Dispatched:
+class RunDispatched:
     router: str
     sidecar: str
     nonce: str
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Done:
+class RunEnded:
     router: str
     sidecar: str
     nonce: str
@@ -61,71 +61,73 @@
         self.routers, self.sidecars = {}, {}
         self.incarnations = 0
         self.network = []
-        self.cuts = set()
+        self.partitions = set()
         self.reports = []
         self.operations = []
         self.ran_by_sidecar = {}
-        self.dead_sidecars = set()
+        self.deleted_sidecars = set()
         self.started = set()
 
     # Routers
 
-    def start_router(self, place):
+    def start_router(self, router_index):
         self.incarnations += 1
-        name = f"r{place}.{self.incarnations}"
-        self.routers[place] = RouterModel(incarnation=name, place=place)
+        name = f"r{router_index}.{self.incarnations}"
+        self.routers[router_index] = RouterModel(incarnation=name, index=router_index)
 
-    def awake(self, place):
-        router = self.routers.get(place)
-        return None if router is None or router.paused else router
+    def resumed_router(self, router_index):
+        router = self.routers.get(router_index)
+        return None if router is None or router.suspended else router
 
-    def read(self, place):
-        router = self.awake(place)
+    def read(self, router_index):
+        router = self.resumed_router(router_index)
         if router is None:
             return
         router.snapshot = (self.version, self.ledger)
         try:
             router.refresh.read(self.ledger, version=self.version)
         except RouterSealed:
-            self.start_router(place)
+            self.start_router(router_index)
 
-    def write(self, place, end, want, give_back, cap, give_to):
-        router = self.awake(place)
+    def write(self, router_index, end, want, give_back, cap, give_to):
+        router = self.resumed_router(router_index)
         if router is None or router.snapshot is None:
             return
         version, ledger = router.snapshot
         router.snapshot = None
         self.incarnations += 1
-        taker = self.routers.get(give_to)
+        recipient = self.routers.get(give_to)
         try:
             renewal = router.slice.propose(
                 nonce=f"n{self.incarnations}",
                 sidecars=tuple(s.incarnation for s in self.sidecars.values()),
                 want=0 if give_back else want,
                 give_back=give_back,
-                give_to=taker.incarnation if taker and taker is not router else "",
+                give_to=recipient.incarnation
+                if recipient and recipient is not router
+                else "",
                 cap=cap,
             )
             value = ledger.renew(renewal)
         except RouterSealed:
-            self.start_router(place)
+            self.start_router(router_index)
             return
-        self.end_write(router, version, value, end)
+        self.finish_write(router, version, value, end)
 
-    def renew_at_once(self, place, want, give_back, cap):
-        self.read(place)
-        self.write(place, "ok", want, give_back, cap, 3)
+    def renew_at_once(self, router_index, want, give_back, cap):
+        self.read(router_index)
+        self.write(router_index, "ok", want, give_back, cap, 3)
 
-    def end_write(self, router, version, value, end):
+    def finish_write(self, router, version, value, end):
         match end:
             case "ok" if version == self.version:
-                self.put(value)
+                self.store(value)
                 router.refresh.record_written(value)
             case "ok" | "down":
                 router.refresh.record_refused()
             case "lost":
                 if version == self.version:
-                    self.put(value)
+                    self.store(value)
                 router.refresh.record_unknown(version=version)
             case "late":
                 self.late_writes.append((version, value))
@@ -133,17 +135,20 @@
             case "never":
                 router.refresh.record_unknown(version=version)
 
-    def put(self, value):
+    def store(self, value):
         self.ledger, self.version = value, self.version + 1
 
-    def land_late_write(self):
+    def apply_late_write(self):
         if self.late_writes:
             version, value = self.late_writes.pop(0)
             if version == self.version:
-                self.put(value)
+                self.store(value)
 
-    def reserve(self, place, at, amount):
-        router, sidecar = self.awake(place), self.sidecars.get(at)
+    def reserve(self, router_index, sidecar_index, amount):
+        router, sidecar = (
+            self.resumed_router(router_index),
+            self.sidecars.get(sidecar_index),
+        )
         if router is None or sidecar is None:
             return
         name = sidecar.incarnation
@@ -153,18 +158,18 @@
             return
         nonce = f"{router.incarnation}/{reservation.reservation_id}"
         router.reservations_by_nonce[nonce] = reservation
-        message = Dispatched(router.incarnation, name, nonce, amount)
+        message = RunDispatched(router.incarnation, name, nonce, amount)
         self.network.append(message)
 
-    def reserve_and_start(self, place, at, amount):
+    def reserve_and_start(self, router_index, sidecar_index, amount):
         before = len(self.network)
-        self.reserve(place, at, amount)
+        self.reserve(router_index, sidecar_index, amount)
         if len(self.network) > before:
             self.deliver(len(self.network) - 1, False)
 
-    def finish_and_tell(self, at, amount):
+    def finish_and_deliver(self, sidecar_index, amount):
         before = len(self.network)
-        self.finish(at, 0, amount)
+        self.finish(sidecar_index, 0, amount)
         if len(self.network) > before:
             self.deliver(len(self.network) - 1, False)
 
@@ -172,26 +177,26 @@
         if not self.network:
             return
         message = self.network.pop(index % len(self.network))
-        if self.cut_off(message):
+        if self.is_partitioned(message):
             self.network.append(message)
             return
         match message:
-            case Dispatched():
+            case RunDispatched():
                 self.deliver_dispatch(message)
-            case Done():
-                self.deliver_done(message)
+            case RunEnded():
+                self.deliver_run_ended(message)
                 if twice:
                     self.network.append(message)
 
-    def cut_off(self, message):
-        return (message.router[:2], message.sidecar[:2]) in self.cuts
+    def is_partitioned(self, message):
+        return (message.router[:2], message.sidecar[:2]) in self.partitions
 
     def deliver_dispatch(self, message):
         sidecar = self.sidecar_named(message.sidecar)
         if sidecar is None:
             return
         if not sidecar.accounts.admits(message.router):
-            done = Done(message.router, message.sidecar, message.nonce, 0)
+            done = RunEnded(message.router, message.sidecar, message.nonce, 0)
             self.network.append(done)
             return
         assert message.nonce not in self.started
@@ -204,10 +209,10 @@
         )
         sidecar.running[message.nonce] = message
 
-    def deliver_done(self, message):
+    def deliver_run_ended(self, message):
         for router in self.routers.values():
             reservation = router.reservations_by_nonce.get(message.nonce)
-            if router.paused and reservation is not None:
+            if router.suspended and reservation is not None:
                 self.network.append(message)
             elif reservation is not None:
                 router.slice.settle(reservation, spent=message.tokens)
@@ -216,27 +221,29 @@
         found = (s for s in self.sidecars.values() if s.incarnation == name)
         return next(found, None)
 
-    def pause_or_wake(self, place):
-        if place in self.routers:
-            self.routers[place].paused = not self.routers[place].paused
+    def suspend_or_resume(self, router_index):
+        if router_index in self.routers:
+            self.routers[router_index].suspended = not self.routers[
+                router_index
+            ].suspended
 
-    def router_dies_or_restarts(self, place):
-        if self.routers.pop(place, None) is None:
-            self.start_router(place)
+    def crash_or_start_router(self, router_index):
+        if self.routers.pop(router_index, None) is None:
+            self.start_router(router_index)
 
-    def router_gives_up_dead_sidecars(self, place):
-        router = self.awake(place)
+    def drop_deleted_sidecars(self, router_index):
+        router = self.resumed_router(router_index)
         if router is None:
             return
         for reservation in list(router.slice.open_by_id.values()):
-            if reservation.sidecar in self.dead_sidecars:
+            if reservation.sidecar in self.deleted_sidecars:
                 router.slice.drop(reservation.sidecar)
                 router.slice.settle(reservation, spent=reservation.tokens)
 
     # Sidecars
 
-    def finish(self, at, index, amount):
-        sidecar = self.sidecars.get(at)
+    def finish(self, sidecar_index, index, amount):
+        sidecar = self.sidecars.get(sidecar_index)
         if sidecar is None or not sidecar.running:
             return
         nonce = sorted(sidecar.running)[index % len(sidecar.running)]
@@ -248,35 +255,37 @@
         sidecar.accounts.finish(nonce=nonce, tokens=spent)
         name = sidecar.incarnation
         self.ran_by_sidecar[name] = self.ran_by_sidecar.get(name, 0) + spent
-        self.network.append(Done(message.router, name, nonce, spent))
+        self.network.append(RunEnded(message.router, name, nonce, spent))
 
-    def sidecar_dies(self, at, amount):
-        sidecar = self.sidecars.pop(at, None)
+    def crash_sidecar(self, sidecar_index, amount):
+        sidecar = self.sidecars.pop(sidecar_index, None)
         if sidecar is None:
             return
-        self.dead_sidecars.add(sidecar.incarnation)
+        self.deleted_sidecars.add(sidecar.incarnation)
         for message in sidecar.running.values():
             spent = min(amount, message.tokens)
             name = sidecar.incarnation
             self.ran_by_sidecar[name] = self.ran_by_sidecar.get(name, 0) + spent
 
-    def register_sidecar(self, at):
-        if at not in self.sidecars:
+    def register_sidecar(self, sidecar_index):
+        if sidecar_index not in self.sidecars:
             self.incarnations += 1
-            name = f"s{at}.{self.incarnations}"
-            self.sidecars[at] = SidecarModel(incarnation=name, place=at)
-            self.sidecars[at].registered = True
+            name = f"s{sidecar_index}.{self.incarnations}"
+            self.sidecars[sidecar_index] = SidecarModel(
+                incarnation=name, index=sidecar_index
+            )
+            self.sidecars[sidecar_index].registered = True
 
-    def open_sidecar(self, at):
-        sidecar = self.sidecars.get(at)
+    def open_sidecar(self, sidecar_index):
+        sidecar = self.sidecars.get(sidecar_index)
         if sidecar is not None and not sidecar.accounts.ready:
             sidecar.accounts.open(seals=frozenset(self.seals))
 
-    def cut_or_heal(self, place, at):
-        self.cuts ^= {(f"r{place}", f"s{at}")}
+    def toggle_partition(self, router_index, sidecar_index):
+        self.partitions ^= {(f"r{router_index}", f"s{sidecar_index}")}
 
-    def cut_or_heal_reaper(self, at):
-        self.cuts ^= {("reaper", f"s{at}")}
+    def toggle_reaper_partition(self, sidecar_index):
+        self.partitions ^= {("reaper", f"s{sidecar_index}")}
 
     # Reaper
 
@@ -288,11 +297,11 @@
         if names:
             name = names[index % len(names)]
             self.seals.add(name)
-            self.put(self.ledger.seal(name))
+            self.store(self.ledger.seal(name))
 
-    def ask_sidecar(self, at):
-        sidecar = self.sidecars.get(at)
-        if sidecar is None or ("reaper", f"s{at}") in self.cuts:
+    def request_report(self, sidecar_index):
+        sidecar = self.sidecars.get(sidecar_index)
+        if sidecar is None or ("reaper", f"s{sidecar_index}") in self.partitions:
             return
         for router in sorted(self.seals):
             report = sidecar.accounts.seal(router)
@@ -300,21 +309,21 @@
                 spent = report.ran.get(PROFILE, 0)
                 self.reports.append((router, sidecar.incarnation, spent))
 
-    def seal_and_ask(self, index, at):
+    def seal_and_report(self, index, sidecar_index):
         self.seal(index)
-        self.ask_sidecar(at)
+        self.request_report(sidecar_index)
         while self.reports:
             self.put_report()
 
     def put_report(self):
         if self.reports:
             router, sidecar, spent = self.reports.pop(0)
-            self.put(self.ledger.report(router=router, sidecar=sidecar, tokens=spent))
+            self.store(self.ledger.report(router=router, sidecar=sidecar, tokens=spent))
 
     def write_off(self):
         for router in self.granted_routers():
-            for sidecar in sorted(self.dead_sidecars):
-                self.put(self.ledger.write_off(router=router, sidecar=sidecar))
+            for sidecar in sorted(self.deleted_sidecars):
+                self.store(self.ledger.write_off(router=router, sidecar=sidecar))
 
     # Operator
 
@@ -328,7 +337,7 @@
             operation = self.ledger.operation_id(f"op{self.incarnations}")
         change = self.ledger.lower if lower else self.ledger.top_up
         try:
-            self.put(change(tokens=amount, operation_id=operation))
+            self.store(change(tokens=amount, operation_id=operation))
         except LedgerError:
             return
         if before is None:
@@ -338,17 +347,17 @@
 
     def recall(self, share):
         try:
-            self.put(self.ledger.recall(to=int(self.ledger.prepaid * share)))
+            self.store(self.ledger.recall(to=int(self.ledger.prepaid * share)))
         except LedgerError:
             return
 
-    def heal(self):
-        self.cuts.clear()
-        for place in range(3):
-            self.register_sidecar(place)
-            self.open_sidecar(place)
+    def end_faults(self):
+        self.partitions.clear()
+        for sidecar_index in range(3):
+            self.register_sidecar(sidecar_index)
+            self.open_sidecar(sidecar_index)
         for router in self.routers.values():
-            router.paused = False
+            router.suspended = False
         for _ in range(2):
             for sidecar in self.sidecars.values():
                 for nonce in list(sidecar.running):
@@ -357,7 +366,7 @@
                 self.deliver(0, False)
 
     def stop_router(self, router):
-        self.router_gives_up_dead_sidecars(router.place)
+        self.drop_deleted_sidecars(router.index)
         if router.slice.open_by_id:
             return
         try:
@@ -366,8 +375,10 @@
                 if router.slice.pending is None:
                     break
                 renewal = router.slice.pending
-                self.end_write(router, self.version, self.ledger.renew(renewal), "ok")
+                self.finish_write(
+                    router, self.version, self.ledger.renew(renewal), "ok"
+                )
         except RouterSealed:
             return
         renewal = router.slice.propose(nonce="stop", cap=0)
-        self.put(self.ledger.close(renewal))
+        self.store(self.ledger.close(renewal))
--- a/tests/cli/test_cli_definition.py
+++ b/tests/cli/test_cli_definition.py
@@ -1,10 +1,10 @@
-"""Profile definitions from files and flags, and the examples that ship."""
+"""Tests of profile definitions, and of the example profiles and settings."""
 
 from pathlib import Path
 
 import pytest
 
-from ragwortkeel.cli.definition import changed, defined
+from ragwortkeel.cli.definition import apply_flags, read_definition
 from ragwortkeel.configuration import Profile, ServiceClass
 from ragwortkeel.exceptions import CommandError, SettingsError
 from ragwortkeel.settings import (
@@ -29,14 +29,14 @@
 
 
 class TestExamples:
-    def test_both_deployments_are_there(self):
+    def test_both_deployments_have_examples(self):
         for deployment in ("surco", "chaophraya"):
-            assert sum(one.name.startswith(deployment) for one in PROFILES) == 5
-            assert sum(one.name.startswith(deployment) for one in SETTINGS) == 8
+            assert sum(path.name.startswith(deployment) for path in PROFILES) == 5
+            assert sum(path.name.startswith(deployment) for path in SETTINGS) == 8
 
     @pytest.mark.parametrize("path", PROFILES, ids=lambda path: path.stem)
     def test_profile(self, path):
-        definition = defined(str(path), {})
+        definition = read_definition(str(path), {})
         assert definition.name == path.stem and definition.prepaid_tokens > 0
 
     @pytest.mark.parametrize("path", SETTINGS, ids=lambda path: path.stem)
@@ -45,9 +45,9 @@
 
 
 class TestDefinition:
-    def test_flags_go_before_the_file(self):
+    def test_flags_override_file(self):
         flags = {"spread": "wide", "customer": None, "back_ends": "a, b,"}
-        definition = defined(str(PROFILES[0]), flags)
+        definition = read_definition(str(PROFILES[0]), flags)
         assert definition.spread == "wide" and definition.back_ends == ("a", "b")
         assert definition.customer == "sathorn-solicitors"
         assert type(definition.profile()) is Profile
@@ -65,7 +65,7 @@
         file = tmp_path / "p.json"
         file.write_text(text)
         with pytest.raises(SettingsError) as caught:
-            defined(str(file), {})
+            read_definition(str(file), {})
         assert caught.value.path == path
 
     @pytest.mark.parametrize("retired", [False, True])
@@ -81,7 +81,7 @@
         )
         if retired:
             with pytest.raises(CommandError):
-                changed(before, {"spread": "narrow"})
+                apply_flags(before, {"spread": "narrow"})
         else:
-            assert changed(before, {"spread": "narrow"}).spread == "narrow"
-            assert changed(before, {"spread": None}) == before
+            assert apply_flags(before, {"spread": "narrow"}).spread == "narrow"
+            assert apply_flags(before, {"spread": None}) == before
